--- a/crates/protocol/tests/forms/cloud.rs
+++ b/crates/protocol/tests/forms/cloud.rs
@@ -34,12 +34,31 @@
 #[test]
 fn the_catalog_keeps_its_wire_format() {
     wire_format("cloud-catalog", &Catalog { builds: vec![machine_type()] });
+}
+
+#[test]
+fn every_amount_of_the_cloud_may_be_an_integer() {
+    let whole = cbor!({
+        "label" => "std", "cores" => 1, "gpus" => 2, "mem_gb" => 3, "local_gb" => 4, "pull_gb_per_s" => 5,
+        "hourly" => 6, "spot_price" => 7, "startup_s" => 8, "sites" => ["zone-a", "zone-b"],
+    });
+    let expected = MachineType {
+        cores: 1.0,
+        gpus: 2.0,
+        mem_gb: 3.0,
+        local_gb: 4.0,
+        pull_gb_per_s: 5.0,
+        hourly: 6.0,
+        spot_price: 7.0,
+        startup_s: 8.0,
+        ..machine_type()
+    };
+    reads_as(&whole.unwrap(), &expected);
     let whole = cbor!({
-        "label" => "std", "cores" => 16, "gpus" => 2, "mem_gb" => 64.5, "local_gb" => 200,
-        "pull_gb_per_s" => 0.25, "hourly" => 1.75, "spot_price" => 0.6, "startup_s" => 45,
-        "sites" => ["zone-a", "zone-b"],
+        "uid" => "host-000231", "addr" => "10.1.0.7:7000", "build" => "std", "site" => "zone-a",
+        "loaners" => true, "status" => "running", "held_s" => 12,
     });
-    reads_as(&whole.unwrap(), &machine_type());
+    reads_as(&whole.unwrap(), &Listed { held_s: 12.0, ..listed() });
 }
 
 #[test]
--- a/crates/protocol/tests/forms/user.rs
+++ b/crates/protocol/tests/forms/user.rs
@@ -52,6 +52,28 @@
     reads_as(&sparse.unwrap(), &spec_without_options());
 }
 
+#[test]
+fn every_amount_of_a_job_may_be_an_integer() {
+    let whole = cbor!({
+        "uid" => "run-000412", "docket" => "nightly", "desk" => "search", "form" => "ensemble",
+        "urgency" => "urgent", "parcels" => 70_000, "cores" => 1, "gpus" => 2, "mem_gb" => 3,
+        "bundle" => "image-7", "size_gb" => 4, "builds" => ["std", "big"], "site" => "zone-a", "together" => true,
+        "apart" => false, "loaners" => true, "expected_s" => 5, "stamp_every_s" => 6, "stamp_s" => 7, "due_s" => 8,
+    });
+    let expected = JobSpec {
+        cores: 1.0,
+        gpus: 2.0,
+        mem_gb: 3.0,
+        size_gb: 4.0,
+        expected_s: 5.0,
+        stamp_every_s: 6.0,
+        stamp_s: 7.0,
+        due_s: Some(8.0),
+        ..full_spec()
+    };
+    reads_as(&whole.unwrap(), &expected);
+}
+
 #[test]
 fn enumerations_keep_their_wire_format() {
     wire_format("user-forms", &vec![Form::Batch, Form::Ensemble, Form::Standing]);
