--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -260,7 +260,7 @@
     /// Zones of which most of our machines were silent, until when they count as cut.
     cut_until: HashMap<String, Instant>,
     /// Silent machines that answered a call of ours, and when.
-    probed: HashMap<String, Instant>,
+    probed: BTreeMap<String, Instant>,
     /// Machines that came here though others own them, and when first.
     strays: HashMap<String, Instant>,
     /// The grant of each machine, as it became known here.
@@ -406,7 +406,7 @@
             deaf: Deaf::default(),
             avoid: HashMap::new(),
             cut_until: HashMap::new(),
-            probed: HashMap::new(),
+            probed: BTreeMap::new(),
             strays: HashMap::new(),
             owned: HashMap::new(),
             owners_seen: None,
--- a/src/links/hearing.rs
+++ b/src/links/hearing.rs
@@ -12,7 +12,7 @@
 //!   anew. Only the worker's own answer to a call tells those two apart.
 
 use crate::effects::Instant;
-use std::collections::HashMap;
+use std::collections::BTreeMap;
 use std::time::Duration;
 
 /// `(shift, tally)` of a worker's message.
@@ -41,7 +41,7 @@
 
 #[derive(Debug, Default)]
 pub struct Hearing {
-    seen: HashMap<String, Seen>,
+    seen: BTreeMap<String, Seen>,
 }
 
 impl Hearing {
