--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -1,6 +1,7 @@
 //! Failures played against a few controllers on a fake clock. The world checks
 //! the rules at every step; the tests say what must still get done.
 
+mod behaviour;
 mod known;
 mod links;
 mod log;
@@ -265,19 +266,24 @@
 #[test]
 fn gangs_and_zones_hold_under_random_failures() {
     for seed in 0..10 {
-        let size =
-            Size { controllers: 5, machines: 16, zones: &["a", "b", "c", "d"], fetch_s: 10.0, team_max: 24.0, ..SMALL };
-        let mut w = World::sized(3000 + seed, size);
-        w.cloud.most = 20;
-        for n in 0..8 {
-            let at = w.rng.random_range(0.0..60.0);
-            let uid = format!("run-7{n}{}", n % 5);
-            w.later(at, move |w| w.submit(&uid, gang(1 + n % 4)));
-        }
-        let apart = Job { apart: true, gpus: 1.0, ..service(4) };
-        w.later(3.0, move |w| w.submit("run-809", apart));
-        random_failures(w, 10, 9, 300.0);
+        gangs_and_zones(seed);
+    }
+}
+
+/// One world of this kind, to its end.
+fn gangs_and_zones(seed: u64) {
+    let size =
+        Size { controllers: 5, machines: 16, zones: &["a", "b", "c", "d"], fetch_s: 10.0, team_max: 24.0, ..SMALL };
+    let mut w = World::sized(3000 + seed, size);
+    w.cloud.most = 20;
+    for n in 0..8 {
+        let at = w.rng.random_range(0.0..60.0);
+        let uid = format!("run-7{n}{}", n % 5);
+        w.later(at, move |w| w.submit(&uid, gang(1 + n % 4)));
     }
+    let apart = Job { apart: true, gpus: 1.0, ..service(4) };
+    w.later(3.0, move |w| w.submit("run-809", apart));
+    random_failures(w, 10, 9, 300.0);
 }
 
 /// The first report of a gang says `done`, and the machine with its other task
--- a/tests/known/mod.rs
+++ b/tests/known/mod.rs
@@ -46,20 +46,24 @@
 #[test]
 fn every_accepted_job_is_known_after_any_failures() {
     for seed in 0..seeds(8) {
-        let team_max = if seed % 2 == 0 { 12.0 } else { 60.0 };
-        let controllers = [3, 5, 7][seed as usize % 3];
-        let size =
-            Size { controllers, machines: 30, write_rps: 30.0, txn_ops: 12, team_max, zones: &["a", "b"], ..SMALL };
-        let mut w = World::sized(8000 + seed, size);
-        w.cloud.most = 36;
-        w.copies = Some((0.3, if seed % 2 == 0 { (1.0, LEASE_S) } else { (LEASE_S, 3.0 * LEASE_S) }));
-        w.restart_between = Some((0.01, 0.9));
-        let mut w = random_failures(w, 24, 20, 260.0);
-        w.copies = None;
-        all_are_known(&mut w);
+        any_failures(seed);
     }
 }
 
+/// One world with all faults, to its end.
+pub fn any_failures(seed: u64) {
+    let team_max = if seed.is_multiple_of(2) { 12.0 } else { 60.0 };
+    let controllers = [3, 5, 7][seed as usize % 3];
+    let size = Size { controllers, machines: 30, write_rps: 30.0, txn_ops: 12, team_max, zones: &["a", "b"], ..SMALL };
+    let mut w = World::sized(8000 + seed, size);
+    w.cloud.most = 36;
+    w.copies = Some((0.3, if seed.is_multiple_of(2) { (1.0, LEASE_S) } else { (LEASE_S, 3.0 * LEASE_S) }));
+    w.restart_between = Some((0.01, 0.9));
+    let mut w = random_failures(w, 24, 20, 260.0);
+    w.copies = None;
+    all_are_known(&mut w);
+}
+
 /// A machine that is dead was kept for as long as copies of its reports came.
 #[test]
 fn copies_keep_no_dead_machine_alive() {
@@ -246,34 +250,39 @@
 #[test]
 fn ends_in_the_middle_of_elections_lose_no_grant() {
     for seed in 0..seeds(8) {
-        let mut w = fleet(8800 + seed, if seed % 2 == 0 { 3 } else { 7 }, 40);
-        let nodes = w.nodes.len();
-        w.submit("run-009", service(80));
-        w.run_until(20.0);
-        w.restart_between = Some((0.01, 0.9));
-        w.frail_until = s(45.0);
-        for n in 0..40 {
-            let at = 20.0 + 0.6 * f64::from(n) + w.rng.random_range(0.0..0.5);
-            let other = w.rng.random_range(0..nodes);
-            w.later(at, move |w| {
-                if let Some(leader) = w.store.leader() {
-                    w.crash(leader);
-                }
-                w.crash(other);
-                let now = w.now;
-                let which = w.rng.random_range(0..w.workers.len());
-                if n % 5 == 0 {
-                    w.workers.values_mut().nth(which).unwrap().begin_anew(now);
-                }
-            });
-        }
-        w.later(46.0, |w| w.submit("run-001", array(20, 4.0)));
-        w.run_until(75.0);
-        assert!(w.store.leader().is_some(), "seed {seed}: nobody leads");
-        assert!(done(&w, "run-001"), "seed {seed}");
-        assert_eq!(running(&w, "run-009"), 80, "seed {seed}");
-        let on = |x: &Worker| x.tasks.values().filter(|t| t.state == TaskState::Running).count();
-        assert!(w.workers.values().filter(|x| on(x) > 0).count() > 5);
-        all_are_known(&mut w);
+        ends_in_elections(seed);
+    }
+}
+
+/// One world with ends of leaders, to its end.
+pub fn ends_in_elections(seed: u64) {
+    let mut w = fleet(8800 + seed, if seed.is_multiple_of(2) { 3 } else { 7 }, 40);
+    let nodes = w.nodes.len();
+    w.submit("run-009", service(80));
+    w.run_until(20.0);
+    w.restart_between = Some((0.01, 0.9));
+    w.frail_until = s(45.0);
+    for n in 0..40 {
+        let at = 20.0 + 0.6 * f64::from(n) + w.rng.random_range(0.0..0.5);
+        let other = w.rng.random_range(0..nodes);
+        w.later(at, move |w| {
+            if let Some(leader) = w.store.leader() {
+                w.crash(leader);
+            }
+            w.crash(other);
+            let now = w.now;
+            let which = w.rng.random_range(0..w.workers.len());
+            if n % 5 == 0 {
+                w.workers.values_mut().nth(which).unwrap().begin_anew(now);
+            }
+        });
     }
+    w.later(46.0, |w| w.submit("run-001", array(20, 4.0)));
+    w.run_until(75.0);
+    assert!(w.store.leader().is_some(), "seed {seed}: nobody leads");
+    assert!(done(&w, "run-001"), "seed {seed}");
+    assert_eq!(running(&w, "run-009"), 80, "seed {seed}");
+    let on = |x: &Worker| x.tasks.values().filter(|t| t.state == TaskState::Running).count();
+    assert!(w.workers.values().filter(|x| on(x) > 0).count() > 5);
+    all_are_known(&mut w);
 }
--- a/tests/links/mod.rs
+++ b/tests/links/mod.rs
@@ -202,77 +202,82 @@
     // more, still answered. 28: a job was complete while its holder was no member,
     // and nobody ended it when that was back.
     for seed in (0..seeds(5)).chain([12, 28]) {
-        let (nodes, machines) = (7, 120);
-        let mut w = fleet(5000 + seed, nodes, machines, 60.0);
-        w.submit("run-009", service(120));
-        for n in 0..12 {
-            let at = w.rng.random_range(0.0..80.0);
-            let uid = format!("run-{n:02}{}", n % 5);
-            let job = array(w.rng.random_range(4..60), 4.0);
-            if n % 4 == 1 {
-                let (gone, uid) = (w.rng.random_range(at..100.0), uid.clone());
-                w.later(gone, move |w| w.jobs.get_mut(&uid).unwrap().withdraw_asked = true);
-            }
-            w.later(at, move |w| w.submit(&uid, job));
+        random_cuts(seed);
+    }
+}
+
+/// One world with cuts, to its end.
+pub fn random_cuts(seed: u64) {
+    let (nodes, machines) = (7, 120);
+    let mut w = fleet(5000 + seed, nodes, machines, 60.0);
+    w.submit("run-009", service(120));
+    for n in 0..12 {
+        let at = w.rng.random_range(0.0..80.0);
+        let uid = format!("run-{n:02}{}", n % 5);
+        let job = array(w.rng.random_range(4..60), 4.0);
+        if n % 4 == 1 {
+            let (gone, uid) = (w.rng.random_range(at..100.0), uid.clone());
+            w.later(gone, move |w| w.jobs.get_mut(&uid).unwrap().withdraw_asked = true);
         }
-        for _ in 0..10 {
-            let at = w.rng.random_range(15.0..85.0);
-            let end = at + w.rng.random_range(2.0..40.0);
-            let (i, j) = (w.rng.random_range(0..nodes), w.rng.random_range(0..nodes));
-            let which = w.rng.random_range(0..machines as usize);
-            match w.rng.random_range(0..9) {
-                0 => {
-                    w.later(at, move |w| w.nodes[i].store_cut = true);
-                    w.later(end, move |w| w.join_store(i));
-                }
-                1 => {
-                    w.later(at, move |w| w.nodes[i].answers_lost = true);
-                    w.later(end, move |w| w.nodes[i].answers_lost = false);
-                }
-                2 => {
-                    w.later(at, move |w| w.nodes[i].refused = true);
-                    w.later(end, move |w| w.nodes[i].refused = false);
-                }
-                3 => {
-                    w.later(at, move |w| w.nodes[i].deaf = true);
-                    w.later(end, move |w| w.nodes[i].deaf = false);
-                }
-                4 => {
-                    w.later(at, move |w| w.peers_cut.extend([(i, j)]));
-                    w.later(end, move |w| w.peers_cut.retain(|c| *c != (i, j)));
-                }
-                5 => {
-                    let all = move || (0..nodes).flat_map(move |a| (0..nodes).map(move |b| (a, b)));
-                    w.later(at, move |w| w.peers_cut.extend(all()));
-                    w.later(end, move |w| w.peers_cut.clear());
-                }
-                6 => {
-                    // A zone's machines reach one controller only.
-                    let set = move |w: &mut World, on: bool| {
-                        for x in w.workers.values_mut().filter(|x| x.site == "b") {
-                            x.unreached = if on { (0..nodes).filter(|n| *n != i).collect() } else { [].into() };
-                        }
-                    };
-                    w.later(at, move |w| set(w, true));
-                    w.later(end, move |w| set(w, false));
-                }
-                7 => {
-                    w.later(at, |w| w.store.set_down(w.now, true));
-                    w.later(end, |w| w.store.set_down(w.now, false));
-                }
-                _ => w.later(at, move |w| {
-                    let Some(name) = w.workers.keys().nth(which).cloned() else { return };
-                    w.cut_worker(&name, true);
-                    w.later(end, move |w| w.cut_worker(&name, false));
-                }),
+        w.later(at, move |w| w.submit(&uid, job));
+    }
+    for _ in 0..10 {
+        let at = w.rng.random_range(15.0..85.0);
+        let end = at + w.rng.random_range(2.0..40.0);
+        let (i, j) = (w.rng.random_range(0..nodes), w.rng.random_range(0..nodes));
+        let which = w.rng.random_range(0..machines as usize);
+        match w.rng.random_range(0..9) {
+            0 => {
+                w.later(at, move |w| w.nodes[i].store_cut = true);
+                w.later(end, move |w| w.join_store(i));
             }
+            1 => {
+                w.later(at, move |w| w.nodes[i].answers_lost = true);
+                w.later(end, move |w| w.nodes[i].answers_lost = false);
+            }
+            2 => {
+                w.later(at, move |w| w.nodes[i].refused = true);
+                w.later(end, move |w| w.nodes[i].refused = false);
+            }
+            3 => {
+                w.later(at, move |w| w.nodes[i].deaf = true);
+                w.later(end, move |w| w.nodes[i].deaf = false);
+            }
+            4 => {
+                w.later(at, move |w| w.peers_cut.extend([(i, j)]));
+                w.later(end, move |w| w.peers_cut.retain(|c| *c != (i, j)));
+            }
+            5 => {
+                let all = move || (0..nodes).flat_map(move |a| (0..nodes).map(move |b| (a, b)));
+                w.later(at, move |w| w.peers_cut.extend(all()));
+                w.later(end, move |w| w.peers_cut.clear());
+            }
+            6 => {
+                // A zone's machines reach one controller only.
+                let set = move |w: &mut World, on: bool| {
+                    for x in w.workers.values_mut().filter(|x| x.site == "b") {
+                        x.unreached = if on { (0..nodes).filter(|n| *n != i).collect() } else { [].into() };
+                    }
+                };
+                w.later(at, move |w| set(w, true));
+                w.later(end, move |w| set(w, false));
+            }
+            7 => {
+                w.later(at, |w| w.store.set_down(w.now, true));
+                w.later(end, |w| w.store.set_down(w.now, false));
+            }
+            _ => w.later(at, move |w| {
+                let Some(name) = w.workers.keys().nth(which).cloned() else { return };
+                w.cut_worker(&name, true);
+                w.later(end, move |w| w.cut_worker(&name, false));
+            }),
         }
-        w.run_until(260.0);
-        assert_eq!(w.lost_alive, 0, "seed {seed}: tasks on machines that live were lost");
-        for (uid, j) in &w.jobs {
-            let over = j.told_done || j.withdrawn_at.is_some() || j.standing;
-            assert!(over, "seed {seed}: {uid} is not over: {j:?}");
-        }
-        assert!(w.now == s(260.0));
     }
+    w.run_until(260.0);
+    assert_eq!(w.lost_alive, 0, "seed {seed}: tasks on machines that live were lost");
+    for (uid, j) in &w.jobs {
+        let over = j.told_done || j.withdrawn_at.is_some() || j.standing;
+        assert!(over, "seed {seed}: {uid} is not over: {j:?}");
+    }
+    assert!(w.now == s(260.0));
 }
--- a/tests/log/mod.rs
+++ b/tests/log/mod.rs
@@ -65,30 +65,35 @@
 #[test]
 fn batches_in_doubt_start_nothing_twice() {
     for seed in 0..seeds(8) {
-        let mut w = fleet(6100 + seed, 5, 60);
-        w.submit("run-009", service(20));
-        load(&mut w, 20, 60.0);
-        for _ in 0..8 {
-            let at = w.rng.random_range(6.0..60.0);
-            let end = at + w.rng.random_range(0.3..40.0);
-            let i = w.rng.random_range(0..5);
+        batches_in_doubt(seed);
+    }
+}
+
+/// One world of this kind, to its end.
+pub fn batches_in_doubt(seed: u64) {
+    let mut w = fleet(6100 + seed, 5, 60);
+    w.submit("run-009", service(20));
+    load(&mut w, 20, 60.0);
+    for _ in 0..8 {
+        let at = w.rng.random_range(6.0..60.0);
+        let end = at + w.rng.random_range(0.3..40.0);
+        let i = w.rng.random_range(0..5);
+        if w.rng.random_bool(0.5) {
+            w.later(at, move |w| w.nodes[i].answers_lost = true);
+            w.later(end, move |w| w.nodes[i].answers_lost = false);
+        } else {
+            w.later(at, move |w| w.nodes[i].store_cut = true);
+            // Restarted while its batch is held: what it wrote comes later.
             if w.rng.random_bool(0.5) {
-                w.later(at, move |w| w.nodes[i].answers_lost = true);
-                w.later(end, move |w| w.nodes[i].answers_lost = false);
-            } else {
-                w.later(at, move |w| w.nodes[i].store_cut = true);
-                // Restarted while its batch is held: what it wrote comes later.
-                if w.rng.random_bool(0.5) {
-                    let back = w.rng.random_range(at..end);
-                    w.later(back, move |w| w.crash(i));
-                }
-                w.later(end, move |w| w.join_store(i));
+                let back = w.rng.random_range(at..end);
+                w.later(back, move |w| w.crash(i));
             }
+            w.later(end, move |w| w.join_store(i));
         }
-        w.run_until(240.0);
-        all_over(&w);
-        assert_eq!(running(&w, "run-009"), 20, "seed {seed}");
     }
+    w.run_until(240.0);
+    all_over(&w);
+    assert_eq!(running(&w, "run-009"), 20, "seed {seed}");
 }
 
 /// A later version has been here, whose records this one would misread.
--- a/tests/meetings/drawn.rs
+++ b/tests/meetings/drawn.rs
@@ -138,39 +138,44 @@
 #[test]
 fn pairs_and_triples_of_troubles() {
     for seed in 0..seeds(8) {
-        let machines = if seed % 8 == 0 { 200 } else { 40 };
-        let mut w = fleet(9700 + seed, [7, 3, 5][seed as usize % 3], machines);
-        w.restart_between = Some(if seed % 2 == 0 { (0.01, 0.9) } else { (0.05, 6.0) });
-        let jobs = machines / 2;
-        for n in 0..jobs {
-            let at = w.rng.random_range(0.0..80.0);
-            let tasks = w.rng.random_range(1..10);
-            let (uid, job) = match n % 5 {
-                0 => (format!("run-{n:03}9"), service(2)),
-                1 => (format!("run-{n:03}{}", n % 5), gang(2)),
-                2 => (format!("run-{n:03}9"), array(tasks, 1e6)),
-                _ => (format!("run-{n:03}{}", n % 7), array(tasks, 6.0)),
-            };
-            let (a, b) = (uid.clone(), uid);
-            w.later(at, move |w| w.submit(&a, job));
-            if n % 5 == 2 || n % 3 == 0 {
-                let leave = w.rng.random_range(at..110.0);
-                w.later(leave, move |w| withdraw(w, &b, None));
-            }
+        troubles(seed);
+    }
+}
+
+/// One world of this kind, to its end.
+pub fn troubles(seed: u64) {
+    let machines = if seed.is_multiple_of(8) { 200 } else { 40 };
+    let mut w = fleet(9700 + seed, [7, 3, 5][seed as usize % 3], machines);
+    w.restart_between = Some(if seed.is_multiple_of(2) { (0.01, 0.9) } else { (0.05, 6.0) });
+    let jobs = machines / 2;
+    for n in 0..jobs {
+        let at = w.rng.random_range(0.0..80.0);
+        let tasks = w.rng.random_range(1..10);
+        let (uid, job) = match n % 5 {
+            0 => (format!("run-{n:03}9"), service(2)),
+            1 => (format!("run-{n:03}{}", n % 5), gang(2)),
+            2 => (format!("run-{n:03}9"), array(tasks, 1e6)),
+            _ => (format!("run-{n:03}{}", n % 7), array(tasks, 6.0)),
+        };
+        let (a, b) = (uid.clone(), uid);
+        w.later(at, move |w| w.submit(&a, job));
+        if n % 5 == 2 || n % 3 == 0 {
+            let leave = w.rng.random_range(at..110.0);
+            w.later(leave, move |w| withdraw(w, &b, None));
         }
-        for _ in 0..2 {
-            let at = w.rng.random_range(8.0..40.0);
-            for _ in 0..w.rng.random_range(2..4) {
-                let which = w.rng.random_range(0..TROUBLES);
-                let from = at + w.rng.random_range(0.0..4.0);
-                let end = from + w.rng.random_range(2.0..40.0);
-                trouble(&mut w, which, from, end);
-            }
+    }
+    for _ in 0..2 {
+        let at = w.rng.random_range(8.0..40.0);
+        for _ in 0..w.rng.random_range(2..4) {
+            let which = w.rng.random_range(0..TROUBLES);
+            let from = at + w.rng.random_range(0.0..4.0);
+            let end = from + w.rng.random_range(2.0..40.0);
+            trouble(&mut w, which, from, end);
         }
-        // The last trouble ends at 110 s at the latest, and what it held back soon after.
-        w.calm_from(130.0);
-        w.run_until(240.0);
-        all_over(&w);
-        all_are_known(&mut w);
     }
+    // The last trouble ends at 110 s at the latest, and what it held back soon after.
+    w.calm_from(130.0);
+    w.run_until(240.0);
+    all_over(&w);
+    all_are_known(&mut w);
 }
--- a/tests/meetings/mod.rs
+++ b/tests/meetings/mod.rs
@@ -3,7 +3,7 @@
 
 mod answers;
 mod copies;
-mod drawn;
+pub mod drawn;
 mod gap;
 mod late;
 mod leaders;
--- a/tests/recovery/mod.rs
+++ b/tests/recovery/mod.rs
@@ -143,57 +143,7 @@
 fn starts_with_faults_in_between() {
     let mut ratios = Vec::new();
     for seed in 0..seeds(6) {
-        let machines = 80;
-        let mut w = fleet(4000 + seed, machines);
-        for n in 0..10 {
-            let at = w.rng.random_range(0.0..40.0);
-            let job: Job = if n % 3 == 0 { service(8) } else { array(w.rng.random_range(5..60), 4.0) };
-            let uid = format!("run-{n:02}{}", if n % 3 == 0 { 9 } else { n % 5 });
-            if n % 4 == 0 {
-                let (gone, uid) = (w.rng.random_range(at..90.0), uid.clone());
-                w.later(gone, move |w| w.jobs.get_mut(&uid).unwrap().withdraw_asked = true);
-            }
-            w.later(at, move |w| w.submit(&uid, job));
-        }
-        let down = w.rng.random_range(15.0..35.0);
-        let for_s = w.rng.random_range(1.0..3.0 * LEASE_S);
-        for i in 0..3 {
-            let late = w.rng.random_range(0.0..2.0);
-            w.later(down, move |w| {
-                w.restart_s = for_s + late;
-                w.crash(i);
-            });
-        }
-        for _ in 0..6 {
-            let at = w.rng.random_range(down..down + for_s + 5.0);
-            let which = w.rng.random_range(0..machines as usize);
-            let end = at + w.rng.random_range(1.0..40.0);
-            let dies = w.rng.random_bool(0.4);
-            w.later(at, move |w| {
-                let Some(name) = w.workers.keys().nth(which).cloned() else { return };
-                if dies {
-                    w.workers.remove(&name);
-                    return;
-                }
-                w.cut_worker(&name, true);
-                w.later(end, move |w| w.cut_worker(&name, false));
-            });
-        }
-        let before = down + for_s - 0.1;
-        w.run_until(before);
-        let then = orders(&w);
-        w.run_until(before + 30.0);
-        let now = orders(&w);
-        let (all, idle) = (now.0.saturating_sub(then.0), now.1.saturating_sub(then.1));
-        if all > 20 {
-            ratios.push((f64::from(all) / f64::from(all - idle), 4000 + seed));
-        }
-        w.run_until(before + 150.0);
-        for (uid, j) in &w.jobs {
-            let over = j.told_done || j.withdrawn_at.is_some() || j.standing;
-            assert!(over, "seed {seed}: {uid} is not over: {j:?}");
-        }
-        assert!(w.now > s(before));
+        ratios.extend(start_with_faults(seed).map(|ratio| (ratio, 4000 + seed)));
     }
     ratios.sort_by(|a, b| a.0.total_cmp(&b.0));
     if let (Some(median), Some(worst)) = (ratios.get(ratios.len() / 2), ratios.last()) {
@@ -201,3 +151,57 @@
         assert!(median.0 <= 1.3 && worst.0 <= 2.0, "median {median:?}, worst {worst:?}");
     }
 }
+
+/// One world of this kind; the orders for each that had an effect, where there were enough.
+pub fn start_with_faults(seed: u64) -> Option<f64> {
+    let machines = 80;
+    let mut w = fleet(4000 + seed, machines);
+    for n in 0..10 {
+        let at = w.rng.random_range(0.0..40.0);
+        let job: Job = if n % 3 == 0 { service(8) } else { array(w.rng.random_range(5..60), 4.0) };
+        let uid = format!("run-{n:02}{}", if n % 3 == 0 { 9 } else { n % 5 });
+        if n % 4 == 0 {
+            let (gone, uid) = (w.rng.random_range(at..90.0), uid.clone());
+            w.later(gone, move |w| w.jobs.get_mut(&uid).unwrap().withdraw_asked = true);
+        }
+        w.later(at, move |w| w.submit(&uid, job));
+    }
+    let down = w.rng.random_range(15.0..35.0);
+    let for_s = w.rng.random_range(1.0..3.0 * LEASE_S);
+    for i in 0..3 {
+        let late = w.rng.random_range(0.0..2.0);
+        w.later(down, move |w| {
+            w.restart_s = for_s + late;
+            w.crash(i);
+        });
+    }
+    for _ in 0..6 {
+        let at = w.rng.random_range(down..down + for_s + 5.0);
+        let which = w.rng.random_range(0..machines as usize);
+        let end = at + w.rng.random_range(1.0..40.0);
+        let dies = w.rng.random_bool(0.4);
+        w.later(at, move |w| {
+            let Some(name) = w.workers.keys().nth(which).cloned() else { return };
+            if dies {
+                w.workers.remove(&name);
+                return;
+            }
+            w.cut_worker(&name, true);
+            w.later(end, move |w| w.cut_worker(&name, false));
+        });
+    }
+    let before = down + for_s - 0.1;
+    w.run_until(before);
+    let then = orders(&w);
+    w.run_until(before + 30.0);
+    let now = orders(&w);
+    let (all, idle) = (now.0.saturating_sub(then.0), now.1.saturating_sub(then.1));
+    let ratio = (all > 20).then(|| f64::from(all) / f64::from(all - idle));
+    w.run_until(before + 150.0);
+    for (uid, j) in &w.jobs {
+        let over = j.told_done || j.withdrawn_at.is_some() || j.standing;
+        assert!(over, "seed {seed}: {uid} is not over: {j:?}");
+    }
+    assert!(w.now > s(before));
+    ratio
+}
--- a/tests/restarts/mod.rs
+++ b/tests/restarts/mod.rs
@@ -115,50 +115,60 @@
 fn rules_hold_with_ends_in_the_middle_of_exchanges() {
     let mut broke = 0;
     for seed in 0..seeds(8) {
-        let team_max = if seed % 2 == 0 { 12.0 } else { 60.0 };
-        let size = Size {
-            controllers: if seed % 3 == 0 { 3 } else { 7 },
-            machines: 40,
-            write_rps: 30.0,
-            txn_ops: 12,
-            team_max,
-            zones: &["a", "b"],
-            ..SMALL
-        };
-        let mut w = World::sized(6000 + seed, size);
-        w.cloud.most = 46;
-        w.restart_between = Some(if seed % 4 == 3 { (0.01, 4.0) } else { (0.01, 0.3) });
-        w.frail_until = s(80.0);
-        broke += random_failures(w, 24, 14, 260.0).broke;
+        broke += ends_in_exchanges(seed);
     }
     assert!(broke > 20, "only {broke} ends in the middle of an exchange");
 }
 
+/// One world of this kind; how many exchanges a process ended in.
+pub fn ends_in_exchanges(seed: u64) -> u32 {
+    let team_max = if seed.is_multiple_of(2) { 12.0 } else { 60.0 };
+    let size = Size {
+        controllers: if seed.is_multiple_of(3) { 3 } else { 7 },
+        machines: 40,
+        write_rps: 30.0,
+        txn_ops: 12,
+        team_max,
+        zones: &["a", "b"],
+        ..SMALL
+    };
+    let mut w = World::sized(6000 + seed, size);
+    w.cloud.most = 46;
+    w.restart_between = Some(if seed % 4 == 3 { (0.01, 4.0) } else { (0.01, 0.3) });
+    w.frail_until = s(80.0);
+    random_failures(w, 24, 14, 260.0).broke
+}
+
 /// A controller that is cut off from the store ends and comes back, twice, and what
 /// its processes wrote arrives minutes later, in order, after the work moved on.
 #[test]
 fn late_writes_of_earlier_processes_change_nothing() {
     for seed in 0..seeds(6) {
-        let mut w = fleet(7000 + seed, 30);
-        w.submit("run-009", service(20));
-        for n in 0..8 {
-            let job: Job = array(w.rng.random_range(5..30), 4.0);
-            let at = w.rng.random_range(1.0..40.0);
-            let uid = format!("run-{n}{}1", seed % 5);
-            w.later(at, move |w| w.submit(&uid, job));
-        }
-        let node = w.rng.random_range(0..7);
-        let cut = w.rng.random_range(8.0..12.0);
-        w.later(cut, move |w| w.nodes[node].store_cut = true);
-        for end in [0.3, 2.0] {
-            w.later(cut + end, move |w| w.crash(node));
-        }
-        w.later(cut + 9.0, move |w| w.join_store(node));
-        w.later(cut + 30.0, move |w| w.crash(node));
-        w.run_until(140.0);
-        for (uid, j) in &w.jobs {
-            assert!(j.told_done || j.standing, "seed {seed}: {uid} is not over: {j:?}");
-        }
-        assert_eq!(running(&w, "run-009"), 20, "seed {seed}");
+        late_writes(seed);
+    }
+}
+
+/// One world with late writes, to its end.
+pub fn late_writes(seed: u64) {
+    let mut w = fleet(7000 + seed, 30);
+    w.submit("run-009", service(20));
+    for n in 0..8 {
+        let job: Job = array(w.rng.random_range(5..30), 4.0);
+        let at = w.rng.random_range(1.0..40.0);
+        let uid = format!("run-{n}{}1", seed % 5);
+        w.later(at, move |w| w.submit(&uid, job));
+    }
+    let node = w.rng.random_range(0..7);
+    let cut = w.rng.random_range(8.0..12.0);
+    w.later(cut, move |w| w.nodes[node].store_cut = true);
+    for end in [0.3, 2.0] {
+        w.later(cut + end, move |w| w.crash(node));
+    }
+    w.later(cut + 9.0, move |w| w.join_store(node));
+    w.later(cut + 30.0, move |w| w.crash(node));
+    w.run_until(140.0);
+    for (uid, j) in &w.jobs {
+        assert!(j.told_done || j.standing, "seed {seed}: {uid} is not over: {j:?}");
     }
+    assert_eq!(running(&w, "run-009"), 20, "seed {seed}");
 }
--- a/tests/upkeep/mod.rs
+++ b/tests/upkeep/mod.rs
@@ -96,24 +96,29 @@
 #[test]
 fn failures_use_up_the_budget_first() {
     for seed in 0..seeds(4) {
-        let mut w = fleet(8200 + seed, AWAY as u32);
-        for n in 0..6 {
-            let at = 40.0 + 20.0 * f64::from(n) + w.rng.random_range(0.0..10.0);
-            let which = w.rng.random_range(0..15);
-            let comes_back = n % 2 == 0;
-            w.later(at, move |w| {
-                let Some(name) = w.workers.keys().nth(which).cloned() else { return };
-                w.cut_worker(&name, true);
-                if comes_back {
-                    w.later(at + 9.0, move |w| w.cut_worker(&name, false));
-                }
-            });
-        }
-        w.later(60.0, |w| w.submit("run-001", array(40, 4.0)));
-        watch(&mut w, 500.0, AWAY + 8);
-        assert_eq!((old(&w), running(&w, "run-009")), (0, REPLICAS), "seed {seed}");
-        assert!(w.jobs["run-001"].told_done, "seed {seed}");
+        failures_and_budget(seed);
+    }
+}
+
+/// One world of this kind, to its end.
+pub fn failures_and_budget(seed: u64) {
+    let mut w = fleet(8200 + seed, AWAY as u32);
+    for n in 0..6 {
+        let at = 40.0 + 20.0 * f64::from(n) + w.rng.random_range(0.0..10.0);
+        let which = w.rng.random_range(0..15);
+        let comes_back = n % 2 == 0;
+        w.later(at, move |w| {
+            let Some(name) = w.workers.keys().nth(which).cloned() else { return };
+            w.cut_worker(&name, true);
+            if comes_back {
+                w.later(at + 9.0, move |w| w.cut_worker(&name, false));
+            }
+        });
     }
+    w.later(60.0, |w| w.submit("run-001", array(40, 4.0)));
+    watch(&mut w, 500.0, AWAY + 8);
+    assert_eq!((old(&w), running(&w, "run-009")), (0, REPLICAS), "seed {seed}");
+    assert!(w.jobs["run-001"].told_done, "seed {seed}");
 }
 
 /// The campaign is taken out of the file in the middle: machines that are half empty
@@ -177,16 +182,21 @@
 #[test]
 fn rules_hold_while_machines_are_replaced() {
     for seed in 0..seeds(6) {
-        let size = Size { controllers: 5, machines: 24, write_rps: 40.0, zones: &["a", "b"], ..SMALL };
-        let mut w = World::sized(8500 + seed, size);
-        w.cloud.most = 36;
-        w.restart_between = Some((0.01, 1.0));
-        w.frail_until = s(60.0);
-        let all = Campaign { first: 2, wave: 6, ..Campaign::default() };
-        let mut o = Operator::default();
-        o.campaign.insert("all".into(), all);
-        o.budget.insert("capped".into(), Budget { away: 1, share: 0.1 });
-        w.operate(o);
-        random_failures(w, 24, 12, 300.0);
+        failures_during_replacement(seed);
     }
 }
+
+/// One world of this kind, to its end.
+pub fn failures_during_replacement(seed: u64) {
+    let size = Size { controllers: 5, machines: 24, write_rps: 40.0, zones: &["a", "b"], ..SMALL };
+    let mut w = World::sized(8500 + seed, size);
+    w.cloud.most = 36;
+    w.restart_between = Some((0.01, 1.0));
+    w.frail_until = s(60.0);
+    let all = Campaign { first: 2, wave: 6, ..Campaign::default() };
+    let mut o = Operator::default();
+    o.campaign.insert("all".into(), all);
+    o.budget.insert("capped".into(), Budget { away: 1, share: 0.1 });
+    w.operate(o);
+    random_failures(w, 24, 12, 300.0);
+}
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -3,6 +3,7 @@
 //! Every step checks the rules; a broken one panics with the seed.
 
 pub mod cloud;
+pub mod digest;
 mod room;
 pub mod store;
 mod users;
@@ -10,8 +11,10 @@
 
 use ciborium::Value;
 use cloud::Cloud;
+use digest::{Origin, Recorder, Request};
 use finchquay::controller::Controller;
 use finchquay::effects::{Action, Event, NoAnswer, Reply, Target};
+use finchquay::protocol::peer;
 use finchquay::settings::{Operator, Settings};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -143,6 +146,8 @@
     pub now: Duration,
     pub rng: StdRng,
     pub seed: u64,
+    /// What the controllers emit, where it is compared with what they emitted before.
+    recorder: Recorder,
     queue: BTreeMap<(Duration, u64), Ev>,
     order: u64,
     pub nodes: Vec<Node>,
@@ -236,6 +241,15 @@
     pub lost_alive: usize,
 }
 
+/// Whom a controller calls, by a name that does not depend on the code's.
+fn target_name(target: &Target) -> String {
+    match target {
+        Target::State => "state".to_string(),
+        Target::Cloud => "cloud".to_string(),
+        Target::Worker(address) => address.to_string(),
+    }
+}
+
 pub fn s(x: f64) -> Duration {
     Duration::from_secs_f64(x)
 }
@@ -307,6 +321,7 @@
             now: Duration::ZERO,
             rng: StdRng::seed_from_u64(seed),
             seed,
+            recorder: Recorder::new(seed),
             queue: BTreeMap::new(),
             order: 0,
             nodes: Vec::new(),
@@ -585,6 +600,7 @@
         if let Some(c) = self.nodes[i].logic.as_mut() {
             c.handle(now, event, &mut actions);
         }
+        self.record(i, &actions);
         for a in actions {
             match a {
                 Action::Respond { conn, status, body, .. } => {
@@ -621,6 +637,25 @@
         }
     }
 
+    /// Notes what a controller emitted, as it goes over the wire.
+    fn record(&mut self, node: usize, actions: &[Action]) {
+        let origin = Origin { at: self.now, node };
+        for action in actions {
+            match action {
+                Action::Respond { conn, status, body, retry_after } => {
+                    self.recorder.respond(origin, *conn, *status, *retry_after, body);
+                }
+                Action::Call { target, method, path, body, timeout, .. } => {
+                    let request = Request { method, path, body: body.as_deref(), timeout: *timeout };
+                    self.recorder.call(origin, &target_name(target), request);
+                }
+                Action::Send { member, frame } => {
+                    self.recorder.send(origin, member, || peer::encode(frame));
+                }
+            }
+        }
+    }
+
     /// Things that happen by themselves: leases, watches, workers, boots.
     fn nature(&mut self) {
         self.store.expire(self.now);
@@ -938,6 +973,7 @@
         let mut actions = Vec::new();
         let (method, path) = ("GET".to_string(), "/healthz".to_string());
         c.handle(now, Event::Request { conn: 0, method, path, body: Vec::new() }, &mut actions);
+        self.record(i, &actions);
         actions.iter().any(|a| matches!(a, Action::Respond { conn: 0, status: 200, .. }))
     }
 
