--- a/src/controller/links.rs
+++ b/src/controller/links.rs
@@ -4,6 +4,7 @@
 
 use super::*;
 use crate::links::account::{Account, Group, Sight, of_owner};
+use crate::links::fit::{self, Turns};
 use crate::protocol::peer::{FRAME_LIMIT, Heard, Owed};
 
 /// So many beats tell of the images of all machines.
@@ -66,12 +67,21 @@
                 beat.note_images(name, images.iter());
             }
         }
+        let turns = Turns { beats: self.beats, held: self.beats / BEATS_PER_ROUND };
+        fit::fit(&mut beat, turns, |machine| self.told_first(machine));
         for other in &self.set.others {
             let frame = Frame::Beat(Box::new(beat.clone()));
             self.out.push(Action::Send { member: other.member.clone(), frame });
         }
     }
 
+    /// Whether a beat that leaves hearing out must have this machine's: another controller
+    /// owns or hears it, or it has no task by which the others know that it is up.
+    fn told_first(&self, machine: &str) -> bool {
+        let ours = self.owner_of(machine).is_some_and(|owner| *owner == self.me);
+        !ours || self.links.knows(machine) || !self.view.loads.contains_key(machine)
+    }
+
     /// What others must know of that they have not seen, as far as they said.
     fn owed(&self) -> Option<Owed> {
         if !self.ses.following() || !self.view.has_all_learned() {
--- a/src/links/mod.rs
+++ b/src/links/mod.rs
@@ -10,5 +10,6 @@
 
 pub mod account;
 pub mod arrivals;
+pub mod fit;
 pub mod hearing;
 pub mod table;
