--- a/src/controller/fleet.rs
+++ b/src/controller/fleet.rs
@@ -29,6 +29,8 @@
 const SURE_LAGS: f64 = 2.5;
 /// A machine type takes no more than this of a record.
 const CATALOG_BYTES: usize = 512;
+/// The cloud's answer above its rate limit.
+const TOO_MANY_REQUESTS: u16 = 429;
 /// The fleet is looked at this often while the machine list grows old.
 const FLEET_LAG_SHARE: f64 = 0.1;
 
@@ -74,8 +76,8 @@
         if !self.list_busy && now >= self.list_next && self.may_ask(Retry::List) {
             self.list_busy = true;
             self.cloud.charge(self.now, 1.0);
-            self.list_new.clear();
-            self.list_page("");
+            let after = self.list_goes_on();
+            self.list_page(&after);
         }
         self.store_catalog();
         if self.list_at.is_none() || self.types.is_empty() {
@@ -98,6 +100,16 @@
         self.retry.may(purpose, self.now) && self.cloud.has(self.now, 1.0)
     }
 
+    /// After which machine the list is read: from the beginning, or on from where the
+    /// cloud's rate limit cut it short. A list of more pages than the cloud takes in one
+    /// burst would otherwise never come to its end.
+    fn list_goes_on(&mut self) -> String {
+        if self.list_stalled.is_none() {
+            self.list_new.clear();
+        }
+        self.list_new.keys().next_back().cloned().unwrap_or_default()
+    }
+
     fn list_page(&mut self, after: &str) {
         let timeout = self.report_s(2.0);
         self.call(Target::Cloud, "GET", list_path(after), None, timeout, Purpose::List);
@@ -121,8 +133,16 @@
                 let lag = self.set.settings.cloud.list_lag_s;
                 self.list_busy = false;
                 self.list_next = self.now + self.secs(lag / 2.0);
-                let Ok(r) = result else { return };
+                let limited = result.as_ref().is_ok_and(|r| r.status == TOO_MANY_REQUESTS);
+                if limited && !self.list_new.is_empty() {
+                    self.list_stalled.get_or_insert(self.now);
+                    self.list_next = self.now; // as soon as the retry policy allows
+                    return;
+                }
+                let stalled = self.list_stalled;
+                let Ok(r) = result.inspect_err(|_| self.list_stalled = None) else { return };
                 if r.status != 200 {
+                    self.list_stalled = None;
                     return;
                 }
                 let Ok(page) = decode::<Page>(&r.body) else { return };
@@ -139,7 +159,8 @@
                 }
                 self.list = std::mem::take(&mut self.list_new);
                 self.list_at = Some(self.now);
-                self.note_unlisted();
+                self.list_stalled = None;
+                self.note_unlisted(stalled.unwrap_or(self.now));
                 // A later list may be an older one, so what was rented stays on
                 // our own books until it reports or is given up.
                 let mut rented = std::mem::take(&mut self.rented);
@@ -185,8 +206,9 @@
     /// Machines that were listed and are no more are gone: once listed, they stay
     /// so. A list may be older than the one before it, by twice the lag at most,
     /// so a machine has to have been listed for longer than that. Their owners
-    /// are told, and ask the cloud themselves before anything rests on it.
-    fn note_unlisted(&mut self) {
+    /// are told, and ask the cloud themselves before anything rests on it. `read_at`:
+    /// when the first pages of the list had been read.
+    fn note_unlisted(&mut self, read_at: Instant) {
         let now = self.now;
         let sure = self.secs(self.set.settings.cloud.list_lag_s * SURE_LAGS);
         for name in self.list.keys() {
@@ -196,7 +218,7 @@
         self.listed_since.retain(|name, _| list.contains_key(name) || hosts.contains_key(name));
         let gone = |name: &String| match list.get(name) {
             Some(l) => l.phase == Phase::Failed,
-            None => self.listed_since.get(name).is_some_and(|t| now.saturating_sub(*t) > sure),
+            None => self.listed_since.get(name).is_some_and(|t| read_at.saturating_sub(*t) > sure),
         };
         let unlisted: BTreeSet<String> = hosts.keys().filter(|name| gone(name)).cloned().collect();
         if !unlisted.is_subset(&self.unlisted) {
--- a/src/controller/lead.rs
+++ b/src/controller/lead.rs
@@ -41,6 +41,7 @@
             self.epoch = 0;
             self.charter = 0;
             self.list_at = None;
+            self.list_stalled = None;
             tracing::info!(term, member = %self.me, "took the lead");
         }
     }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -305,6 +305,9 @@
     /// Recorded machines that the cloud lists no more, or as failed.
     unlisted: BTreeSet<String>,
     list_new: BTreeMap<String, Listed>,
+    /// When the cloud first refused a later page of the list that is being read, for its
+    /// rate: the pages before it are kept, and the list goes on there.
+    list_stalled: Option<Instant>,
     list_at: Option<Instant>,
     list_next: Instant,
     list_busy: bool,
@@ -438,6 +441,7 @@
             listed_since: HashMap::new(),
             unlisted: BTreeSet::new(),
             list_new: BTreeMap::new(),
+            list_stalled: None,
             list_at: None,
             list_next: Duration::ZERO,
             list_busy: false,
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -2,6 +2,7 @@
 //! the rules at every step; the tests say what must still get done.
 
 mod known;
+mod limits;
 mod links;
 mod log;
 mod meetings;
--- a/tests/world/cloud.rs
+++ b/tests/world/cloud.rs
@@ -27,6 +27,33 @@
     pub up_after_s: Option<f64>,
     /// Machines that were returned: when, and which.
     pub returned: Vec<(Duration, String)>,
+    /// So many machines to a page of the list, and what the rate limit leaves; none: the
+    /// whole list is one page, and there is no limit.
+    pub paged: Option<Paged>,
+}
+
+/// The list in pages, under the rate limit of the cloud.
+#[derive(Debug, Clone, Copy)]
+pub struct Paged {
+    pub page: usize,
+    pub rps: f64,
+    level: f64,
+    at: Duration,
+}
+
+impl Paged {
+    /// Bursts of two seconds' worth pass.
+    pub fn new(page: usize, rps: f64) -> Paged {
+        Paged { page, rps, level: 2.0 * rps, at: Duration::ZERO }
+    }
+
+    fn admits(&mut self, now: Duration) -> bool {
+        let gained = now.saturating_sub(self.at).as_secs_f64() * self.rps;
+        (self.level, self.at) = ((self.level + gained).min(2.0 * self.rps), now);
+        let admitted = self.level >= 1.0;
+        self.level -= if admitted { 1.0 } else { 0.0 };
+        admitted
+    }
 }
 
 const BOOT_S: f64 = 10.0;
@@ -56,6 +83,9 @@
         if self.down {
             return (503, bytes(&cbor!({"error" => "trouble"}).unwrap()));
         }
+        if self.paged.as_mut().is_some_and(|p| !p.admits(now)) {
+            return (429, bytes(&cbor!({}).unwrap()));
+        }
         match (method, path.split('?').next().unwrap()) {
             ("GET", "/catalog") => {
                 let t = cbor!({"label" => "std", "cores" => 8, "gpus" => 4, "mem_gb" => 32, "local_gb" => 60,
@@ -89,10 +119,15 @@
             }
             _ => {
                 let seen = now.saturating_sub(s(LAG_S));
+                let after = path.split(['?', '&']).find_map(|part| part.strip_prefix("after=")).unwrap_or("");
+                let page = self.paged.map_or(usize::MAX, |p| p.page);
+                let listed = |(name, m): &(&String, &Machine)| m.since <= seen && name.as_str() > after;
+                let truncated = self.machines.iter().filter(listed).count() > page;
                 let rows: Vec<Value> = self
                     .machines
                     .iter()
-                    .filter(|(_, m)| m.since <= seen)
+                    .filter(listed)
+                    .take(page)
                     .map(|(n, m)| {
                         let status = if m.up { "running" } else { "booting" };
                         let held = (seen - m.since).as_secs_f64();
@@ -101,7 +136,7 @@
                         .unwrap()
                     })
                     .collect();
-                (200, bytes(&cbor!({"perches" => rows, "truncated" => false}).unwrap()))
+                (200, bytes(&cbor!({"perches" => rows, "truncated" => truncated}).unwrap()))
             }
         }
     }
