--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -25,6 +25,9 @@
 const RESPONSE_SHARE: usize = 8;
 /// Parallel connections to the store or the cloud.
 const CALLS_PER_TARGET: usize = 8;
+/// Of the sockets that the machine allows, 1 part in this many is left for listeners and
+/// for what is accepted before it is counted.
+const SPARE_SOCKETS: usize = 16;
 
 enum Role {
     /// A user, worker or load balancer; `busy` while a request is answered.
@@ -75,6 +78,8 @@
     cloud: SocketAddr,
     max_server: usize,
     servers: usize,
+    /// Connections of all kinds; above it idle ones are closed for new ones.
+    max_conns: usize,
     /// Peer connections that were accepted; each peer needs one, some more
     /// while old ones die.
     peers_in: usize,
@@ -140,39 +145,11 @@
     poll.registry().register(&mut users, USERS, Interest::READABLE)?;
     poll.registry().register(&mut peers, PEERS, Interest::READABLE)?;
     let workers = &settings.settings.workers;
-    let limits = &settings.settings.machine_limits;
     let tick = Duration::from_secs_f64((workers.report_s / 100.0).clamp(0.01, 0.05));
     let every = Duration::from_secs_f64(workers.report_s);
     let mut watched = operator.map(|file| Watched::new(file, settings.settings.teams.clone(), every));
     tracing::info!(member = %settings.member, others = settings.others.len(), "controller starts");
-    let mut net = Net {
-        poll,
-        start: std::time::Instant::now(),
-        conns: HashMap::new(),
-        next_token: FIRST_CONN,
-        idle: HashMap::new(),
-        open: HashMap::new(),
-        queue: VecDeque::new(),
-        peers: settings
-            .others
-            .iter()
-            .map(|o| {
-                let link = PeerLink { addr: o.peer_addr, conn: None, retry_at: Duration::ZERO };
-                (o.member.clone(), link)
-            })
-            .collect(),
-        member: settings.member.clone(),
-        state: settings.outside.state,
-        cloud: settings.outside.cloud,
-        max_server: limits.max_connections * 3 / 4,
-        servers: 0,
-        peers_in: 0,
-        max_peers_in: limits.max_connections / 16,
-        response_limit: (limits.ram_mb * 1048576.0) as usize / RESPONSE_SHARE,
-        slow: Duration::from_secs_f64(workers.report_s * 2.0),
-        patience: Duration::from_secs_f64(workers.lease_s * 2.0),
-        events: VecDeque::new(),
-    };
+    let mut net = Net::new(&settings, poll);
     let wall = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
     let mut controller = Controller::new(settings, rand::random(), wall);
     let mut ready = Events::with_capacity(256);
@@ -211,6 +188,41 @@
 }
 
 impl Net {
+    /// No connections yet; `poll` is where they are registered.
+    fn new(settings: &Settings, poll: Poll) -> Net {
+        let workers = &settings.settings.workers;
+        let limits = &settings.settings.machine_limits;
+        Net {
+            poll,
+            start: std::time::Instant::now(),
+            conns: HashMap::new(),
+            next_token: FIRST_CONN,
+            idle: HashMap::new(),
+            open: HashMap::new(),
+            queue: VecDeque::new(),
+            peers: settings
+                .others
+                .iter()
+                .map(|o| {
+                    let link = PeerLink { addr: o.peer_addr, conn: None, retry_at: Duration::ZERO };
+                    (o.member.clone(), link)
+                })
+                .collect(),
+            member: settings.member.clone(),
+            state: settings.outside.state,
+            cloud: settings.outside.cloud,
+            max_server: limits.max_connections * 3 / 4,
+            servers: 0,
+            max_conns: limits.max_connections - limits.max_connections / SPARE_SOCKETS,
+            peers_in: 0,
+            max_peers_in: limits.max_connections / 16,
+            response_limit: (limits.ram_mb * 1048576.0) as usize / RESPONSE_SHARE,
+            slow: Duration::from_secs_f64(workers.report_s * 2.0),
+            patience: Duration::from_secs_f64(workers.lease_s * 2.0),
+            events: VecDeque::new(),
+        }
+    }
+
     fn now(&self) -> Instant {
         self.start.elapsed()
     }
@@ -238,6 +250,7 @@
                 if self.servers >= self.max_server && !self.shed() {
                     continue;
                 }
+                self.make_room();
                 self.servers += 1;
                 Role::Server { busy: false, close: false }
             } else {
@@ -275,6 +288,45 @@
         }
     }
 
+    /// Keeps one socket free for a new connection while the machine's limit is near: an
+    /// idle connection to a worker goes, or else an idle one of a client. A large block
+    /// has more workers than there are sockets, and each that was called would keep one.
+    /// False where all are in use.
+    fn make_room(&mut self) -> bool {
+        self.conns.len() < self.max_conns || self.shed_idle_call() || self.shed()
+    }
+
+    /// Closes the idle connection to a worker that is nearest its end.
+    fn shed_idle_call(&mut self) -> bool {
+        let idle_worker = |c: &Conn| match c.role {
+            Role::Client { target: Target::Worker(_), call: None } => Some(c.deadline),
+            _ => None,
+        };
+        let idle = self.conns.iter().filter_map(|(token, c)| Some((idle_worker(c)?, *token)));
+        let Some((_, token)) = idle.min() else { return false };
+        let Some(mut conn) = self.conns.remove(&token) else { return false };
+        let _ = self.poll.registry().deregister(&mut conn.stream);
+        if let Role::Client { target, .. } = conn.role {
+            self.forget_call_conn(target, token);
+        }
+        true
+    }
+
+    /// A connection of ours to this target is gone.
+    fn forget_call_conn(&mut self, target: Target, token: usize) {
+        if let Some(list) = self.idle.get_mut(&target) {
+            list.retain(|t| *t != token);
+        }
+        let left = self.open.get_mut(&target).map(|n| {
+            *n -= 1;
+            *n
+        });
+        if left == Some(0) {
+            self.open.remove(&target);
+            self.idle.remove(&target);
+        }
+    }
+
     /// Closes a connection; a call that was waiting on it gets no answer.
     fn close(&mut self, token: usize) {
         let Some(mut conn) = self.conns.remove(&token) else {
@@ -284,17 +336,7 @@
         match conn.role {
             Role::Server { .. } => self.servers -= 1,
             Role::Client { target, call } => {
-                if let Some(list) = self.idle.get_mut(&target) {
-                    list.retain(|t| *t != token);
-                }
-                let left = self.open.get_mut(&target).map(|n| {
-                    *n -= 1;
-                    *n
-                });
-                if left == Some(0) {
-                    self.open.remove(&target);
-                    self.idle.remove(&target);
-                }
+                self.forget_call_conn(target, token);
                 if let Some(id) = call {
                     self.events.push_back(Event::Answer { id, result: Err(NoAnswer) });
                 }
@@ -584,6 +626,7 @@
     /// Puts queued calls on idle or new connections, within the caps.
     fn pump_queue(&mut self) {
         let mut waiting = VecDeque::new();
+        let mut full = false;
         while let Some(q) = self.queue.pop_front() {
             let idle = self.idle.get_mut(&q.target).and_then(Vec::pop);
             let open = self.open.get(&q.target).copied().unwrap_or(0);
@@ -594,6 +637,11 @@
                     continue;
                 }
                 None => {
+                    full = full || !self.make_room();
+                    if full && matches!(q.target, Target::Worker(_)) {
+                        waiting.push_back(q);
+                        continue;
+                    }
                     let role = Role::Client { target: q.target, call: None };
                     let dialled =
                         TcpStream::connect(self.addr(q.target)).ok().and_then(|s| self.add(s, role, false, q.deadline));
@@ -623,28 +671,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    /// A typing error in the operator's file must not end the campaign that it states,
-    /// nor the process.
-    #[test]
-    fn a_bad_file_leaves_the_old_one_in_force() {
-        let dir = tempfile::tempdir().unwrap();
-        let file = dir.path().join("o.hcl");
-        std::fs::write(&file, "campaign \"a\" {}").unwrap();
-        let every = Duration::from_secs(2);
-        let mut w = Watched::new(file.clone(), Vec::new(), every);
-        let at = |n: u64| Duration::from_secs(2 * n);
-        assert!(w.look(at(1)).is_none(), "nothing has changed");
-        std::fs::write(&file, "campaign \"a\" { wawe = 3 }").unwrap();
-        assert!(w.look(at(2)).is_none(), "refused");
-        std::fs::write(&file, "budget \"nobody\" {}").unwrap();
-        assert!(w.look(at(3)).is_none(), "no such team");
-        std::fs::write(&file, "campaign \"b\" { wave = 3 }").unwrap();
-        assert!(w.look(at(3)).is_none(), "not looked at yet");
-        assert_eq!(w.look(at(4)).unwrap().campaign["b"].wave, 3);
-        std::fs::remove_file(&file).unwrap();
-        assert!(w.look(at(5)).is_none());
-    }
-}
+mod tests;
--- /dev/null
+++ b/src/transport/tests.rs
@@ -0,0 +1,165 @@
+//! Watching the operator's file, and connections within the machine's limit.
+
+use super::*;
+use std::path::Path;
+
+/// A typing error in the operator's file must not end the campaign that it states,
+/// nor the process.
+#[test]
+fn a_bad_file_leaves_the_old_one_in_force() {
+    let dir = tempfile::tempdir().unwrap();
+    let file = dir.path().join("o.hcl");
+    std::fs::write(&file, "campaign \"a\" {}").unwrap();
+    let every = Duration::from_secs(2);
+    let mut w = Watched::new(file.clone(), Vec::new(), every);
+    let at = |n: u64| Duration::from_secs(2 * n);
+    assert!(w.look(at(1)).is_none(), "nothing has changed");
+    std::fs::write(&file, "campaign \"a\" { wawe = 3 }").unwrap();
+    assert!(w.look(at(2)).is_none(), "refused");
+    std::fs::write(&file, "budget \"nobody\" {}").unwrap();
+    assert!(w.look(at(3)).is_none(), "no such team");
+    std::fs::write(&file, "campaign \"b\" { wave = 3 }").unwrap();
+    assert!(w.look(at(3)).is_none(), "not looked at yet");
+    assert_eq!(w.look(at(4)).unwrap().campaign["b"].wave, 3);
+    std::fs::remove_file(&file).unwrap();
+    assert!(w.look(at(5)).is_none());
+}
+
+/// Sockets that the test's machine allows; settings take no fewer.
+const SOCKETS: usize = 16;
+
+fn net() -> Net {
+    let text = format!(
+        "member = \"perch-0\"\nzone = \"z\"\npublic_addr = \"127.0.0.1:0\"\npeer_bind = \"127.0.0.1:0\"\n\
+         [outside]\ncloud = \"127.0.0.1:9\"\nstate = \"127.0.0.1:9\"\n[settings]\nzones = [\"z\"]\n\
+         [settings.workers]\nreport_s = 2.0\nlease_s = 18.0\ngang_wait_s = 40.0\ngang_peer_s = 4.0\ncancel_s = 48.0\n\
+         [settings.state]\nrps = 200.0\nwrite_rps = 80.0\nvalue_kb = 8.0\ntxn_ops = 32\n\
+         [settings.cloud]\nrps = 3.0\nlist_lag_s = 8.0\n\
+         [settings.machine_limits]\ncore_share = 0.08\nram_mb = 56.0\nmax_connections = {SOCKETS}\n"
+    );
+    let settings = Settings::parse(&text, Path::new("settings.toml")).unwrap();
+    Net::new(&settings, Poll::new().unwrap())
+}
+
+/// Handles what the sockets have to say, until `done` or for five seconds at most.
+fn turn(net: &mut Net, mut done: impl FnMut(&mut Net) -> bool) {
+    let mut ready = Events::with_capacity(256);
+    let started = std::time::Instant::now();
+    while !done(net) {
+        assert!(started.elapsed() < Duration::from_secs(5), "nothing came");
+        net.poll.poll(&mut ready, Some(Duration::from_millis(10))).unwrap();
+        let tokens: Vec<usize> = ready.iter().map(|e| e.token().0).collect();
+        tokens.into_iter().for_each(|token| net.drive(token));
+    }
+}
+
+fn call(net: &mut Net, id: CallId, worker: &std::net::TcpListener) {
+    let target = Target::Worker(worker.local_addr().unwrap());
+    let timeout = Duration::from_secs(4);
+    net.perform(Action::Call { id, target, method: "GET", path: "/show".into(), body: None, timeout });
+}
+
+/// The worker's side: takes a connection and answers the request on it.
+fn answer(net: &mut Net, worker: &std::net::TcpListener) -> std::net::TcpStream {
+    turn(net, |net| net.conns.values().all(|c| c.connected && c.write.is_empty()));
+    worker.set_nonblocking(true).unwrap();
+    let (mut stream, _) = worker.accept().expect("nobody has dialled");
+    stream.set_nonblocking(false).unwrap();
+    stream.set_read_timeout(Some(Duration::from_secs(1))).unwrap();
+    let mut request = [0; 1024];
+    let _ = stream.read(&mut request).unwrap();
+    stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").unwrap();
+    stream
+}
+
+fn workers(count: usize) -> Vec<std::net::TcpListener> {
+    (0..count).map(|_| std::net::TcpListener::bind("127.0.0.1:0").unwrap()).collect()
+}
+
+fn answered(net: &mut Net) -> Vec<CallId> {
+    let ok = |e: Event| match e {
+        Event::Answer { id, result } => result.is_ok().then_some(id),
+        _ => None,
+    };
+    std::mem::take(&mut net.events).into_iter().filter_map(ok).collect()
+}
+
+/// Each worker that was called kept a connection for two leases: a controller with 1,333
+/// machines had more of them than sockets, and refused users and the state service.
+#[test]
+fn idle_connections_to_workers_stay_within_the_machines_limit() {
+    let mut net = net();
+    let workers = workers(4 * SOCKETS);
+    let mut kept = Vec::new();
+    for (id, worker) in workers.iter().enumerate() {
+        call(&mut net, id as CallId, worker);
+        kept.push(answer(&mut net, worker));
+        turn(&mut net, |net| !net.events.is_empty());
+        assert_eq!(answered(&mut net), [id as CallId], "the oldest idle one makes room, no call is lost");
+        assert!(net.conns.len() < SOCKETS, "{} connections", net.conns.len());
+    }
+    // One that was closed for others is dialled again.
+    call(&mut net, 1000, &workers[0]);
+    kept.push(answer(&mut net, &workers[0]));
+    turn(&mut net, |net| !net.events.is_empty());
+    assert_eq!(answered(&mut net), [1000]);
+}
+
+/// After a start a controller calls its whole block at once. Calls beyond the limit wait
+/// for those before them, and leave sockets for the state service and for users.
+#[test]
+fn more_calls_at_once_than_sockets_wait_their_turn() {
+    let mut net = net();
+    let workers = workers(3 * SOCKETS);
+    for (id, worker) in workers.iter().enumerate() {
+        call(&mut net, id as CallId, worker);
+    }
+    assert_eq!(net.conns.len(), net.max_conns);
+    assert_eq!(net.queue.len(), workers.len() - net.max_conns);
+    net.state = workers[0].local_addr().unwrap();
+    let path = "/store/fq/none".into();
+    let timeout = Duration::from_secs(4);
+    net.perform(Action::Call { id: 1000, target: Target::State, method: "GET", path, body: None, timeout });
+    assert_eq!(net.conns.len(), net.max_conns + 1, "the state service does not wait for workers");
+    let mut kept = Vec::new();
+    let mut done = Vec::new();
+    for worker in &workers {
+        kept.push(answer(&mut net, worker));
+        turn(&mut net, |net| !net.events.is_empty());
+        done.extend(answered(&mut net));
+    }
+    kept.push(answer(&mut net, &workers[0]));
+    turn(&mut net, |net| !net.events.is_empty());
+    done.extend(answered(&mut net));
+    done.sort_unstable();
+    let all: Vec<CallId> = (0..workers.len() as CallId).chain([1000]).collect();
+    assert_eq!(done, all);
+}
+
+/// Four thousand workers over three controllers of 800 sockets: those that reported
+/// longest ago make room, and a worker whose connection went dials again.
+#[test]
+fn more_workers_than_sockets_take_turns() {
+    let mut net = net();
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
+    let addr = listener.local_addr().unwrap();
+    drop(listener);
+    let mut users = TcpListener::bind(addr).unwrap();
+    net.poll.registry().register(&mut users, USERS, Interest::READABLE).unwrap();
+    let mut kept = Vec::new();
+    for n in 0..4 * SOCKETS {
+        let mut worker = std::net::TcpStream::connect(addr).unwrap();
+        worker.write_all(b"GET /healthz HTTP/1.1\r\n\r\n").unwrap();
+        turn(&mut net, |net| {
+            net.accept(&users, true);
+            !net.events.is_empty()
+        });
+        let Some(Event::Request { conn, .. }) = net.events.pop_front() else { panic!("no request of {n}") };
+        net.perform(Action::Respond { conn, status: 200, body: Vec::new(), retry_after: None });
+        let mut answer = [0; 12];
+        worker.read_exact(&mut answer).unwrap();
+        assert_eq!(&answer, b"HTTP/1.1 200", "worker {n}");
+        assert!(net.servers <= net.max_server && net.conns.len() <= net.max_conns);
+        kept.push(worker);
+    }
+}
