--- a/src/controller/blocks.rs
+++ b/src/controller/blocks.rs
@@ -4,6 +4,8 @@
 use super::*;
 use crate::bookkeeping::Job;
 use crate::coordination::blocks::{self, wanted_moves};
+use crate::coordination::log::fitting;
+use crate::protocol::encode;
 use crate::protocol::store::{Cond, Op};
 use crate::protocol::user::Form;
 use records::{BlockRec, PackRec};
@@ -65,6 +67,8 @@
             return;
         }
         self.level_next = self.now + self.report_s(1.0);
+        let sizes = moves.iter().map(|m| self.view.packs.get(&m.pack).map_or(0, |p| encode(&p.rec).len()));
+        moves.truncate(fitting(sizes));
         let mut txn = Txn { conds: vec![self.lead_cond()], ops: Vec::new() };
         for m in moves {
             let key = records::pack_key(&m.pack);
