--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -3,6 +3,7 @@
 
 mod behaviour;
 mod known;
+mod limits;
 mod links;
 mod log;
 mod meetings;
