--- a/src/links/fit/tests.rs
+++ b/src/connectivity/fit/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
-use crate::links::table::Links;
-use crate::protocol::peer::{Echo, Frame, Heard, Owed, encode, take};
+use crate::connectivity::table::Links;
+use crate::protocol::peer::{Acknowledgement, Frame, Heard, Revocations, encode, take};
 use std::time::Duration;
 
 /// Machines of the fleet, and images that a machine holds.
@@ -20,36 +20,38 @@
 
 /// All that a controller can have to tell at once: it hears the whole fleet, rents it, the
 /// cloud lists none of it, and each machine has answered its call.
-fn largest(machines: usize, beats: usize) -> Beat {
-    let mut beat = Beat {
+fn largest(machines: usize, heartbeats: usize) -> PeerHeartbeat {
+    let mut heartbeat = PeerHeartbeat {
         incarnation: 9,
-        seq: beats as u64 + 1,
-        echo: ["perch-1", "perch-2"].map(|m| Echo { member: m.into(), incarnation: 1, seq: 1 }).into(),
+        seq: heartbeats as u64 + 1,
+        acknowledgements: ["perch-1", "perch-2"]
+            .map(|m| Acknowledgement { member: m.into(), incarnation: 1, seq: 1 })
+            .into(),
         revision: Some(1_000),
-        learned: 1_000,
-        owed: Some(Owed {
+        known_revision: 1_000,
+        revocations: Some(Revocations {
             since: 7,
-            withdrawn: (0..900).map(|n| (format!("run-{n:06}"), 8)).collect(),
+            cancelled: (0..900).map(|n| (format!("run-{n:06}"), 8)).collect(),
             granted: Vec::new(),
         }),
         members: (0..3).map(|n| (format!("perch-{n}"), 1)).collect(),
         heard: (0..machines)
             .map(|n| {
-                let ago_ms = (n * 7 + beats * 1_000) as u64 % LATEST_MS;
-                Heard { machine: name(n), ago_ms, shift: 1, tally: 7 }
+                let ago_ms = (n * 7 + heartbeats * 1_000) as u64 % LATEST_MS;
+                Heard { machine: name(n), ago_ms, agent_epoch: 1, heartbeat_seq: 7 }
             })
             .collect(),
-        asks: (0..ASKED).map(|n| (name(machines - 1 - n), "10.100.100.100:9000".into())).collect(),
+        silent: (0..ASKED).map(|n| (name(machines - 1 - n), "10.100.100.100:9000".into())).collect(),
         reached: (0..machines).map(|n| (name(n), n as u64)).collect(),
         unlisted: (0..machines).map(name).collect(),
         rented: (0..machines).map(name).collect(),
-        ..Beat::default()
+        ..PeerHeartbeat::default()
     };
     let images: Vec<String> = (0..200).map(|n| format!("registry/team/image-{n:06}")).collect();
-    for n in (0..machines).filter(|n| (n + beats).is_multiple_of(PARTS)) {
-        beat.note_images(&name(n), (0..IMAGES).map(|i| &images[(n + i) % images.len()]));
+    for n in (0..machines).filter(|n| (n + heartbeats).is_multiple_of(PARTS)) {
+        heartbeat.note_images(&name(n), (0..IMAGES).map(|i| &images[(n + i) % images.len()]));
     }
-    beat
+    heartbeat
 }
 
 fn stray(machine: &str) -> bool {
@@ -57,10 +59,10 @@
     number.is_some_and(|n| n.is_multiple_of(20) && n < 20 * STRAYS)
 }
 
-fn fitted(machines: usize, beats: usize) -> Beat {
-    let mut beat = largest(machines, beats);
-    fit(&mut beat, Turns { beats, held: beats / PARTS }, stray);
-    beat
+fn fitted(machines: usize, heartbeats: usize) -> PeerHeartbeat {
+    let mut heartbeat = largest(machines, heartbeats);
+    fit(&mut heartbeat, Turns { heartbeats, held: heartbeats / PARTS }, stray);
+    heartbeat
 }
 
 /// At 4,000 machines the lists took more than a frame; each beat made the others drop
@@ -68,11 +70,11 @@
 #[test]
 fn a_beat_of_a_large_fleet_fits_a_frame() {
     for machines in FLEETS {
-        let whole = encode(&Frame::Beat(Box::new(largest(machines, 0))));
+        let whole = encode(&Frame::PeerHeartbeat(Box::new(largest(machines, 0))));
         assert!(whole.len() > FRAME_LIMIT, "{machines} machines fit without any of this");
         assert_eq!(take(&mut whole.clone()), Err(()));
-        for beats in 0..8 {
-            let frame = Frame::Beat(Box::new(fitted(machines, beats)));
+        for heartbeats in 0..8 {
+            let frame = Frame::PeerHeartbeat(Box::new(fitted(machines, heartbeats)));
             let mut bytes = encode(&frame);
             assert!(bytes.len() <= FRAME_LIMIT + 4, "{} bytes", bytes.len());
             assert_eq!(take(&mut bytes), Ok(Some(frame)), "a receiver reads it whole");
@@ -86,8 +88,8 @@
     for machines in [ASKED, 100, 600] {
         let before = largest(machines, 3);
         let mut after = before.clone();
-        fit(&mut after, Turns { beats: 3, held: 0 }, stray);
-        assert_eq!(encode(&Frame::Beat(Box::new(after))), encode(&Frame::Beat(Box::new(before))));
+        fit(&mut after, Turns { heartbeats: 3, held: 0 }, stray);
+        assert_eq!(encode(&Frame::PeerHeartbeat(Box::new(after))), encode(&Frame::PeerHeartbeat(Box::new(before))));
     }
 }
 
@@ -96,8 +98,8 @@
 #[test]
 fn machines_that_others_hear_are_told_of_in_each_beat() {
     for machines in FLEETS {
-        for beats in 0..8 {
-            let told: BTreeSet<String> = fitted(machines, beats).heard.into_iter().map(|h| h.machine).collect();
+        for heartbeats in 0..8 {
+            let told: BTreeSet<String> = fitted(machines, heartbeats).heard.into_iter().map(|h| h.machine).collect();
             assert!((0..STRAYS).all(|n| told.contains(&name(n * 20))));
         }
     }
@@ -108,10 +110,10 @@
 #[test]
 fn what_is_left_out_was_heard_before_what_is_told() {
     for machines in FLEETS {
-        let beat = fitted(machines, 0);
-        let told: BTreeSet<&str> = beat.heard.iter().map(|h| h.machine.as_str()).collect();
+        let heartbeat = fitted(machines, 0);
+        let told: BTreeSet<&str> = heartbeat.heard.iter().map(|h| h.machine.as_str()).collect();
         let own = |h: &&Heard| !stray(&h.machine);
-        let oldest_told = beat.heard.iter().filter(own).map(|h| h.ago_ms).max().unwrap();
+        let oldest_told = heartbeat.heard.iter().filter(own).map(|h| h.ago_ms).max().unwrap();
         let whole = largest(machines, 0);
         let left_out = whole.heard.iter().filter(|h| !told.contains(h.machine.as_str()));
         assert!(left_out.map(|h| h.ago_ms).min().unwrap() >= oldest_told);
@@ -132,11 +134,11 @@
 #[test]
 fn lists_told_in_turns_come_round() {
     let mut told = [const { BTreeSet::new() }; 3];
-    for beats in 0..ROUND {
-        let beat = fitted(FLEETS[0], beats);
-        told[0].extend(beat.unlisted.iter().cloned());
-        told[1].extend(beat.rented.iter().cloned());
-        told[2].extend(beat.images().map(|(machine, images)| {
+    for heartbeats in 0..ROUND {
+        let heartbeat = fitted(FLEETS[0], heartbeats);
+        told[0].extend(heartbeat.unlisted.iter().cloned());
+        told[1].extend(heartbeat.rented.iter().cloned());
+        told[2].extend(heartbeat.images().map(|(machine, images)| {
             assert_eq!(images.len(), IMAGES);
             machine.to_string()
         }));
--- a/src/links/mod.rs
+++ b/src/connectivity/mod.rs
@@ -6,7 +6,7 @@
 //! Ways weighed and what each cut looks like: `docs/notes/links.md`.
 //!
 //! No rule rests on an account alone. What is decided here costs time or money
-//! when it is wrong, never a task in two places: that is fenced by warrants.
+//! when it is wrong, never a task in two places: that is fenced by fencing tokens.
 
 pub mod account;
 pub mod arrivals;
--- a/src/links/table.rs
+++ b/src/connectivity/table.rs
@@ -8,7 +8,7 @@
 
 use super::arrivals::Arrivals;
 use super::hearing::At;
-use crate::protocol::peer::{Beat, Echo, Owed};
+use crate::protocol::peer::{Acknowledgement, PeerHeartbeat, Revocations};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::time::Duration;
 
@@ -42,9 +42,9 @@
     /// Revision of its view; none while it has none.
     revision: Option<u64>,
     /// The newest change that it knew anything of.
-    learned: u64,
+    known_revision: u64,
     /// What of those after a revision matters to who has not seen them.
-    owed: Option<Owed>,
+    revocations: Option<Revocations>,
     /// Live controllers in its view, if that was fresh.
     members: Vec<(String, u64)>,
 }
@@ -74,26 +74,27 @@
     }
 
     /// The number of a beat that goes now, and the echoes that it carries.
-    pub fn send(&mut self, now: Duration) -> (u64, Vec<Echo>) {
+    pub fn send(&mut self, now: Duration) -> (u64, Vec<Acknowledgement>) {
         self.seq += 1;
         self.sent.push_back((self.seq, now));
         if self.sent.len() > REMEMBERED {
             self.sent.pop_front();
         }
-        let echo = |(m, p): (&String, &Peer)| Echo { member: m.clone(), incarnation: p.incarnation, seq: p.seq };
-        (self.seq, self.peers.iter().map(echo).collect())
+        let acknowledgements =
+            |(m, p): (&String, &Peer)| Acknowledgement { member: m.clone(), incarnation: p.incarnation, seq: p.seq };
+        (self.seq, self.peers.iter().map(acknowledgements).collect())
     }
 
     /// Takes a beat in.
-    pub fn receive(&mut self, member: &str, beat: &Beat, now: Duration) {
-        let mine = |e: &&Echo| e.member == self.me && e.incarnation == self.incarnation;
-        let echoed = beat.echo.iter().find(mine).map(|e| e.seq);
+    pub fn receive(&mut self, member: &str, heartbeat: &PeerHeartbeat, now: Duration) {
+        let mine = |e: &&Acknowledgement| e.member == self.me && e.incarnation == self.incarnation;
+        let echoed = heartbeat.acknowledgements.iter().find(mine).map(|e| e.seq);
         let sent_after = echoed.and_then(|n| self.sent.iter().find(|(seq, _)| *seq == n)).map(|(_, at)| *at);
         let every = self.every;
         let p = self.peers.entry(member.to_string()).or_insert_with(|| Peer {
             arrivals: Arrivals::new(every),
             at: now,
-            incarnation: beat.incarnation,
+            incarnation: heartbeat.incarnation,
             past: VecDeque::new(),
             seq: 0,
             stale: Duration::MAX,
@@ -102,15 +103,15 @@
             misses: BTreeSet::new(),
             sent_after: None,
             revision: None,
-            learned: 0,
-            owed: None,
+            known_revision: 0,
+            revocations: None,
             members: Vec::new(),
         });
-        if p.incarnation == beat.incarnation && beat.seq <= p.seq {
+        if p.incarnation == heartbeat.incarnation && heartbeat.seq <= p.seq {
             return; // held back, and overtaken over a newer connection
         }
-        if p.incarnation != beat.incarnation {
-            if p.past.contains(&beat.incarnation) {
+        if p.incarnation != heartbeat.incarnation {
+            if p.past.contains(&heartbeat.incarnation) {
                 return; // the last word of a process whose successor spoke already
             }
             p.past.push_back(p.incarnation);
@@ -119,16 +120,20 @@
             }
         }
         p.arrivals.arrived(now);
-        (p.at, p.incarnation, p.seq) = (now, beat.incarnation, beat.seq);
-        p.stale = Duration::from_millis(beat.stale_ms);
+        (p.at, p.incarnation, p.seq) = (now, heartbeat.incarnation, heartbeat.seq);
+        p.stale = Duration::from_millis(heartbeat.stale_ms);
         let ago = Duration::from_millis;
-        p.heard = beat.heard.iter().map(|h| (h.machine.clone(), (ago(h.ago_ms), (h.shift, h.tally)))).collect();
-        p.reached = beat.reached.iter().map(|(m, ms)| (m.clone(), ago(*ms))).collect();
-        p.misses = beat.asks.iter().map(|a| a.0.clone()).filter(|m| !p.reached.contains_key(m)).collect();
+        p.heard = heartbeat
+            .heard
+            .iter()
+            .map(|h| (h.machine.clone(), (ago(h.ago_ms), (h.agent_epoch, h.heartbeat_seq))))
+            .collect();
+        p.reached = heartbeat.reached.iter().map(|(m, ms)| (m.clone(), ago(*ms))).collect();
+        p.misses = heartbeat.silent.iter().map(|a| a.0.clone()).filter(|m| !p.reached.contains_key(m)).collect();
         p.sent_after = sent_after;
-        (p.revision, p.learned) = (beat.revision, beat.learned);
-        p.owed.clone_from(&beat.owed);
-        p.members.clone_from(&beat.members);
+        (p.revision, p.known_revision) = (heartbeat.revision, heartbeat.known_revision);
+        p.revocations.clone_from(&heartbeat.revocations);
+        p.members.clone_from(&heartbeat.members);
     }
 
     pub fn peers(&self) -> impl Iterator<Item = (&str, &Peer)> {
@@ -213,8 +218,8 @@
     /// Proof that such a view may be acted on as if it had been read then. Each of
     /// them said it after the beat of ours that it echoes, and the oldest of these
     /// counts, T. What a controller tells or acts on by T it has learned by T, so it is
-    /// no newer than `learned`: in our view, or, where that is older, after `owed.since`.
-    /// Of the latter only two things matter to who answers workers. A withdrawal that
+    /// no newer than `known_revision`: in our view, or, where that is older, after `owed.since`.
+    /// Of the latter only two things matter to who answers workers. A cancellation that
     /// was told: it is listed, and we have let the job go, or it is over, and each of
     /// its tasks was proved gone. A machine of ours that was granted: it is listed, and
     /// then we do not go on; whoever got it later holds it since T at the earliest, and
@@ -227,11 +232,11 @@
         &self,
         others: impl IntoIterator<Item = impl AsRef<str>>,
         revision: u64,
-        covers: impl Fn(&Owed) -> bool,
+        covers: impl Fn(&Revocations) -> bool,
     ) -> Option<Duration> {
         let known = |p: &Peer| {
-            let owed = || p.owed.as_ref().is_some_and(|o| o.since <= revision && covers(o));
-            p.revision.is_some() && (p.learned <= revision || owed())
+            let revocations = || p.revocations.as_ref().is_some_and(|o| o.since <= revision && covers(o));
+            p.revision.is_some() && (p.known_revision <= revision || revocations())
         };
         let mut oldest = Some(Duration::MAX);
         for other in others {
--- a/src/controller/perches.rs
+++ b/src/controller/agents.rs
@@ -2,17 +2,17 @@
 //! get, and giving up those that fell silent.
 
 use super::*;
-use crate::bookkeeping::records::Place;
-use crate::bookkeeping::{Job, Placements};
-use crate::coordination::blame::Verdict;
-use crate::fleet::given_up_after_s;
-use crate::links::account::{Group, Silence, of_silence};
-use crate::placement::Room;
-use crate::protocol::cloud::{RELEASE, RELEASE_LIMIT, Release};
+use crate::connectivity::account::{Group, Silence, of_silence};
+use crate::coordination::fault_attribution::Verdict;
+use crate::placement::MachineCapacity;
+use crate::protocol::cloud::{RELEASE, RELEASE_LIMIT, ReleaseRequest};
 use crate::protocol::encode;
-use crate::protocol::user::Form;
-use crate::protocol::worker::{Answer, Cause, Order, Push, Redirect, TaskId, TaskState};
-use crate::recovery::square::{Case, Shown, Stored, case};
+use crate::protocol::user::JobKind;
+use crate::protocol::worker::{Cause, Command, CommandRequest, HeartbeatResponse, Redirect, TaskId, TaskState};
+use crate::reconciliation::difference::{Case, Shown, Stored, case};
+use crate::scaling::given_up_after_s;
+use crate::state::records::Placement;
+use crate::state::{Job, PlacedTasks};
 
 /// A worker waits this long for an answer, then a little to try the next node.
 pub(super) const WORKER_MOVES_S: f64 = 4.0 + 1.0 + 0.5;
@@ -27,18 +27,18 @@
 
 impl Controller {
     /// A worker's call.
-    pub(super) fn report(&mut self, conn: ConnId, report: Report) {
-        if self.machines.get(&report.machine).is_some_and(|m| m.belies(report.warrant)) {
+    pub(super) fn report(&mut self, conn: ConnId, report: Heartbeat) {
+        if self.machines.get(&report.machine).is_some_and(|m| m.belies(report.fencing_token)) {
             // A copy from before its end, or it ended since.
             self.call_back(&report);
             return self.refuse(conn, 503, "an older report");
         }
-        let news = self.hearing.report(&report.machine, (report.shift, report.tally), self.now);
+        let news = self.hearing.report(&report.machine, (report.agent_epoch, report.heartbeat_seq), self.now);
         self.take_report(conn, report, news, None);
     }
 
     /// A report; `until` is set when it waited for a grant already.
-    fn take_report(&mut self, conn: ConnId, report: Report, news: News, until: Option<Instant>) {
+    fn take_report(&mut self, conn: ConnId, report: Heartbeat, news: News, until: Option<Instant>) {
         if let Some(peer) = self.better_off() {
             return self.redirect(conn, Some(&peer));
         }
@@ -46,7 +46,7 @@
             return self.refuse(conn, 503, "not in touch with the state service");
         }
         let leader = self.leader_name();
-        let Some(host) = self.view.hosts.get(&report.machine) else {
+        let Some(host) = self.view.machines.get(&report.machine) else {
             self.enrol(&report);
             return self.hold(conn, report, news, until);
         };
@@ -78,7 +78,7 @@
         let Some(m) = self.machines.get_mut(&name) else {
             return self.refuse(conn, 503, "not granted yet");
         };
-        let new_session = m.at.0 > 0 && report.shift > m.at.0;
+        let new_session = m.at.0 > 0 && report.agent_epoch > m.at.0;
         if !m.take(&report) {
             return self.refuse(conn, 503, "an older report");
         }
@@ -86,8 +86,8 @@
             return self.refuse(conn, 503, "the worker listens to somebody else");
         }
         m.note_reply(news == News::New, now);
-        let report_s = self.set.settings.workers.report_s;
-        let silent = m.heard_at.map(|t| now.saturating_sub(t).as_secs_f64() / report_s);
+        let heartbeat_interval_s = self.set.settings.workers.heartbeat_interval_s;
+        let silent = m.heard_at.map(|t| now.saturating_sub(t).as_secs_f64() / heartbeat_interval_s);
         self.dirty |= silent.is_none_or(|reports| reports > 1.0) || m.answered_at.is_none();
         if news == News::New || m.sure {
             m.heard_at = Some(now);
@@ -105,22 +105,22 @@
             return self.refuse(conn, 503, "hears nothing");
         }
         let (wanted, kept) = self.wanted(&name);
-        self.note_squared(&name, &wanted, &kept);
+        self.count_differences(&name, &wanted, &kept);
         let Some(m) = self.machines.get(&name) else { return };
-        let orders = self.in_time(m.orders(&wanted, &kept));
+        let commands = self.in_time(m.commands(&wanted, &kept));
         let Some(m) = self.machines.get_mut(&name) else { return };
-        let body = encode(&Answer { warrant: m.answer(now), orders: orders.into() });
+        let body = encode(&HeartbeatResponse { fencing_token: m.answer(now), commands: commands.into() });
         self.respond(conn, 200, body);
     }
 
     pub(super) fn leader_name(&self) -> Option<String> {
-        let lead = self.view.lead.as_ref()?;
-        self.view.is_live(&lead.rec.member, lead.rec.incarnation).then(|| lead.rec.member.clone())
+        let leader = self.view.leader.as_ref()?;
+        self.view.is_live(&leader.rec.member, leader.rec.incarnation).then(|| leader.rec.member.clone())
     }
 
-    fn hold(&mut self, conn: ConnId, report: Report, news: News, until: Option<Instant>) {
-        let until = until.unwrap_or(self.now + self.report_s(0.75));
-        self.held.push(HeldReport { conn, report, news, until });
+    fn hold(&mut self, conn: ConnId, report: Heartbeat, news: News, until: Option<Instant>) {
+        let until = until.unwrap_or(self.now + self.heartbeat_intervals(0.75));
+        self.held.push(HeldHeartbeat { conn, report, news, until });
     }
 
     pub(super) fn retry_held(&mut self) {
@@ -134,19 +134,19 @@
     }
 
     fn redirect(&mut self, conn: ConnId, to: Option<&str>) {
-        let harbor = to.filter(|t| *t != self.me);
-        self.respond(conn, 421, encode(&Redirect { harbor: harbor.map(Into::into) }));
+        let controller = to.filter(|t| *t != self.me);
+        self.respond(conn, 421, encode(&Redirect { controller: controller.map(Into::into) }));
     }
 
     /// Brings the machines in memory in line with the grants in the view.
     pub(super) fn adopt(&mut self) {
-        if self.adopted == Some(self.view.hosts_changed) {
+        if self.adopted == Some(self.view.machines_changed) {
             return;
         }
-        self.adopted = Some(self.view.hosts_changed);
+        self.adopted = Some(self.view.machines_changed);
         let mut lost = Vec::new();
         for name in self.machines.keys() {
-            if !self.view.hosts.get(name).is_some_and(|h| self.owns(h)) {
+            if !self.view.machines.get(name).is_some_and(|h| self.owns(h)) {
                 lost.push(name.clone());
             }
         }
@@ -157,7 +157,7 @@
             }
         }
         let now = self.now;
-        for (name, h) in &self.view.hosts {
+        for (name, h) in &self.view.machines {
             if h.rec.owner != self.me || h.rec.incarnation != self.incarnation {
                 continue;
             }
@@ -175,9 +175,9 @@
     }
 
     /// What shall run on the machine, and all that is placed there.
-    fn wanted(&self, name: &str) -> (Placements, Placements) {
+    fn wanted(&self, name: &str) -> (PlacedTasks, PlacedTasks) {
         let mut kept = self.view.placed.get(name).cloned().unwrap_or_default();
-        let live = |job: &str| self.view.jobs.get(job).is_some_and(|j| !j.withdrawn() && !self.taken_back(j));
+        let live = |job: &str| self.view.jobs.get(job).is_some_and(|j| !j.cancelled() && !self.taken_back(j));
         let mut wanted = kept.clone();
         let m = self.machines.get(name);
         wanted.retain(|(job, index), attempt| {
@@ -188,7 +188,7 @@
         // and the worker keeps it until it is stored.
         let size = self.view.chunk_size;
         for s in m.iter().flat_map(|m| &m.tasks).filter(|s| s.cause == Some(Cause::Done)) {
-            let lacks = |j: &Job| !j.withdrawn() && !j.is_done(s.task.index, size) && s.task.index < j.spec.parcels;
+            let lacks = |j: &Job| !j.cancelled() && !j.is_done(s.task.index, size) && s.task.index < j.spec.task_count;
             if s.state == TaskState::Exited && self.view.jobs.get(&s.task.job).is_some_and(lacks) {
                 kept.entry((s.task.job.clone(), s.task.index)).or_insert(s.attempt);
             }
@@ -198,13 +198,13 @@
 
     /// Of the orders for a machine those that may go now: nothing of a wide gang is
     /// started before the last of its places is stored.
-    fn in_time(&self, mut orders: Vec<Order>) -> Vec<Order> {
+    fn in_time(&self, mut commands: Vec<Command>) -> Vec<Command> {
         let parts = |job: &str| self.view.jobs.get(job).is_some_and(|j| self.in_parts(j));
-        orders.retain(|o| match o {
-            Order::Run { parcel, .. } => TaskId::parse(parcel).is_none_or(|t| !parts(&t.job)),
-            Order::Kill { .. } | Order::Forget { .. } => true,
+        commands.retain(|o| match o {
+            Command::Run { task, .. } => TaskId::parse(task).is_none_or(|t| !parts(&t.job)),
+            Command::Kill { .. } | Command::Forget { .. } => true,
         });
-        orders
+        commands
     }
 
     /// Works out what the newest report says of the tasks placed there.
@@ -215,7 +215,7 @@
         let Some(m) = self.machines.get_mut(name) else { return };
         let mut failed = false;
         // A machine that has just taken our token can take tasks now.
-        let mut freed = m.warrant == m.token() && !std::mem::replace(&mut m.ready, true);
+        let mut freed = m.fencing_token == m.token() && !std::mem::replace(&mut m.ready, true);
         for s in &m.tasks {
             let (job, index) = (&s.task.job, s.task.index);
             let key = (job.clone(), index);
@@ -223,31 +223,31 @@
             if s.state == TaskState::Running {
                 m.since.entry((job.clone(), index, s.attempt)).or_insert(now);
             }
-            let there = matches!(s.state, TaskState::Running | TaskState::Gathering | TaskState::Saving);
-            if there && !m.images.contains(&j.spec.bundle) {
-                std::rc::Rc::make_mut(&mut m.images).insert(j.spec.bundle.clone());
-                m.fetches.remove(&j.spec.bundle);
+            let there = matches!(s.state, TaskState::Running | TaskState::WaitingForGang | TaskState::Saving);
+            if there && !m.images.contains(&j.spec.image) {
+                std::rc::Rc::make_mut(&mut m.images).insert(j.spec.image.clone());
+                m.fetches.remove(&j.spec.image);
             }
-            if s.state == TaskState::Fetching && !m.images.contains(&j.spec.bundle) {
-                m.fetches.entry(j.spec.bundle.clone()).or_insert(now);
+            if s.state == TaskState::Fetching && !m.images.contains(&j.spec.image) {
+                m.fetches.entry(j.spec.image.clone()).or_insert(now);
             }
             let stored = Stored::of(&wanted, &kept, &key, s.attempt);
             // A gang that is placed whole comes, whoever gave up waiting for it.
-            let comes = j.spec.form == Form::Ensemble && j.placed == j.spec.parcels && !j.withdrawn();
+            let comes = j.spec.kind == JobKind::Gang && j.placed == j.spec.task_count && !j.cancelled();
             let gone = match case(stored, Shown::of(s.state, s.cause), comes) {
                 Case::Finished => {
-                    if index < j.spec.parcels && !j.is_done(index, size) && !j.withdrawn() {
+                    if index < j.spec.task_count && !j.is_done(index, size) && !j.cancelled() {
                         // A gang completes together: the reports of the others may
                         // be lost with their machines.
-                        let all = j.spec.form == Form::Ensemble;
-                        let (from, to) = if all { (0, j.spec.parcels) } else { (index, index + 1) };
+                        let all = j.spec.kind == JobKind::Gang;
+                        let (from, to) = if all { (0, j.spec.task_count) } else { (index, index + 1) };
                         let change = self.changes.entry(job.clone()).or_insert_with(|| Change::new(now));
                         for i in from..to {
                             freed |= change.done.insert(i);
                         }
                         m.failures.clear();
                     }
-                    j.withdrawn() && stored == Stored::Ending
+                    j.cancelled() && stored == Stored::Ending
                 }
                 // A copy may show what was ordered again since.
                 Case::Failed => m.sure,
@@ -267,15 +267,15 @@
                     p.failures += 1;
                     p.tried.failed_on(name);
                     let pause = (p.failures / 4).min(6);
-                    p.not_before =
-                        now + Duration::from_secs_f64(self.set.settings.workers.report_s) * ((1 << pause) - 1);
+                    p.not_before = now
+                        + Duration::from_secs_f64(self.set.settings.workers.heartbeat_interval_s) * ((1 << pause) - 1);
                 }
                 tracing::debug!(machine = %name, task = %s.task, cause = ?s.cause, "task ended without a result");
             }
         }
         let there = |k: &(String, u32, u64)| kept.get(&(k.0.clone(), k.1)) == Some(&k.2);
         m.since.retain(|k, _| there(k));
-        m.preempted.retain(|k, _| there(k) && self.view.jobs.get(&k.0).is_some_and(|j| !j.withdrawn()));
+        m.preempted.retain(|k, _| there(k) && self.view.jobs.get(&k.0).is_some_and(|j| !j.cancelled()));
         m.gone.retain(there);
         if m.confirmed() {
             for ((job, index), attempt) in &kept {
@@ -295,7 +295,7 @@
             match m.failures.verdict(bad, |job| done(job) > 0) {
                 Verdict::Well => {}
                 // So long that the job is tried elsewhere.
-                Verdict::Open => m.shut_until = now + Duration::from_secs_f64(w.report_s * 2.0),
+                Verdict::Open => m.shut_until = now + Duration::from_secs_f64(w.heartbeat_interval_s * 2.0),
                 Verdict::Faulty => {
                     tracing::info!(machine = %name, failures = ?m.failures, "machine is quarantined");
                     m.shut_until = now + Duration::from_secs_f64(w.lease_s);
@@ -312,8 +312,8 @@
             return;
         }
         let (wanted, kept) = self.wanted(name);
-        let silent = self.report_s(2.0);
-        if self.view.hosts.get(name).is_none_or(|h| self.view.revision < h.rec.granted) {
+        let silent = self.heartbeat_intervals(2.0);
+        if self.view.machines.get(name).is_none_or(|h| self.view.revision < h.rec.granted) {
             return;
         }
         let Some(m) = self.machines.get(name) else { return };
@@ -321,15 +321,15 @@
         if m.heard_at.is_none_or(|t| self.now.saturating_sub(t) > silent) {
             return;
         }
-        let orders = self.in_time(m.orders(&wanted, &kept));
+        let commands = self.in_time(m.commands(&wanted, &kept));
         let Some(m) = self.machines.get_mut(name) else { return };
-        let orders = m.to_push(orders);
-        if orders.is_empty() {
+        let commands = m.to_push(commands);
+        if commands.is_empty() {
             return;
         }
-        let body = encode(&Push { warrant: m.token(), shift: m.at.0, orders: orders.into() });
+        let body = encode(&CommandRequest { fencing_token: m.token(), agent_epoch: m.at.0, commands: commands.into() });
         let grant = m.epoch;
-        let timeout = self.report_s(1.0);
+        let timeout = self.heartbeat_intervals(1.0);
         let purpose = Purpose::Push { machine: name.to_string(), grant };
         let id = self.call(Target::Worker(addr), "POST", "/commands".into(), Some(body), timeout, purpose);
         if let Some(m) = self.machines.get_mut(name) {
@@ -338,7 +338,7 @@
     }
 
     /// Tells the machines of ours on which the job has tasks to end them, whoever wrote
-    /// that it is withdrawn: by their own reports they would run on for a while.
+    /// that it is cancelled: by their own reports they would run on for a while.
     pub(super) fn stop(&mut self, uid: &str) {
         let places = self.view.jobs.get(uid).into_iter().flat_map(|j| j.chunks.values().flat_map(|c| &c.rec.on));
         let ours = places.map(|p| &p.machine).filter(|m| self.machines.contains_key(*m));
@@ -354,7 +354,7 @@
             return;
         }
         let report = match result {
-            Ok(r) if r.status == 200 || r.status == 409 => crate::protocol::decode::<Report>(&r.body).ok(),
+            Ok(r) if r.status == 200 || r.status == 409 => crate::protocol::decode::<Heartbeat>(&r.body).ok(),
             _ => None,
         };
         match report {
@@ -373,13 +373,13 @@
         }
     }
 
-    pub(super) fn perches_tick(&mut self) {
+    pub(super) fn check_agents(&mut self) {
         self.adopt();
         self.retry_held();
         if !self.fresh() {
             return;
         }
-        self.drain_recalled();
+        self.drain_preempted();
         self.move_ticketed();
         self.release_silent();
         self.clear_empty();
@@ -388,30 +388,31 @@
     /// Machines that the cloud will take away: services move while they can
     /// start elsewhere at once, what can save does so, and the rest runs on in
     /// the hope of an end before that.
-    fn drain_recalled(&mut self) {
+    fn drain_preempted(&mut self) {
         let mut stops: Vec<(String, (String, u32, u64), f64)> = Vec::new();
-        let mut rooms: Option<Vec<Room>> = None;
-        let recent = self.report_s(1.5);
+        let mut capacities: Option<Vec<MachineCapacity>> = None;
+        let recent = self.heartbeat_intervals(1.5);
         for (name, m) in &self.machines {
-            let Some(left_s) = m.recall_s.filter(|_| m.sure && m.ready) else { continue };
+            let Some(left_s) = m.preemption_notice_s.filter(|_| m.sure && m.ready) else { continue };
             for ((uid, index), attempt) in self.view.placed.get(name).into_iter().flatten() {
                 let key = (uid.clone(), *index, *attempt);
-                let Some(j) = self.view.jobs.get(uid).filter(|j| !j.withdrawn()) else { continue };
+                let Some(j) = self.view.jobs.get(uid).filter(|j| !j.cancelled()) else { continue };
                 if m.preempted.contains_key(&key) || m.is_over(&key) {
                     continue;
                 }
-                match (j.spec.form, j.spec.saves_in()) {
-                    (Form::Standing, _) => {
-                        let rooms = rooms.get_or_insert_with(|| self.rooms(false).into_iter().map(|r| r.1).collect());
-                        if self.takes_elsewhere(rooms, name, j, true) {
+                match (j.spec.kind, j.spec.saves_in()) {
+                    (JobKind::Service, _) => {
+                        let capacities =
+                            capacities.get_or_insert_with(|| self.capacities(false).into_iter().map(|r| r.1).collect());
+                        if self.takes_elsewhere(capacities, name, j, true) {
                             stops.push((name.clone(), key, 0.0));
                         }
                     }
-                    (Form::Batch, Some(save_s)) if left_s >= save_s => stops.push((name.clone(), key, save_s)),
-                    (Form::Ensemble, Some(save_s)) if left_s >= save_s => {
+                    (JobKind::Array, Some(save_s)) if left_s >= save_s => stops.push((name.clone(), key, save_s)),
+                    (JobKind::Gang, Some(save_s)) if left_s >= save_s => {
                         // All are told at once, or the save fails.
                         let places = || j.chunks.values().flat_map(|c| &c.rec.on);
-                        let ready = |p: &Place| {
+                        let ready = |p: &Placement| {
                             self.machines.get(&p.machine).is_some_and(|m| {
                                 let seen = m.find(uid, p.index, p.attempt);
                                 m.confirmed()
@@ -420,7 +421,7 @@
                             })
                         };
                         if places().all(ready) {
-                            let each = |p: &Place| (p.machine.clone(), (uid.clone(), p.index, p.attempt), save_s);
+                            let each = |p: &Placement| (p.machine.clone(), (uid.clone(), p.index, p.attempt), save_s);
                             stops.extend(places().map(each));
                         }
                     }
@@ -449,15 +450,16 @@
         let now = self.now;
         let w = &self.set.settings.workers;
         // Whoever reaches it has to have had the time to say so.
-        let told = self.report_s(HEARD_REPORTS) + Self::beat_every(self.report_s(1.0)).mul_f64(2.5);
-        let limit = self.report_s(self.set.operator.silent_reports).max(told);
+        let told = self.heartbeat_intervals(HEARD_REPORTS)
+            + Self::heartbeat_interval(self.heartbeat_intervals(1.0)).mul_f64(2.5);
+        let limit = self.heartbeat_intervals(self.set.operator.silent_reports).max(told);
         // After a grant the worker may still be waiting for its old controller, and
         // for others that do not hear it; nobody here knows its address yet.
         let first = (limit + self.secs(WORKER_MOVES_S)).max(self.round_of_all());
-        let (lapse, long) = (self.secs(w.lease_s * DRIFT + w.report_s), self.secs(w.lease_s * CUT_LEASES));
-        let cancel = self.secs(w.cancel_s * DRIFT + w.report_s);
-        let block = self.machines.len() as f64;
-        let cap = (block / 4.0).max(1.0);
+        let (lapse, long) = (self.secs(w.lease_s * DRIFT + w.heartbeat_interval_s), self.secs(w.lease_s * CUT_LEASES));
+        let cancel = self.secs(w.cancel_s * DRIFT + w.heartbeat_interval_s);
+        let shard = self.machines.len() as f64;
+        let cap = (shard / 4.0).max(1.0);
         let dt = now.saturating_sub(self.release_at).as_secs_f64();
         self.release_tokens = (self.release_tokens + dt * cap / w.lease_s).min(cap);
         self.release_at = now;
@@ -465,38 +467,38 @@
         // One that hears nothing is as good as silent, though its reports come.
         let last = |m: &Machine| if m.hears_nothing() { m.reached_at } else { m.heard_at };
         let silent_for = |m: &Machine| now.saturating_sub(last(m).unwrap_or(m.owned_since));
-        let site = |name: &str| self.view.hosts.get(name).map_or("", |h| h.rec.site.as_str());
-        let recent = self.report_s(HEARD_REPORTS);
+        let zone = |name: &str| self.view.machines.get(name).map_or("", |h| h.rec.zone.as_str());
+        let recent = self.heartbeat_intervals(HEARD_REPORTS);
         let mut zones: BTreeMap<&str, Group> = BTreeMap::new();
         for (name, m) in self.machines.iter().filter(|(_, m)| m.heard_at.is_some()) {
-            let group = zones.entry(site(name)).or_default();
+            let group = zones.entry(zone(name)).or_default();
             group.all += 1;
             group.heard += usize::from(silent_for(m) < recent);
         }
         // What was cut off comes back one by one: those that are last are not dead.
         let back = now + first;
         let sum = |f: fn(&Group) -> usize| zones.values().map(f).sum();
-        let block = Group { heard: sum(|g| g.heard), all: sum(|g| g.all) };
+        let shard = Group { heard: sum(|g| g.heard), all: sum(|g| g.all) };
         for (zone, group) in &zones {
-            if group.silent() || block.silent() {
+            if group.silent() || shard.silent() {
                 self.cut_until.insert(zone.to_string(), back);
             }
         }
         let speaking = self.speaking();
-        let account = |site: &str| {
-            let cut = self.cut_until.get(site).is_some_and(|t| *t > now);
-            if cut { Silence::Cut } else { of_silence(block, zones.get(site).copied().unwrap_or_default(), speaking) }
+        let account = |zone: &str| {
+            let cut = self.cut_until.get(zone).is_some_and(|t| *t > now);
+            if cut { Silence::Cut } else { of_silence(shard, zones.get(zone).copied().unwrap_or_default(), speaking) }
         };
         let mut out: Vec<(String, &str, bool)> = Vec::new();
         for (name, m) in self.machines.iter().filter(|(_, m)| !m.releasing) {
             let silent = silent_for(m);
             let placed = self.view.placed.contains_key(name);
-            let drained = self.view.hosts.get(name).is_some_and(|h| h.rec.drain) && m.confirmed();
+            let drained = self.view.machines.get(name).is_some_and(|h| h.rec.drain) && m.confirmed();
             if drained && m.tasks.is_empty() && !placed {
                 out.push((name.clone(), "drained", false));
                 continue;
             }
-            if m.unlisted && silent > self.report_s(UNLISTED_REPORTS) {
+            if m.unlisted && silent > self.heartbeat_intervals(UNLISTED_REPORTS) {
                 out.push((name.clone(), "unlisted", false));
                 continue;
             }
@@ -512,7 +514,7 @@
             if m.heard_at.is_none() && self.may_be_answered(name) && !m.lapsed(now, lapse, cancel) {
                 continue;
             }
-            let wait = match account(site(name)) {
+            let wait = match account(zone(name)) {
                 Silence::Dead => limit,
                 Silence::Likely => limit.max(lapse.min(limit * 2)),
                 Silence::Undecided => limit.max(lapse),
@@ -550,11 +552,11 @@
 
     /// After how long silence this machine is given up; `limit` at least.
     fn given_up_after(&self, name: &str, limit: Duration) -> Duration {
-        let (Some(load), Some(h)) = (self.view.loads.get(name), self.view.hosts.get(name)) else {
+        let (Some(load), Some(h)) = (self.view.loads.get(name), self.view.machines.get(name)) else {
             return limit;
         };
-        let pull = self.machine_type(&h.rec.build).map_or(f64::INFINITY, |t| t.pull_gb_per_s);
-        let largest = load.bundles.values().map(|b| b.size_gb).fold(0.0, f64::max);
+        let pull = self.machine_type(&h.rec.machine_type).map_or(f64::INFINITY, |t| t.pull_gb_per_s);
+        let largest = load.by_image.values().map(|b| b.image_gb).fold(0.0, f64::max);
         let lease_s = self.set.settings.workers.lease_s;
         self.secs(given_up_after_s(limit.as_secs_f64(), largest / pull, lease_s))
     }
@@ -562,11 +564,11 @@
     fn peers_hear(&self, machine: &str) -> bool {
         let limit = self.round_of_all();
         let reached = self.probed.get(machine).is_some_and(|t| self.now.saturating_sub(*t) < limit);
-        reached || self.told_newer(machine, limit)
+        reached || self.reported_newer_elsewhere(machine, limit)
     }
 
     /// Whether a peer heard it within `limit` say more than the last that came here.
-    pub(super) fn told_newer(&self, machine: &str, limit: Duration) -> bool {
+    pub(super) fn reported_newer_elsewhere(&self, machine: &str, limit: Duration) -> bool {
         let known = self.machines.get(machine).map_or((0, 0), |m| m.at);
         self.links.hears(machine, known, limit, self.now)
     }
@@ -574,8 +576,8 @@
     pub(super) fn release(&mut self, machines: Vec<String>) {
         self.cloud.charge(self.now, 1.0);
         self.releasing.extend(machines.iter().cloned());
-        let body = encode(&Release { machines: machines.as_slice().into() });
-        let timeout = self.report_s(2.0);
+        let body = encode(&ReleaseRequest { machines: machines.as_slice().into() });
+        let timeout = self.heartbeat_intervals(2.0);
         self.call(Target::Cloud, "POST", RELEASE.into(), Some(body), timeout, Purpose::Release { machines });
     }
 
@@ -611,7 +613,7 @@
     /// since a grant, before which others may have answered.
     fn lapse_s(&self) -> [Duration; 2] {
         let w = &self.set.settings.workers;
-        [w.lease_s, w.cancel_s].map(|s| self.secs(s * DRIFT + w.report_s / 2.0))
+        [w.lease_s, w.cancel_s].map(|s| self.secs(s * DRIFT + w.heartbeat_interval_s / 2.0))
     }
 
     /// Whether anything is placed there that is not proved gone.
@@ -637,15 +639,15 @@
 
     /// Machines that are gone, and hold no places, leave the records.
     pub(super) fn forget_machines(&mut self, names: Vec<String>) {
-        let mut by_pack: BTreeMap<String, Vec<String>> = BTreeMap::new();
+        let mut by_group: BTreeMap<String, Vec<String>> = BTreeMap::new();
         for name in names {
-            if let Some(h) = self.view.hosts.get(&name) {
-                by_pack.entry(h.rec.pack.clone()).or_default().push(name);
+            if let Some(h) = self.view.machines.get(&name) {
+                by_group.entry(h.rec.group.clone()).or_default().push(name);
             }
         }
-        for (pack, names) in by_pack {
-            let key = records::pack_key(&pack);
-            let Some(p) = self.view.packs.get(&pack) else { continue };
+        for (group, names) in by_group {
+            let key = records::machine_group_key(&group);
+            let Some(p) = self.view.machine_groups.get(&group) else { continue };
             if p.version > self.view.revision || self.busy.contains(&key) || !self.may_write(1.0) {
                 continue;
             }
@@ -653,21 +655,21 @@
                 Some(rec) => store::Op::Put { key: key.clone(), data: records::to_value(&rec), lease: None },
                 None => store::Op::Delete { key: key.clone() },
             };
-            let conds = vec![store::Cond { key, entry_no: p.version }, self.block_cond_of(&p.rec.owner)];
-            let txn = Txn { conds, ops: vec![op] };
+            let conditions = vec![store::Condition { key, version: p.version }, self.shard_condition_of(&p.rec.owner)];
+            let txn = Txn { conditions, ops: vec![op] };
             self.txn_keyed(txn, Why::Forget);
         }
     }
 
     /// Holds while this incarnation's block is not granted to a later one.
-    pub(super) fn block_cond(&self) -> store::Cond {
-        self.block_cond_of(&self.me)
+    pub(super) fn shard_condition(&self) -> store::Condition {
+        self.shard_condition_of(&self.me)
     }
 
     /// Holds while a member's block is not granted anew: what writes a pack of its
     /// carries the grant in force, or one above it, and would come late after that.
-    pub(super) fn block_cond_of(&self, member: &str) -> store::Cond {
-        store::Cond { key: records::block_key(member), entry_no: self.view.block_version(member) }
+    pub(super) fn shard_condition_of(&self, member: &str) -> store::Condition {
+        store::Condition { key: records::shard_grant_key(member), version: self.view.shard_grant_version(member) }
     }
 
     /// Whether the machine has come up, as far as is known here: it runs
--- a/src/controller/requests.rs
+++ b/src/controller/api.rs
@@ -1,11 +1,11 @@
-//! Requests of users: submissions, queries, withdrawals, health.
+//! Requests of users: submissions, queries, cancellations, health.
 
-use super::commit::Ended;
+use super::transactions::Ended;
 use super::*;
+use crate::connectivity::table::Peer;
 use crate::coordination::health::{Facts, healthy};
-use crate::links::table::Peer;
-use crate::protocol::store::{Cond, Op};
-use crate::protocol::user::{ErrorBody, Form, JobSpec, JobState, Route, Status, route, valid_uid};
+use crate::protocol::store::{Condition, Op};
+use crate::protocol::user::{ErrorBody, JobKind, JobSpec, JobState, Route, Status, route, valid_uid};
 use crate::protocol::{decode, encode};
 use crate::requests::{Answer, Asked, Event, Known, Request, Stage, Written};
 use crate::retry::Side;
@@ -30,8 +30,8 @@
             }
             Route::Submit => self.submit(conn, body),
             Route::Poll(uid) => self.poll(conn, uid),
-            Route::Withdraw(uid) => self.withdraw(conn, uid),
-            Route::Report => match decode::<Report>(body) {
+            Route::Cancel(uid) => self.cancel(conn, uid),
+            Route::Heartbeat => match decode::<Heartbeat>(body) {
                 Ok(report) => self.report(conn, report),
                 Err(_) => self.refuse(conn, 400, "not a report"),
             },
@@ -62,7 +62,7 @@
 
     /// Whether the load balancer should send users here.
     fn healthy(&self) -> bool {
-        let margin = self.report_s(1.0);
+        let margin = self.heartbeat_intervals(1.0);
         let since = |p: &Peer| self.now.saturating_sub(p.at);
         let recent = self.links.peers().map(|(_, p)| p).filter(|p| since(p) < margin);
         healthy(&Facts {
@@ -102,17 +102,23 @@
         if self.never_runs(&spec) {
             return self.ask(conn, &spec.uid, Asked::Impossible);
         }
-        if !self.may_write_as(Order::Answers) {
+        if !self.may_write_as(WritePriority::Answers) {
             return self.not_now(conn, "too many submissions");
         }
         let uid = spec.uid.clone();
-        let waits: Vec<u32> = (0..spec.parcels).collect();
+        let waits: Vec<u32> = (0..spec.task_count).collect();
         let counted = self.counted(&spec);
-        let (rooms, queues) = (self.rooms_beside(true, counted), self.queues(counted, spec.urgency));
-        let shares = self.shares_for(&spec, &waits, &rooms, &queues, &BTreeMap::new());
-        let rec = records::JobRec { parcels: spec.parcels, spec: Some(spec), end: None, at_ms: self.wall_ms(), shares };
+        let (capacities, queues) = (self.capacities_counting(true, counted), self.queues(counted, spec.priority));
+        let task_ranges = self.task_ranges_for(&spec, &waits, &capacities, &queues, &BTreeMap::new());
+        let rec = records::JobRecord {
+            task_count: spec.task_count,
+            spec: Some(spec),
+            end: None,
+            at_ms: self.wall_ms(),
+            task_ranges,
+        };
         let txn = Txn {
-            conds: vec![Cond { key: key.clone(), entry_no: 0 }],
+            conditions: vec![Condition { key: key.clone(), version: 0 }],
             ops: vec![Op::Put { key, data: records::to_value(&rec), lease: None }],
         };
         let until = self.now + self.answered_within();
@@ -122,21 +128,21 @@
 
     /// Unknown team, no machine type for a task, or more than the team's limit.
     fn never_runs(&self, spec: &JobSpec) -> bool {
-        let Some(team) = self.set.settings.teams.iter().find(|t| t.name == spec.desk) else {
+        let Some(team) = self.set.settings.teams.iter().find(|t| t.name == spec.team) else {
             return true;
         };
-        let at_once = if spec.form == Form::Batch { 1 } else { spec.parcels };
+        let at_once = if spec.kind == JobKind::Array { 1 } else { spec.task_count };
         let over = |each: f64, max: f64| max > 0.0 && each * f64::from(at_once) > max + 1e-9;
         if over(spec.cores, team.cpus_max) || over(spec.gpus, team.gpus_max) {
             return true;
         }
         // All in one zone, and no more than half of them in any.
-        if spec.together && spec.apart && spec.parcels > 1 {
+        if spec.zone_affinity && spec.zone_anti_affinity && spec.task_count > 1 {
             return true;
         }
         !self.types.iter().any(|t| {
-            spec.builds.as_ref().is_none_or(|b| b.contains(&t.label))
-                && spec.site.as_ref().is_none_or(|s| t.sites.contains(s))
+            spec.machine_types.as_ref().is_none_or(|b| b.contains(&t.label))
+                && spec.zone.as_ref().is_none_or(|s| t.zones.contains(s))
                 && t.cores >= spec.cores
                 && t.gpus >= spec.gpus
                 && t.mem_gb >= spec.mem_gb
@@ -147,7 +153,7 @@
         if !valid_uid(uid) {
             return self.refuse(conn, 404, "no such job");
         }
-        let over = matches!(self.view.status(uid), Some((Status::Done | Status::Withdrawn, ..)));
+        let over = matches!(self.view.status(uid), Some((Status::Done | Status::Cancelled, ..)));
         if over {
             return self.tell(conn, uid);
         }
@@ -159,7 +165,7 @@
 
     /// So long a user's request is worked on.
     fn answered_within(&self) -> Duration {
-        self.report_s(0.75).min(self.secs(USERS_WAIT_S * ANSWERED_WITHIN))
+        self.heartbeat_intervals(0.75).min(self.secs(USERS_WAIT_S * ANSWERED_WITHIN))
     }
 
     fn ask(&mut self, conn: ConnId, uid: &str, asked: Asked) {
@@ -181,7 +187,7 @@
     pub(super) fn answer_requests(&mut self, event: Event) {
         let view = &self.view;
         let told = self.asked.event(event, |uid| known(view, uid));
-        self.answer_and_withdraw(told);
+        self.answer_and_cancel(told);
     }
 
     /// A write ended that was made because users asked this about the job.
@@ -197,8 +203,8 @@
         self.answer_with(told);
         let accepted = asked == Asked::Submitted && how == Written::Done;
         if let Some(j) = self.view.jobs.get(uid).filter(|_| accepted) {
-            let to: Vec<&str> = j.rec.rec.shares.iter().map(|s| s.member.as_str()).collect();
-            tracing::debug!(job = %uid, class = %j.spec.docket, tasks = j.spec.parcels, ?to, "accepted");
+            let to: Vec<&str> = j.rec.rec.task_ranges.iter().map(|s| s.member.as_str()).collect();
+            tracing::debug!(job = %uid, class = %j.spec.class, tasks = j.spec.task_count, ?to, "accepted");
         }
     }
 
@@ -206,7 +212,7 @@
         for (r, answer) in told {
             match answer {
                 Answer::Accepted => {
-                    let state = JobState { uid: r.uid.into(), status: Status::Pending, done: 0, running: 0 };
+                    let state = JobState { uid: r.uid.into(), status: Status::Queued, done: 0, running: 0 };
                     self.respond(r.conn, 201, encode(&state));
                 }
                 Answer::Tell => self.tell(r.conn, &r.uid),
@@ -222,25 +228,25 @@
     pub(super) fn requests_tick(&mut self) {
         let view = &self.view;
         let told = self.asked.due(self.now, |uid| known(view, uid));
-        self.answer_and_withdraw(told);
+        self.answer_and_cancel(told);
     }
 
-    /// Answers, and takes up withdrawals that may be written now.
-    fn answer_and_withdraw(&mut self, told: Vec<(Request, Answer)>) {
+    /// Answers, and takes up cancellations that may be written now.
+    fn answer_and_cancel(&mut self, told: Vec<(Request, Answer)>) {
         self.answer_with(told);
-        for uid in self.asked.withdrawing() {
-            self.send_withdraw(&uid);
+        for uid in self.asked.cancelling() {
+            self.send_cancel(&uid);
         }
     }
 
-    fn withdraw(&mut self, conn: ConnId, uid: &str) {
+    fn cancel(&mut self, conn: ConnId, uid: &str) {
         if !valid_uid(uid) {
             return self.refuse(conn, 404, "no such job");
         }
         if !self.ses.following() {
             return self.refuse(conn, 503, "not ready");
         }
-        let over = matches!(self.view.status(uid), Some((Status::Done | Status::Withdrawn, ..)));
+        let over = matches!(self.view.status(uid), Some((Status::Done | Status::Cancelled, ..)));
         if over {
             return self.tell(conn, uid);
         }
@@ -249,39 +255,39 @@
         }
         if !self.view.jobs.contains_key(uid) {
             // Accepted elsewhere a moment ago, perhaps: a fresh read decides.
-            return self.ask(conn, uid, Asked::Withdrawn);
+            return self.ask(conn, uid, Asked::Cancelled);
         }
         let until = self.now + self.answered_within();
-        self.asked.came(conn, uid, Asked::Withdrawn, Stage::Writing, until);
-        self.send_withdraw(uid);
+        self.asked.came(conn, uid, Asked::Cancelled, Stage::Writing, until);
+        self.send_cancel(uid);
     }
 
-    fn send_withdraw(&mut self, uid: &str) {
+    fn send_cancel(&mut self, uid: &str) {
         let key = records::job_key(uid);
         if self.busy.contains(&key) {
             return; // taken up again by the next tick
         }
-        if !self.may_write_as(Order::First) {
+        if !self.may_write_as(WritePriority::First) {
             let view = &self.view;
-            let told = self.asked.written(uid, Asked::Withdrawn, Written::Limited, |uid| known(view, uid));
+            let told = self.asked.written(uid, Asked::Cancelled, Written::Limited, |uid| known(view, uid));
             return self.answer_with(told);
         }
         let Some(job) = self.view.jobs.get(uid) else { return };
-        let rec = records::JobRec { end: Some(Status::Withdrawn), ..job.rec.rec.clone() };
+        let rec = records::JobRecord { end: Some(Status::Cancelled), ..job.rec.rec.clone() };
         let txn = Txn {
-            conds: vec![Cond { key: key.clone(), entry_no: job.rec.version }],
+            conditions: vec![Condition { key: key.clone(), version: job.rec.version }],
             ops: vec![Op::Put { key, data: records::to_value(&rec), lease: None }],
         };
-        self.txn_within(txn, Why::Withdraw(uid.to_string()), self.answered_within());
+        self.txn_within(txn, Why::Cancel(uid.to_string()), self.answered_within());
     }
 }
 
 /// What the view has of a job, for the table.
-fn known(view: &View, uid: &str) -> Known {
+fn known(view: &ClusterState, uid: &str) -> Known {
     match view.status(uid).map(|s| s.0) {
         None => Known::Nothing,
-        Some(Status::Pending) => Known::Pending,
+        Some(Status::Queued) => Known::Queued,
         Some(Status::Running) => Known::Running,
-        Some(Status::Done | Status::Withdrawn) => Known::Over,
+        Some(Status::Done | Status::Cancelled) => Known::Over,
     }
 }
--- a/src/controller/fleet.rs
+++ b/src/controller/autoscaler.rs
@@ -1,18 +1,18 @@
 //! Renting and returning machines, by the leader: what the cloud offers and
 //! lists, what is wanted beyond it, what stood idle long enough.
 
-use super::enrol::PACK_FROM;
-use super::work::HOPE;
+use super::registration::GROUP_FROM;
+use super::scheduler::HOPE;
 use super::*;
-use crate::fleet::{Demand, Offer, Rental, fits, take_up, wanted_rentals};
-use crate::placement::Room;
+use crate::placement::MachineCapacity;
 use crate::protocol::cloud::{
-    CATALOG, Catalog, Page, Phase, RELEASE_LIMIT, RENT, RENT_LIMIT, Rent, Rented as RentedBody, list_path,
+    CATALOG, Catalog, Page, Phase, RELEASE_LIMIT, RENT, RENT_LIMIT, RentRequest, RentResponse, list_path,
 };
-use crate::protocol::store::{Cond, Op};
-use crate::protocol::user::{Form, JobSpec};
+use crate::protocol::store::{Condition, Op};
+use crate::protocol::user::{JobKind, JobSpec};
 use crate::protocol::{decode, encode};
-use records::{HostRec, PackRec};
+use crate::scaling::{Demand, Offer, Rental, fits, take_up, wanted_rentals};
+use records::{MachineGroupRecord, MachineRecord};
 
 /// A job that will be late gets machines for one in this many of its tasks.
 const LATE_SHARE: u32 = 4;
@@ -43,7 +43,7 @@
         self.types_busy = true;
         self.cloud.charge(self.now, 1.0);
         self.types_next = self.now + self.secs(self.set.settings.workers.lease_s);
-        let timeout = self.report_s(2.0);
+        let timeout = self.heartbeat_intervals(2.0);
         self.call(Target::Cloud, "GET", CATALOG.into(), None, timeout, Purpose::Catalog);
     }
 
@@ -58,9 +58,12 @@
             return;
         }
         let key = records::CATALOG_KEY.to_string();
-        let rec = records::CatalogRec { types: self.types.clone() };
+        let rec = records::CatalogRecord { types: self.types.clone() };
         let txn = Txn {
-            conds: vec![self.lead_cond(), Cond { key: key.clone(), entry_no: stored.map_or(0, |c| c.version) }],
+            conditions: vec![
+                self.leader_condition(),
+                Condition { key: key.clone(), version: stored.map_or(0, |c| c.version) },
+            ],
             ops: vec![Op::Put { key, data: records::to_value(&rec), lease: None }],
         };
         self.txn_keyed(txn, Why::Catalog);
@@ -72,7 +75,7 @@
             return;
         }
         let lag = self.secs(self.set.settings.cloud.list_lag_s * FLEET_LAG_SHARE);
-        self.fleet_next = now + self.report_s(0.25).min(lag);
+        self.fleet_next = now + self.heartbeat_intervals(0.25).min(lag);
         if !self.list_busy && now >= self.list_next && self.may_ask(Retry::List) {
             self.list_busy = true;
             self.cloud.charge(self.now, 1.0);
@@ -111,7 +114,7 @@
     }
 
     fn list_page(&mut self, after: &str) {
-        let timeout = self.report_s(2.0);
+        let timeout = self.heartbeat_intervals(2.0);
         self.call(Target::Cloud, "GET", list_path(after), None, timeout, Purpose::List);
     }
 
@@ -123,7 +126,7 @@
                     && r.status == 200
                     && let Ok(c) = decode::<Catalog>(&r.body)
                 {
-                    self.types = c.builds;
+                    self.types = c.machine_types;
                     self.dirty = true;
                 } else {
                     self.types_next = self.now; // as soon as the retry policy allows
@@ -165,7 +168,8 @@
                 // our own books until it reports or is given up.
                 let mut rented = std::mem::take(&mut self.rented);
                 rented.retain(|name, r| {
-                    !self.is_up(name) && self.now.saturating_sub(r.at).as_secs_f64() < self.late_s(&r.offer.build)
+                    !self.is_up(name)
+                        && self.now.saturating_sub(r.at).as_secs_f64() < self.late_s(&r.offer.machine_type)
                 });
                 self.rented = rented;
             }
@@ -173,20 +177,20 @@
                 self.renting = self.renting.saturating_sub(1);
                 match result {
                     Ok(r) if r.status == 200 => {
-                        let names = decode::<RentedBody>(&r.body).map(|b| b.machines).unwrap_or_default();
+                        let names = decode::<RentResponse>(&r.body).map(|b| b.machines).unwrap_or_default();
                         if (names.len() as u32) < number {
                             // Filled in part: there are no more for now.
                             self.refused.insert(offer.clone(), self.now + self.secs(self.set.settings.workers.lease_s));
                         }
-                        tracing::info!(build = %offer.build, site = %offer.site, spot = offer.spot, machines = names.len(), "machines rented");
-                        if names.len() as f64 >= self.writes.rate * PACK_FROM {
+                        tracing::info!(machine_type = %offer.machine_type, zone = %offer.zone, spot = offer.spot, machines = names.len(), "machines rented");
+                        if names.len() as f64 >= self.writes.rate * GROUP_FROM {
                             self.unrecorded.push_back((offer.clone(), names.clone()));
                             self.enrol_rentals();
                         }
                         if self.beginning() {
                             // The others hear of it before one of them is up.
                             self.note_young(&names);
-                            self.beat_next = self.now;
+                            self.heartbeat_next = self.now;
                         }
                         for n in names {
                             self.rented.insert(n, Rented { offer: offer.clone(), at: self.now });
@@ -214,15 +218,15 @@
         for name in self.list.keys() {
             self.listed_since.entry(name.clone()).or_insert(now);
         }
-        let (list, hosts) = (&self.list, &self.view.hosts);
-        self.listed_since.retain(|name, _| list.contains_key(name) || hosts.contains_key(name));
+        let (list, machines) = (&self.list, &self.view.machines);
+        self.listed_since.retain(|name, _| list.contains_key(name) || machines.contains_key(name));
         let gone = |name: &String| match list.get(name) {
             Some(l) => l.phase == Phase::Failed,
             None => self.listed_since.get(name).is_some_and(|t| read_at.saturating_sub(*t) > sure),
         };
-        let unlisted: BTreeSet<String> = hosts.keys().filter(|name| gone(name)).cloned().collect();
+        let unlisted: BTreeSet<String> = machines.keys().filter(|name| gone(name)).cloned().collect();
         if !unlisted.is_subset(&self.unlisted) {
-            self.beat_next = now; // their owners can prove it, and start their tasks elsewhere
+            self.heartbeat_next = now; // their owners can prove it, and start their tasks elsewhere
         }
         self.unlisted = unlisted;
         for name in &self.unlisted {
@@ -232,16 +236,16 @@
         }
     }
 
-    fn late_s(&self, build: &str) -> f64 {
-        self.machine_type(build).map_or(f64::MAX, |t| t.startup_s * self.set.operator.late_boots)
+    fn late_s(&self, machine_type: &str) -> f64 {
+        self.machine_type(machine_type).map_or(f64::MAX, |t| t.startup_s * self.set.operator.late_boots)
     }
 
     /// Which machines are up, or were before they fell silent.
     fn note_up(&mut self) {
         let now = self.now;
         let mut up_at = std::mem::take(&mut self.up_at);
-        up_at.retain(|name, _| self.view.hosts.contains_key(name));
-        for name in self.view.hosts.keys().filter(|name| self.is_up(name)) {
+        up_at.retain(|name, _| self.view.machines.contains_key(name));
+        for name in self.view.machines.keys().filter(|name| self.is_up(name)) {
             match up_at.get_mut(name) {
                 Some(at) => *at = now,
                 None => _ = up_at.insert(name.clone(), now),
@@ -253,7 +257,7 @@
     /// Whether the machine was up before it fell silent, not long ago: it is not coming,
     /// and its owner, which knows what fell silent with it, decides what becomes of it.
     fn fell_silent(&self, name: &str) -> bool {
-        let long = self.secs(self.set.settings.workers.lease_s * perches::CUT_LEASES);
+        let long = self.secs(self.set.settings.workers.lease_s * agents::CUT_LEASES);
         let listed = !self.unlisted.contains(name);
         listed && self.up_at.get(name).is_some_and(|t| self.now.saturating_sub(*t) < long)
     }
@@ -266,12 +270,12 @@
         let before = std::mem::take(&mut self.unseen_since);
         let mut left = Vec::new();
         let mut unseen = HashMap::new();
-        for (name, h) in self.view.hosts.iter().filter(|(name, _)| !self.is_up(name)) {
+        for (name, h) in self.view.machines.iter().filter(|(name, _)| !self.is_up(name)) {
             let since = before.get(name).copied().unwrap_or(now);
             unseen.insert(name.clone(), since);
             if self.gone.contains(name) {
                 left.push(name.clone());
-            } else if now.saturating_sub(since).as_secs_f64() > self.late_s(&h.rec.build)
+            } else if now.saturating_sub(since).as_secs_f64() > self.late_s(&h.rec.machine_type)
                 && !self.releasing.contains(name)
                 && !self.fell_silent(name)
             {
@@ -282,7 +286,7 @@
         self.forget_machines(left);
         for (name, l) in &self.list {
             let known = self.is_up(name) || names.contains(name) || self.fell_silent(name);
-            let late = l.phase != Phase::Failed && l.held_s > self.late_s(&l.build);
+            let late = l.phase != Phase::Failed && l.rented_s > self.late_s(&l.machine_type);
             if !known
                 && (late || l.phase == Phase::Failed)
                 && !self.gone.contains(name)
@@ -299,38 +303,39 @@
     }
 
     /// Free room that is there or on its way.
-    pub(super) fn expected_rooms(&self, counted: Counted) -> Vec<Room> {
-        let mut rooms: Vec<Room> = self.rooms_beside(true, counted).into_iter().map(|(_, r)| r).collect();
+    pub(super) fn expected_capacities(&self, counted: Counted) -> Vec<MachineCapacity> {
+        let mut capacities: Vec<MachineCapacity> =
+            self.capacities_counting(true, counted).into_iter().map(|(_, r)| r).collect();
         let coming = |name: &str| !self.is_up(name) && !self.gone.contains(name) && !self.fell_silent(name);
         for (name, l) in &self.list {
             if matches!(l.phase, Phase::Booting | Phase::Running)
                 && coming(name)
-                && let Some(t) = self.machine_type(&l.build)
+                && let Some(t) = self.machine_type(&l.machine_type)
             {
-                rooms.push(Room::empty(name, t, &l.site, l.spot));
+                capacities.push(MachineCapacity::empty(name, t, &l.zone, l.spot));
             }
         }
         for (name, r) in &self.rented {
-            let young = self.now.saturating_sub(r.at) < self.secs(self.late_s(&r.offer.build).min(1e6));
+            let young = self.now.saturating_sub(r.at) < self.secs(self.late_s(&r.offer.machine_type).min(1e6));
             if young
                 && coming(name)
                 && !self.list.contains_key(name)
-                && let Some(t) = self.machine_type(&r.offer.build)
+                && let Some(t) = self.machine_type(&r.offer.machine_type)
             {
-                rooms.push(Room::empty(name, t, &r.offer.site, r.offer.spot));
+                capacities.push(MachineCapacity::empty(name, t, &r.offer.zone, r.offer.spot));
             }
         }
         // What may use spot machines counts on those first.
-        rooms.sort_by_key(|r| !r.spot);
-        rooms
+        capacities.sort_by_key(|r| !r.spot);
+        capacities
     }
 
     /// So much boots already that what arrays need beyond it is not known yet:
     /// a fleet that begins with nothing would rent ordinary machines for all
     /// that gathered while the first ones boot.
-    fn growing(&self, rooms: &[Room]) -> bool {
+    fn growing(&self, capacities: &[MachineCapacity]) -> bool {
         let (mut up, mut boots) = (0.0, 0.0);
-        for r in rooms {
+        for r in capacities {
             let part = if self.is_up(&r.machine) { &mut up } else { &mut boots };
             *part += r.total_cores;
         }
@@ -340,37 +345,37 @@
     /// Whether more is rented than stands there by the operators' own choice.
     /// Up to that, machines for late work are a small part of the cost and are
     /// rented freely; beyond it they are most of it.
-    fn thrift(&self, rooms: &[Room]) -> bool {
-        let base = |r: &Room| self.view.hosts.get(&r.machine).is_some_and(|h| h.rec.base);
-        let stands: f64 = rooms.iter().filter(|r| base(r)).map(|r| r.total_cores).sum();
-        rooms.iter().map(|r| r.total_cores).sum::<f64>() > stands * 2.0
+    fn saves_cost(&self, capacities: &[MachineCapacity]) -> bool {
+        let base = |r: &MachineCapacity| self.view.machines.get(&r.machine).is_some_and(|h| h.rec.base);
+        let stands: f64 = capacities.iter().filter(|r| base(r)).map(|r| r.total_cores).sum();
+        capacities.iter().map(|r| r.total_cores).sum::<f64>() > stands * 2.0
     }
 
     /// Waiting tasks: first those of services that must start soon, with room
     /// to spare for them, then all others. The first may count on room that
     /// arrays use, since those can be preempted.
-    fn demand(&self, rooms: &[Room]) -> (Vec<Demand<'_>>, Vec<Demand<'_>>) {
-        let cores: f64 = rooms.iter().map(|r| r.total_cores).sum();
-        let thrift = self.thrift(rooms);
-        let growing = thrift && self.growing(rooms);
-        let all_saved = !thrift && self.aims.behind();
+    fn demand(&self, capacities: &[MachineCapacity]) -> (Vec<Demand<'_>>, Vec<Demand<'_>>) {
+        let cores: f64 = capacities.iter().map(|r| r.total_cores).sum();
+        let saves_cost = self.saves_cost(capacities);
+        let growing = saves_cost && self.growing(capacities);
+        let all_saved = !saves_cost && self.aims.behind();
         let boot = self.types.iter().map(|t| t.startup_s).fold(f64::MAX, f64::min);
         let (mut services, mut arrays) = (Vec::new(), Vec::new());
         let leaving = self.leaving();
         let mut run = (0.0, 0.0);
         let mut spare: BTreeMap<&str, (&JobSpec, u32)> = BTreeMap::new();
-        let soon = |spec: &JobSpec| spec.form == Form::Standing && self.aims.start_within(spec).is_some();
-        for j in self.view.jobs.values().filter(|j| !j.withdrawn()) {
+        let soon = |spec: &JobSpec| spec.kind == JobKind::Service && self.aims.start_within(spec).is_some();
+        for j in self.view.jobs.values().filter(|j| !j.cancelled()) {
             let mut n = j.waiting_count();
-            if j.spec.form == Form::Standing {
+            if j.spec.kind == JobKind::Service {
                 n += leaving.get(j.spec.uid.as_str()).copied().unwrap_or(0);
             }
             // A machine rented now does not save a job that will be late all
             // the same: it makes do with less, unless aims are missed and
             // machines are cheap beside what stands there.
             let age_s = self.wall_ms().saturating_sub(j.rec.rec.at_ms) as f64 / 1000.0;
-            let aim_s = self.aims.end_from(&j.spec, age_s, boot + j.spec.expected_s * HOPE);
-            let lost = aim_s.is_some_and(|a| a - age_s < boot + j.spec.expected_s * HOPE);
+            let aim_s = self.aims.end_from(&j.spec, age_s, boot + j.spec.estimated_run_s * HOPE);
+            let lost = aim_s.is_some_and(|a| a - age_s < boot + j.spec.estimated_run_s * HOPE);
             let lost = lost && !all_saved;
             if lost {
                 n = n.div_ceil(LATE_SHARE);
@@ -380,41 +385,41 @@
                 let d = Demand {
                     spec: &j.spec,
                     tasks: n,
-                    thrifty: lost || growing,
+                    spot_only: lost || growing,
                     zones,
-                    of: j.spec.parcels,
+                    of: j.spec.task_count,
                     spare: false,
                 };
                 if soon(&j.spec) {
                     services.push(d);
                 } else {
-                    let slack_s = aim_s.map_or(0.0, |a| a - age_s - boot - j.spec.expected_s * HOPE);
+                    let slack_s = aim_s.map_or(0.0, |a| a - age_s - boot - j.spec.estimated_run_s * HOPE);
                     arrays.push((slack_s, d));
                 }
             }
-            if j.spec.form == Form::Batch {
-                run.0 += f64::from(j.spec.parcels) * j.spec.expected_s;
-                run.1 += f64::from(j.spec.parcels);
+            if j.spec.kind == JobKind::Array {
+                run.0 += f64::from(j.spec.task_count) * j.spec.estimated_run_s;
+                run.1 += f64::from(j.spec.task_count);
             }
             if soon(&j.spec) {
-                let e = spare.entry(&j.spec.docket).or_insert((&j.spec, 0));
-                e.1 += j.spec.parcels;
+                let e = spare.entry(&j.spec.class).or_insert((&j.spec, 0));
+                e.1 += j.spec.task_count;
             }
         }
         // The services of any one machine must find room elsewhere at once.
-        let mut together: BTreeMap<&str, u32> = BTreeMap::new();
+        let mut zone_affinity: BTreeMap<&str, u32> = BTreeMap::new();
         for (class, n) in self.view.loads.values().flat_map(|l| &l.standing) {
-            let most = together.entry(class).or_default();
+            let most = zone_affinity.entry(class).or_default();
             *most = (*n).max(*most);
         }
         for (class, (spec, n)) in spare {
             let share = (f64::from(n) * self.set.operator.spare_share).ceil() as u32 + 1;
-            let tasks = share.max(together.get(class).copied().unwrap_or(0));
+            let tasks = share.max(zone_affinity.get(class).copied().unwrap_or(0));
             services.push(Demand::spare(spec, tasks));
         }
         // Jobs that are lost take what the others leave.
         arrays.sort_by(|(a, c), (b, d)| {
-            d.spec.urgency.cmp(&c.spec.urgency).then((*a < 0.0).cmp(&(*b < 0.0))).then(a.total_cmp(b))
+            d.spec.priority.cmp(&c.spec.priority).then((*a < 0.0).cmp(&(*b < 0.0))).then(a.total_cmp(b))
         });
         // Room that running tasks leave soon enough serves jobs that can wait
         // for it: only the rest is worth an ordinary machine.
@@ -423,15 +428,15 @@
         let mut split = Vec::new();
         for (slack_s, d) in arrays {
             let turns = (freed_per_s * slack_s.max(0.0) - before).max(0.0) / d.spec.cores.max(f64::MIN_POSITIVE);
-            let waits = if d.thrifty {
+            let waits = if d.spot_only {
                 d.tasks
-            } else if !thrift {
+            } else if !saves_cost {
                 0
             } else {
                 turns.min(f64::from(d.tasks)) as u32
             };
             before += f64::from(waits) * d.spec.cores;
-            let part = |tasks, thrifty| Demand { tasks, thrifty, zones: d.zones.clone(), ..d };
+            let part = |tasks, spot_only| Demand { tasks, spot_only, zones: d.zones.clone(), ..d };
             split.extend([part(d.tasks - waits, false), part(waits, true)].into_iter().filter(|d| d.tasks > 0));
         }
         (services, split)
@@ -442,10 +447,11 @@
             return;
         }
         let refused: BTreeSet<Offer> = self.refused.keys().cloned().collect();
-        let mut all = self.expected_rooms(Counted::All);
+        let mut all = self.expected_capacities(Counted::All);
         let (services, arrays) = self.demand(&all);
         let most = RENT_LIMIT * (self.cloud.level(self.now) as u32).max(1);
-        let mut rentals = wanted_rentals(&services, self.expected_rooms(Counted::Lasting), &self.types, &refused, most);
+        let mut rentals =
+            wanted_rentals(&services, self.expected_capacities(Counted::Lasting), &self.types, &refused, most);
         // What stands free for arrays is not known before the fleet is.
         let arrays = if self.start.fleet_known() { arrays } else { Vec::new() };
         let left = most - rentals.iter().map(|r| r.number).sum::<u32>().min(most);
@@ -458,10 +464,10 @@
         };
         for mut r in rentals.into_iter().flat_map(parts) {
             // Machines on their way out are the quickest to have.
-            while let Some((pack, mut names)) = self.draining(&r.offer).filter(|_| r.number > 0 && self.may_write(1.0))
+            while let Some((group, mut names)) = self.draining(&r.offer).filter(|_| r.number > 0 && self.may_write(1.0))
             {
                 names.truncate(r.number as usize);
-                if !self.mark_drain(&pack, &names, false) {
+                if !self.mark_drain(&group, &names, false) {
                     break;
                 }
                 r.number -= names.len() as u32;
@@ -474,16 +480,16 @@
             }
             self.cloud.charge(self.now, 1.0);
             self.renting += 1;
-            self.charter += 1;
-            let charter = format!("fq-{}-{}", self.term(), self.charter);
-            let body = encode(&Rent {
-                charter: charter.as_str().into(),
-                build: r.offer.build.as_str().into(),
-                site: r.offer.site.as_str().into(),
+            self.request_id += 1;
+            let request_id = format!("fq-{}-{}", self.term(), self.request_id);
+            let body = encode(&RentRequest {
+                request_id: request_id.as_str().into(),
+                machine_type: r.offer.machine_type.as_str().into(),
+                zone: r.offer.zone.as_str().into(),
                 spot: r.offer.spot,
                 number: r.number,
             });
-            let timeout = self.report_s(2.0);
+            let timeout = self.heartbeat_intervals(2.0);
             let purpose = Purpose::Rent { offer: r.offer, number: r.number };
             self.call(Target::Cloud, "POST", RENT.into(), Some(body), timeout, purpose);
         }
@@ -495,22 +501,23 @@
     /// While aims are missed cheap ones are kept for longer.
     fn return_idle(&mut self) {
         let now = self.now;
-        let rooms = self.rooms(true);
+        let capacities = self.capacities(true);
         let boot = self.types.iter().map(|t| t.startup_s).fold(0.0, f64::max);
-        let waits = self.view.jobs.values().any(|j| j.waiting_count() > 0 && j.spec.form != Form::Standing);
+        let waits = self.view.jobs.values().any(|j| j.waiting_count() > 0 && j.spec.kind != JobKind::Service);
         if waits {
             self.pressed_at = Some(now);
         }
-        let plain: Vec<Room> = rooms.iter().map(|(_, r)| r.clone()).collect();
-        let thrift = usize::from(self.thrift(&plain));
+        let plain: Vec<MachineCapacity> = capacities.iter().map(|(_, r)| r.clone()).collect();
+        let saves_cost = usize::from(self.saves_cost(&plain));
         // Missed aims are a reason to keep machines only where tasks waited of late.
-        let pressed = self.pressed_at.is_some_and(|t| now.saturating_sub(t) < self.secs(boot * PRESSED_BOOTS[thrift]));
-        let keeps = if pressed && self.aims.behind() { BEHIND_KEEPS[thrift] } else { 1.0 };
-        let free: f64 = rooms.iter().map(|(_, r)| r.free_cores()).sum();
+        let pressed =
+            self.pressed_at.is_some_and(|t| now.saturating_sub(t) < self.secs(boot * PRESSED_BOOTS[saves_cost]));
+        let keeps = if pressed && self.aims.behind() { BEHIND_KEEPS[saves_cost] } else { 1.0 };
+        let free: f64 = capacities.iter().map(|(_, r)| r.free_cores()).sum();
         self.slack.push_back((now, free));
         // Whoever comes after a machine has to wait for a boot and an image.
         let pull = self.types.iter().map(|t| t.pull_gb_per_s).fold(f64::MIN_POSITIVE, f64::max);
-        let images = self.view.jobs.values().map(|j| j.spec.size_gb / pull);
+        let images = self.view.jobs.values().map(|j| j.spec.image_gb / pull);
         let again = boot + images.sum::<f64>() / (self.view.jobs.len() as f64).max(1.0);
         let window = |times: f64| self.secs(again * self.set.operator.idle_boots * times);
         let (short, long) = (window(1.0), window(keeps));
@@ -520,61 +527,65 @@
         }
         // The least that was free over a whole window; nothing before that.
         let least = |window: Duration| {
-            let whole = self.slack.front().is_some_and(|(t, _)| now.saturating_sub(*t) + self.report_s(1.0) > window);
+            let whole = self
+                .slack
+                .front()
+                .is_some_and(|(t, _)| now.saturating_sub(*t) + self.heartbeat_intervals(1.0) > window);
             let within = self.slack.iter().rev().take_while(|(t, _)| now.saturating_sub(*t) <= window);
             if whole { within.map(|s| s.1).fold(f64::INFINITY, f64::min) } else { 0.0 }
         };
         let (least_short, least_long) = (least(short), least(long));
         let standing = |name: &str| self.view.loads.get(name).is_some_and(|l| !l.standing.is_empty());
-        let pack_busy = |h: &HostRec| self.busy.contains(&records::pack_key(&h.pack));
+        let group_busy = |h: &MachineRecord| self.busy.contains(&records::machine_group_key(&h.group));
         // Services are not moved for this; of the rest, the dearer kind goes
         // first, and then the least used.
-        let mut able: Vec<&Room> = rooms
+        let mut able: Vec<&MachineCapacity> = capacities
             .iter()
             .map(|(_, r)| r)
             .filter(|r| {
-                r.total_cores <= if r.spot || thrift == 0 { least_long } else { least_short } && !standing(&r.machine)
+                r.total_cores <= if r.spot || saves_cost == 0 { least_long } else { least_short }
+                    && !standing(&r.machine)
             })
-            .filter(|r| self.view.hosts.get(&r.machine).is_some_and(|h| !h.rec.base && !pack_busy(&h.rec)))
+            .filter(|r| self.view.machines.get(&r.machine).is_some_and(|h| !h.rec.base && !group_busy(&h.rec)))
             .collect();
         able.sort_by(|a, b| {
-            let used = |r: &Room| r.total_cores - r.free_cores();
+            let used = |r: &MachineCapacity| r.total_cores - r.free_cores();
             a.spot.cmp(&b.spot).then(used(a).total_cmp(&used(b))).then_with(|| b.machine.cmp(&a.machine))
         });
         let spare = self.writes.level(now) - self.writes.rate * SPARE_WRITES;
         let most = if self.may_write(0.0) { spare.max(0.0) as usize } else { 0 };
         // Machines beside a standing fleet go one by one: room that several
         // free at once may be wanted again before new ones are up.
-        let most_machines = if thrift == 0 { 1 } else { usize::MAX };
+        let most_machines = if saves_cost == 0 { 1 } else { usize::MAX };
         let mut left = least_short.max(least_long);
         let mut chosen: Vec<(String, f64)> = Vec::new();
-        let mut packs: BTreeMap<String, Vec<String>> = BTreeMap::new();
+        let mut machine_groups: BTreeMap<String, Vec<String>> = BTreeMap::new();
         for r in able {
-            let Some(h) = self.view.hosts.get(&r.machine) else { continue };
+            let Some(h) = self.view.machines.get(&r.machine) else { continue };
             if chosen.len() >= most_machines {
                 break;
             }
-            if r.total_cores > left || (packs.len() >= most && !packs.contains_key(&h.rec.pack)) {
+            if r.total_cores > left || (machine_groups.len() >= most && !machine_groups.contains_key(&h.rec.group)) {
                 continue;
             }
             left -= r.total_cores;
             chosen.push((r.machine.clone(), r.free_cores()));
-            packs.entry(h.rec.pack.clone()).or_default().push(r.machine.clone());
+            machine_groups.entry(h.rec.group.clone()).or_default().push(r.machine.clone());
         }
         if chosen.is_empty() {
             return;
         }
         let (services, arrays) = self.demand(&plain);
-        let stays = |rooms: Vec<(String, Room)>| -> Vec<Room> {
+        let stays = |capacities: Vec<(String, MachineCapacity)>| -> Vec<MachineCapacity> {
             let gone: BTreeSet<&str> = chosen.iter().map(|c| c.0.as_str()).collect();
-            rooms.into_iter().map(|(_, r)| r).filter(|r| !gone.contains(r.machine.as_str())).collect()
+            capacities.into_iter().map(|(_, r)| r).filter(|r| !gone.contains(r.machine.as_str())).collect()
         };
-        let lasting = self.rooms_beside(true, Counted::Lasting);
-        if !fits(&services, &mut stays(lasting)) || !fits(&arrays, &mut stays(rooms)) {
+        let lasting = self.capacities_counting(true, Counted::Lasting);
+        if !fits(&services, &mut stays(lasting)) || !fits(&arrays, &mut stays(capacities)) {
             return;
         }
-        for (pack, names) in packs {
-            if self.mark_drain(&pack, &names, true) {
+        for (group, names) in machine_groups {
+            if self.mark_drain(&group, &names, true) {
                 let cores: f64 = chosen.iter().filter(|c| names.contains(&c.0)).map(|c| c.1).sum();
                 for s in &mut self.slack {
                     s.1 -= cores;
@@ -584,39 +595,44 @@
     }
 
     /// Marks machines of one pack.
-    fn mark_drain(&mut self, pack: &str, names: &[String], drain: bool) -> bool {
-        let Some((conds, op)) = self.marked_pack(pack, names, drain) else { return false };
+    fn mark_drain(&mut self, group: &str, names: &[String], drain: bool) -> bool {
+        let Some((conditions, op)) = self.marked_group(group, names, drain) else { return false };
         tracing::debug!(machines = ?names, drain, "machines marked");
-        let mut txn = Txn { conds: vec![self.lead_cond()], ops: vec![op] };
-        txn.conds.extend(conds);
+        let mut txn = Txn { conditions: vec![self.leader_condition()], ops: vec![op] };
+        txn.conditions.extend(conditions);
         self.txn_keyed(txn, Why::Mark);
         true
     }
 
     /// The change that marks machines of one pack; none while another is under way.
-    pub(super) fn marked_pack(&self, pack: &str, names: &[String], drain: bool) -> Option<([Cond; 2], Op)> {
-        let key = records::pack_key(pack);
-        let p = self.view.packs.get(pack).filter(|_| !self.busy.contains(&key))?;
+    pub(super) fn marked_group(&self, group: &str, names: &[String], drain: bool) -> Option<([Condition; 2], Op)> {
+        let key = records::machine_group_key(group);
+        let p = self.view.machine_groups.get(group).filter(|_| !self.busy.contains(&key))?;
         let mut rec = self.view.in_force(p);
         rec.drain.retain(|m| !names.contains(m));
         if drain {
             rec.drain.extend_from_slice(names);
         }
-        let conds = [Cond { key: key.clone(), entry_no: p.version }, self.block_cond_of(&p.rec.owner)];
-        Some((conds, Op::Put { key, data: records::to_value(&rec), lease: None }))
+        let conditions = [Condition { key: key.clone(), version: p.version }, self.shard_condition_of(&p.rec.owner)];
+        Some((conditions, Op::Put { key, data: records::to_value(&rec), lease: None }))
     }
 
     /// Machines of a kind, in one pack, that are being drained and not released yet.
     fn draining(&self, offer: &Offer) -> Option<(String, Vec<String>)> {
-        let campaign = |m: &String| self.view.upkeep.as_ref().is_some_and(|u| u.rec.wave.contains(m));
-        let same = |p: &PackRec| p.build == offer.build && p.site == offer.site && p.spot == offer.spot;
-        let mut packs =
-            self.view.packs.iter().filter(|(_, p)| !p.rec.drain.is_empty() && same(&p.rec) && self.view.held(p));
-        packs.find_map(|(pack, p)| {
+        let campaign = |m: &String| self.view.maintenance.as_ref().is_some_and(|u| u.rec.wave.contains(m));
+        let same = |p: &MachineGroupRecord| {
+            p.machine_type == offer.machine_type && p.zone == offer.zone && p.spot == offer.spot
+        };
+        let mut machine_groups = self
+            .view
+            .machine_groups
+            .iter()
+            .filter(|(_, p)| !p.rec.drain.is_empty() && same(&p.rec) && self.view.held(p));
+        machine_groups.find_map(|(group, p)| {
             let kept: Vec<String> =
                 p.rec.drain.iter().filter(|m| self.view.placed.contains_key(*m) && !campaign(m)).cloned().collect();
-            let free = !self.busy.contains(&records::pack_key(pack));
-            (free && !kept.is_empty()).then(|| (pack.clone(), kept))
+            let free = !self.busy.contains(&records::machine_group_key(group));
+            (free && !kept.is_empty()).then(|| (group.clone(), kept))
         })
     }
 }
--- a/src/controller/links.rs
+++ b/src/controller/connectivity.rs
@@ -3,9 +3,9 @@
 //! rule rests on them, but for the attestation, whose proof is in `links::table`.
 
 use super::*;
-use crate::links::account::{Account, Group, Sight, of_owner};
-use crate::links::fit::{self, Turns};
-use crate::protocol::peer::{FRAME_LIMIT, Heard, Owed};
+use crate::connectivity::account::{Account, Group, Sight, of_owner};
+use crate::connectivity::fit::{self, Turns};
+use crate::protocol::peer::{FRAME_LIMIT, Heard, Revocations};
 
 /// So many beats tell of the images of all machines.
 const BEATS_PER_ROUND: usize = 4;
@@ -22,29 +22,29 @@
 
 impl Controller {
     /// Tells the other controllers what is seen from here.
-    pub(super) fn beat(&mut self) {
-        let keep = self.round_of_all() + self.report_s(1.0);
+    pub(super) fn heartbeat(&mut self) {
+        let keep = self.round_of_all() + self.heartbeat_intervals(1.0);
         let now = self.now;
         let view = &self.view;
-        self.hearing.prune(now, keep, |m| view.hosts.contains_key(m));
+        self.hearing.prune(now, keep, |m| view.machines.contains_key(m));
         if self.ses.following() {
-            self.images.retain(|m, _| view.hosts.contains_key(m));
+            self.images.retain(|m, _| view.machines.contains_key(m));
         }
         let millis = |d: Duration| d.as_millis() as u64;
-        let (seq, echo) = self.links.send(now);
+        let (seq, acknowledgements) = self.links.send(now);
         self.probed.retain(|_, t| now.saturating_sub(*t) < keep);
-        let asks = self.silent_machines();
-        self.probe(&asks);
-        let mut beat = Beat {
-            asks,
+        let silent = self.silent_machines();
+        self.probe(&silent);
+        let mut heartbeat = PeerHeartbeat {
+            silent,
             reached: self.probed.iter().map(|(m, t)| (m.clone(), millis(now.saturating_sub(*t)))).collect(),
             incarnation: self.incarnation,
             seq,
-            echo,
+            acknowledgements,
             members: if self.ses.following() && self.fresh() { self.live_members() } else { Vec::new() },
             revision: self.ses.following().then_some(self.view.revision),
-            learned: self.view.learned(),
-            owed: self.owed(),
+            known_revision: self.view.known_revision(),
+            revocations: self.revocations(),
             rented: if self.am_leader() { self.young.iter().cloned().collect() } else { Vec::new() },
             unlisted: if self.am_leader() { self.unlisted.iter().cloned().collect() } else { Vec::new() },
             held: Vec::new(),
@@ -53,24 +53,24 @@
             heard: self
                 .hearing
                 .all()
-                .map(|(m, t, (shift, tally))| {
+                .map(|(m, t, (agent_epoch, heartbeat_seq))| {
                     let ago_ms = millis(now.saturating_sub(t));
-                    Heard { machine: m.to_string(), ago_ms, shift, tally }
+                    Heard { machine: m.to_string(), ago_ms, agent_epoch, heartbeat_seq }
                 })
                 .collect(),
         };
-        self.beats = self.beats.wrapping_add(1);
-        for (n, name) in self.view.hosts.keys().enumerate() {
-            if (n + self.beats).is_multiple_of(BEATS_PER_ROUND)
+        self.heartbeats = self.heartbeats.wrapping_add(1);
+        for (n, name) in self.view.machines.keys().enumerate() {
+            if (n + self.heartbeats).is_multiple_of(BEATS_PER_ROUND)
                 && let Some(images) = self.held_images(name).filter(|i| !i.is_empty())
             {
-                beat.note_images(name, images.iter());
+                heartbeat.note_images(name, images.iter());
             }
         }
-        let turns = Turns { beats: self.beats, held: self.beats / BEATS_PER_ROUND };
-        fit::fit(&mut beat, turns, |machine| self.told_first(machine));
+        let turns = Turns { heartbeats: self.heartbeats, held: self.heartbeats / BEATS_PER_ROUND };
+        fit::fit(&mut heartbeat, turns, |machine| self.told_first(machine));
         for other in &self.set.others {
-            let frame = Frame::Beat(Box::new(beat.clone()));
+            let frame = Frame::PeerHeartbeat(Box::new(heartbeat.clone()));
             self.out.push(Action::Send { member: other.member.clone(), frame });
         }
     }
@@ -83,32 +83,32 @@
     }
 
     /// What others must know of that they have not seen, as far as they said.
-    fn owed(&self) -> Option<Owed> {
-        if !self.ses.following() || !self.view.has_all_learned() {
+    fn revocations(&self) -> Option<Revocations> {
+        if !self.ses.following() || !self.view.has_all_known() {
             return None;
         }
         let spoke = self.secs(self.set.settings.workers.lease_s);
         let since = self.links.seen_by_all(self.now, spoke).unwrap_or(self.view.revision);
         let named = |(name, at): (&String, u64)| (name.clone(), at);
-        let withdrawn: Vec<(String, u64)> = self.view.withdrawn_since(since).map(named).collect();
+        let cancelled: Vec<(String, u64)> = self.view.cancelled_since(since).map(named).collect();
         let granted: Vec<(String, u64)> = self.view.granted_since(since).map(named).collect();
         let bytes = |list: &[(String, u64)]| -> usize {
             list.iter().map(|(name, _)| name.len() + size_of::<(u32, u64)>()).sum()
         };
-        let size = bytes(&withdrawn) + bytes(&granted);
-        (size < FRAME_LIMIT / OWED_PART).then_some(Owed { since, withdrawn, granted })
+        let size = bytes(&cancelled) + bytes(&granted);
+        (size < FRAME_LIMIT / OWED_PART).then_some(Revocations { since, cancelled, granted })
     }
 
-    /// Lets go of jobs that another controller knows to be withdrawn.
-    pub(super) fn heed(&mut self, owed: &Owed) {
+    /// Lets go of jobs that another controller knows to be cancelled.
+    pub(super) fn apply_revocations(&mut self, revocations: &Revocations) {
         if !self.ses.following() {
             return;
         }
         let revision = self.view.revision;
         let (mut let_go, mut newest) = (0, 0);
-        for (uid, at) in owed.withdrawn.iter().filter(|(_, at)| *at > revision) {
+        for (uid, at) in revocations.cancelled.iter().filter(|(_, at)| *at > revision) {
             if !self.view.lets_go(uid) {
-                self.view.withdrawn_elsewhere(uid, *at);
+                self.view.cancelled_elsewhere(uid, *at);
                 (let_go, newest) = (let_go + 1, (*at).max(newest));
             }
         }
@@ -120,11 +120,11 @@
 
     /// Whether all that is owed is heeded: the jobs are let go, and no machine of ours
     /// was granted since.
-    fn heeds(&self, owed: &Owed) -> bool {
+    fn has_applied(&self, revocations: &Revocations) -> bool {
         let revision = self.view.revision;
-        let ours = |m: &str, at: u64| self.view.hosts.get(m).is_some_and(|h| self.owns(h) && h.rec.granted < at);
-        owed.withdrawn.iter().all(|(uid, at)| *at <= revision || self.view.lets_go(uid))
-            && !owed.granted.iter().any(|(m, at)| *at > revision && ours(m, *at))
+        let ours = |m: &str, at: u64| self.view.machines.get(m).is_some_and(|h| self.owns(h) && h.rec.granted < at);
+        revocations.cancelled.iter().all(|(uid, at)| *at <= revision || self.view.lets_go(uid))
+            && !revocations.granted.iter().any(|(m, at)| *at > revision && ours(m, *at))
     }
 
     /// The images that a machine of any block is known to hold.
@@ -134,9 +134,9 @@
 
     /// Takes in what another controller knows of images: of its machines, and
     /// of ours from before we started.
-    pub(super) fn note_images(&mut self, beat: &Beat) {
-        for (machine, images) in beat.images() {
-            if !self.view.hosts.contains_key(machine) {
+    pub(super) fn note_images(&mut self, heartbeat: &PeerHeartbeat) {
+        for (machine, images) in heartbeat.images() {
+            if !self.view.machines.contains_key(machine) {
                 continue;
             }
             let known = match self.machines.get_mut(machine) {
@@ -154,7 +154,8 @@
     /// Machines of ours that fell silent of late: whether anybody reaches them
     /// decides what becomes of them.
     fn silent_machines(&self) -> Vec<(String, String)> {
-        let (from, to) = (self.report_s(perches::HEARD_REPORTS), self.round_of_all() + self.report_s(2.0));
+        let (from, to) =
+            (self.heartbeat_intervals(agents::HEARD_REPORTS), self.round_of_all() + self.heartbeat_intervals(2.0));
         let silent = |m: &Machine| m.heard_at.map_or(Duration::MAX, |t| self.now.saturating_sub(t));
         let fell = |m: &Machine| !m.releasing && !m.addr.is_empty() && silent(m) >= from && silent(m) < to;
         let mut out: Vec<(&String, &Machine)> = self.machines.iter().filter(|(_, m)| fell(m)).collect();
@@ -164,34 +165,34 @@
 
     /// Calls machines that fell silent to their owner; reading what they report
     /// changes nothing and renews no lease.
-    pub(super) fn probe(&mut self, asks: &[(String, String)]) {
-        for (machine, addr) in asks.iter().take(ASKS) {
+    pub(super) fn probe(&mut self, silent: &[(String, String)]) {
+        for (machine, addr) in silent.iter().take(ASKS) {
             let Ok(addr) = addr.parse() else { continue };
             let purpose = Purpose::Probe { machine: machine.clone(), known: self.hearing.newest(machine) };
-            self.call(Target::Worker(addr), "GET", "/show".into(), None, self.report_s(1.0), purpose);
+            self.call(Target::Worker(addr), "GET", "/show".into(), None, self.heartbeat_intervals(1.0), purpose);
         }
     }
 
     /// Calls a machine whose report may be a copy: of one that nobody knows, or that
     /// says less than is known.
-    pub(super) fn call_back(&mut self, report: &Report) {
-        if self.hearing.may_call(&report.machine, self.now, self.report_s(1.0)) {
+    pub(super) fn call_back(&mut self, report: &Heartbeat) {
+        if self.hearing.may_call(&report.machine, self.now, self.heartbeat_intervals(1.0)) {
             self.probe(&[(report.machine.clone(), report.addr.clone())]);
         }
     }
 
     pub(super) fn probe_answer(&mut self, machine: String, known: At, result: Result<Reply, NoAnswer>) {
         let report = result.ok().filter(|r| r.status == 200);
-        let report = report.and_then(|r| crate::protocol::decode::<Report>(&r.body).ok());
+        let report = report.and_then(|r| crate::protocol::decode::<Heartbeat>(&r.body).ok());
         let Some(report) = report.filter(|r| r.machine == machine) else { return };
         // Its owner may be about to return it.
-        self.beat_next = self.beat_next.min(self.now + self.report_s(STRAY_BEAT));
+        self.heartbeat_next = self.heartbeat_next.min(self.now + self.heartbeat_intervals(STRAY_BEAT));
         self.probed.insert(machine.clone(), self.now);
-        let at = (report.shift, report.tally);
-        let belied = self.machines.get(&machine).is_some_and(|m| at > m.at && m.belies(report.warrant));
+        let at = (report.agent_epoch, report.heartbeat_seq);
+        let belied = self.machines.get(&machine).is_some_and(|m| at > m.at && m.belies(report.fencing_token));
         if at < known || belied {
             // It said this after we called, so its counters or its token went back: it ended.
-            tracing::info!(%machine, shift = at.0, tally = at.1, "machine began anew");
+            tracing::info!(%machine, agent_epoch = at.0, heartbeat_seq = at.1, "machine began anew");
             self.hearing.begins_anew(&machine, at, self.now);
             if let Some(m) = self.machines.get_mut(&machine) {
                 m.begin_anew(&report);
@@ -213,7 +214,7 @@
             return None;
         }
         let expelled = self.links.expelled_by(self.now);
-        let served = || self.links.served(self.now, self.report_s(1.0)).filter(|_| !self.entitled());
+        let served = || self.links.served(self.now, self.heartbeat_intervals(1.0)).filter(|_| !self.entitled());
         expelled.or_else(served).map(Into::into)
     }
 
@@ -221,22 +222,23 @@
     /// round to one of them.
     pub(super) fn round_of_all(&self) -> Duration {
         let w = &self.set.settings.workers;
-        let round = perches::WORKER_MOVES_S * self.set.controllers() as f64;
-        self.secs(round.min(w.lease_s)).max(self.report_s(3.0))
+        let round = agents::WORKER_MOVES_S * self.set.controllers() as f64;
+        self.secs(round.min(w.lease_s)).max(self.heartbeat_intervals(3.0))
     }
 
     /// Beats go at this interval.
-    pub(super) fn beat_every(report: Duration) -> Duration {
+    pub(super) fn heartbeat_interval(report: Duration) -> Duration {
         report / 2
     }
 
     /// A worker that should have reported to its owner came here: the others
     /// hear of it sooner than by the next beat.
     pub(super) fn note_stray(&mut self, machine: &str) {
-        let known = self.strays.get(machine).is_some_and(|t| self.now.saturating_sub(*t) < self.report_s(2.0));
+        let known =
+            self.strays.get(machine).is_some_and(|t| self.now.saturating_sub(*t) < self.heartbeat_intervals(2.0));
         if !known {
             self.strays.insert(machine.to_string(), self.now);
-            self.beat_next = self.beat_next.min(self.now + self.report_s(STRAY_BEAT));
+            self.heartbeat_next = self.heartbeat_next.min(self.now + self.heartbeat_intervals(STRAY_BEAT));
         }
     }
 
@@ -255,7 +257,7 @@
         // Machines that reported to somebody else than their owner, and when.
         let mut others: HashMap<&str, Instant> = HashMap::new();
         let mut note = |machine: &'_ str, by: &str, at: Instant| {
-            let Some((name, h)) = self.view.hosts.get_key_value(machine) else { return };
+            let Some((name, h)) = self.view.machines.get_key_value(machine) else { return };
             let ours = h.rec.owner == self.me;
             if h.rec.owner != by && (leads || ours) && self.view.owned(&h.rec) {
                 let last = others.entry(name).or_default();
@@ -272,16 +274,16 @@
         }
         let mut unreached: BTreeMap<&str, Vec<&str>> = BTreeMap::new();
         for (name, at) in &others {
-            let Some(h) = self.view.hosts.get(*name) else { continue };
+            let Some(h) = self.view.machines.get(*name) else { continue };
             if self.sight(name, &h.rec.owner, Some(*at)).unreached().is_some() {
                 unreached.entry(&h.rec.owner).or_default().push(name);
             }
         }
         let mut found: Vec<(String, Account, usize)> = Vec::new();
         for (owner, machines) in &unreached {
-            let block = self.view.hosts.iter().filter(|(_, h)| h.rec.owner == **owner);
+            let shard = self.view.machines.iter().filter(|(_, h)| h.rec.owner == **owner);
             let sights: Vec<Sight> =
-                block.map(|(name, _)| self.sight(name, owner, others.get(name.as_str()).copied())).collect();
+                shard.map(|(name, _)| self.sight(name, owner, others.get(name.as_str()).copied())).collect();
             found.push((owner.to_string(), of_owner(&sights), machines.len()));
         }
         let mut unreached_since = HashMap::new();
@@ -302,13 +304,13 @@
 
     /// Since when each machine belongs to its owner, as far as is known here.
     fn note_owners(&mut self) {
-        if self.owners_seen == Some(self.view.hosts_changed) {
+        if self.owners_seen == Some(self.view.machines_changed) {
             return;
         }
-        self.owners_seen = Some(self.view.hosts_changed);
+        self.owners_seen = Some(self.view.machines_changed);
         let (now, view) = (self.now, &self.view);
-        self.owned.retain(|name, _| view.hosts.contains_key(name));
-        for (name, h) in &view.hosts {
+        self.owned.retain(|name, _| view.machines.contains_key(name));
+        for (name, h) in &view.machines {
             let (grant, owner) = (h.rec.granted, &h.rec.owner);
             match self.owned.get_mut(name) {
                 Some(known) if known.grant == grant => {}
@@ -346,7 +348,7 @@
     /// they came there and not back to it, or they fell silent to it, do not
     /// answer its call, and answer somebody else's.
     pub(super) fn unreached_machines(&self) -> Vec<(String, String)> {
-        let lasting = self.report_s(UNREACHED_REPORTS);
+        let lasting = self.heartbeat_intervals(UNREACHED_REPORTS);
         let long = |t: &Instant| self.now.saturating_sub(*t) >= lasting;
         let mut names: BTreeSet<&str> =
             self.unreached_since.iter().filter(|(_, t)| long(t)).map(|(name, _)| name.as_str()).collect();
@@ -361,7 +363,7 @@
             }
             self.links.heard_at(member, name).max(self.links.reached_at(member, name))
         };
-        let near = self.report_s(2.0);
+        let near = self.heartbeat_intervals(2.0);
         // One that hears nothing comes round to all in turn. Moved once, it is moved
         // again only if it does not come to its new owner either.
         let (now, round) = (self.now, self.round_of_all());
@@ -380,7 +382,7 @@
     }
 
     fn owner_of(&self, machine: &str) -> Option<&String> {
-        self.view.hosts.get(machine).map(|h| &h.rec.owner)
+        self.view.machines.get(machine).map(|h| &h.rec.owner)
     }
 
     /// Whether a machine reaches a controller, as far as is known.
@@ -398,6 +400,8 @@
     /// its own read of the store, or by the word of all others.
     pub(super) fn surely_fresh_at(&self) -> Option<Instant> {
         let others = self.set.others.iter().map(|o| &o.member);
-        self.ses.fresh_at.max(self.links.attested(others, self.view.revision, |owed| self.heeds(owed)))
+        self.ses
+            .fresh_at
+            .max(self.links.attested(others, self.view.revision, |revocations| self.has_applied(revocations)))
     }
 }
--- a/src/controller/segments.rs
+++ b/src/controller/journal.rs
@@ -2,18 +2,18 @@
 //! next segment, over all jobs and machines; checkpoints of chunks free the slots
 //! for later ones. A start is ordered only once its segment is in the store.
 
-use super::commit::Ended;
 use super::quota::{FAR_FROM_LIMIT, limited};
+use super::transactions::Ended;
 use super::*;
-use crate::bookkeeping::Job;
-use crate::bookkeeping::records::{ChunkRec, Place};
-use crate::bookkeeping::segment::{Facts, RING, SegmentRec, bytes};
 use crate::coordination::log::{Draft, Limits, Need, byte_shares, fitting, wide};
 use crate::coordination::parts::Limit;
 use crate::placement::Start;
 use crate::protocol::encode;
-use crate::protocol::store::{Cond, Op};
-use crate::protocol::user::Form;
+use crate::protocol::store::{Condition, Op};
+use crate::protocol::user::JobKind;
+use crate::state::Job;
+use crate::state::log_segment::{Facts, LogSegmentRecord, RING, bytes};
+use crate::state::records::{Placement, TaskRangeCheckpoint};
 
 /// Facts that can wait go this often, in report intervals.
 const PACE_REPORTS: f64 = 1.0 / 16.0;
@@ -26,7 +26,7 @@
 const FOLDS_AHEAD: usize = 8;
 
 /// A checkpoint to be written: its condition, its put and its size.
-type Fold = (Cond, Op, usize);
+type Fold = (Condition, Op, usize);
 
 /// Something has to be seen or answered first.
 struct NotYet;
@@ -35,14 +35,14 @@
 struct Quota {
     team: String,
     cond: (String, u64),
-    strict: Option<records::TeamRec>,
+    strict: Option<records::TeamRecord>,
 }
 
 /// What a team's starts in one segment take of its limit, and how.
 struct Taken {
-    amounts: Amounts,
+    amounts: Resources,
     /// The team's record changes with them.
-    strict: Option<records::TeamRec>,
+    strict: Option<records::TeamRecord>,
 }
 
 impl Controller {
@@ -67,14 +67,14 @@
             self.dirty = true;
             return;
         };
-        let room = st.txn_ops.saturating_sub(2).max(1);
+        let capacity = st.txn_ops.saturating_sub(2).max(1);
         let (value, beside) = byte_shares((st.value_kb * 1024.0) as usize);
-        if folds.len() > room || folds.iter().map(|f| f.2).sum::<usize>() > beside {
-            folds.truncate(room.min(FOLDS_AHEAD));
+        if folds.len() > capacity || folds.iter().map(|f| f.2).sum::<usize>() > beside {
+            folds.truncate(capacity.min(FOLDS_AHEAD));
             return self.send_folds(folds);
         }
-        let conds = (st.txn_ops * 4).saturating_sub(folds.len() + 1);
-        let mut draft = Draft::new(Limits { conds, bytes: value });
+        let conditions = (st.txn_ops * 4).saturating_sub(folds.len() + 1);
+        let mut draft = Draft::new(Limits { conditions, bytes: value });
         let mut taken: BTreeMap<String, Taken> = BTreeMap::new();
         let mut near = None;
         for uid in order {
@@ -92,12 +92,12 @@
             }
             return;
         }
-        let mut txn = Txn { conds: draft.conditions().collect(), ops: Vec::new() };
-        txn.conds.push(Cond { key: key.clone(), entry_no: version });
-        let data = records::to_value(&SegmentRec::of(seq, &draft.facts));
+        let mut txn = Txn { conditions: draft.conditions().collect(), ops: Vec::new() };
+        txn.conditions.push(Condition { key: key.clone(), version });
+        let data = records::to_value(&LogSegmentRecord::of(seq, &draft.facts));
         txn.ops.push(Op::Put { key: key.clone(), data, lease: None });
         let mut keys = vec![key];
-        keys.extend(draft.conds.keys().filter(|k| k.starts_with("fq/j/")).cloned());
+        keys.extend(draft.conditions.keys().filter(|k| k.starts_with("fq/j/")).cloned());
         let mut parts = Vec::new();
         for (team, t) in taken {
             match t.strict {
@@ -114,24 +114,24 @@
         }
         for (cond, op, _) in folds {
             keys.push(cond.key.clone());
-            txn.conds.push(cond);
+            txn.conditions.push(cond);
             txn.ops.push(op);
         }
-        self.log.sent(self.now, self.report_s(PACE_REPORTS));
-        let timeout = self.report_s(ANSWER_REPORTS);
+        self.log.sent(self.now, self.heartbeat_intervals(PACE_REPORTS));
+        let timeout = self.heartbeat_intervals(ANSWER_REPORTS);
         self.send_txn_within(txn, Why::Segment { facts: draft.facts, parts }, keys, timeout);
     }
 
     /// Whether the machine is ours by a grant that the view has reached, and that
     /// no refusal has put in doubt: then what conditions writes about it need.
     fn grant_conds(&self, machine: &str) -> Option<Vec<(String, u64)>> {
-        let h = self.view.hosts.get(machine).filter(|h| self.owns(h) && h.rec.granted <= self.view.revision)?;
-        let pack = records::pack_key(&h.rec.pack);
+        let h = self.view.machines.get(machine).filter(|h| self.owns(h) && h.rec.granted <= self.view.revision)?;
+        let group = records::machine_group_key(&h.rec.group);
         // What an earlier incarnation sent late must not take back a place that
         // its successor relies on.
-        let block = self.block_cond();
+        let shard = self.shard_condition();
         let known = |key: &str| !self.outdated.contains_key(key);
-        (known(&pack) && known(&block.key)).then(|| vec![(pack, h.version), (block.key, block.entry_no)])
+        (known(&group) && known(&shard.key)).then(|| vec![(group, h.version), (shard.key, shard.version)])
     }
 
     /// Takes the job's exits into the draft; false if it is full.
@@ -142,7 +142,7 @@
         let mut full = false;
         let done = Need { bytes: bytes::DONE, ..Need::default() };
         change.done.retain(|index| {
-            if full || job.is_done(*index, size) || job.withdrawn() {
+            if full || job.is_done(*index, size) || job.cancelled() {
                 return full;
             }
             full = !draft.take(uid, &[&done]);
@@ -155,8 +155,10 @@
             // What is not ours to say, or known, is dropped; it is seen again.
             let place = job.place(*index, size).filter(|p| p.attempt == *attempt);
             let place = place.filter(|p| self.proved_gone(&p.machine, uid, *index, *attempt));
-            let Some(conds) = place.and_then(|p| self.grant_conds(&p.machine)).filter(|_| !full) else { return full };
-            full = !draft.take(uid, &[&Need { conds, machine: None, bytes: bytes::GONE }]);
+            let Some(conditions) = place.and_then(|p| self.grant_conds(&p.machine)).filter(|_| !full) else {
+                return full;
+            };
+            full = !draft.take(uid, &[&Need { conditions, machine: None, bytes: bytes::GONE }]);
             if !full && let Some(f) = draft.facts.get_mut(uid) {
                 f.gone.insert((*index, *attempt));
             }
@@ -171,7 +173,7 @@
     /// Whether the attempt was proved gone under the grant in force. A machine that went to
     /// another controller and came back may have run it on: what was proved before is none.
     fn proved_gone(&self, machine: &str, uid: &str, index: u32, attempt: u64) -> bool {
-        let (Some(m), Some(h)) = (self.machines.get(machine), self.view.hosts.get(machine)) else { return false };
+        let (Some(m), Some(h)) = (self.machines.get(machine), self.view.machines.get(machine)) else { return false };
         m.is_under(h.rec.term, h.rec.epoch) && m.gone.contains(&(uid.to_string(), index, attempt))
     }
 
@@ -184,7 +186,7 @@
         taken: &mut BTreeMap<String, Taken>,
         near: &mut Option<(String, u64)>,
     ) -> bool {
-        let Some(job) = self.view.jobs.get(uid).filter(|j| !j.withdrawn() && !starts.is_empty()) else { return true };
+        let Some(job) = self.view.jobs.get(uid).filter(|j| !j.cancelled() && !starts.is_empty()) else { return true };
         let key = records::job_key(uid);
         // Whoever could start its tasks before us did so before the job's record
         // was what it is: the view has to have come that far.
@@ -193,30 +195,30 @@
             return true;
         }
         let size = self.view.chunk_size;
-        let tries = job.chunks.values().map(|c| c.rec.tries).max().unwrap_or(0);
+        let highest_attempt = job.chunks.values().map(|c| c.rec.highest_attempt).max().unwrap_or(0);
         // A gang that lost a task before it started is completed under the
         // same attempt: its tasks find each other by that. So is a wide one, whose
         // places go into several segments.
-        let gang = job.spec.form == Form::Ensemble;
-        let attempt = if gang && job.placed > 0 { tries } else { tries + 1 };
+        let gang = job.spec.kind == JobKind::Gang;
+        let attempt = if gang && job.placed > 0 { highest_attempt } else { highest_attempt + 1 };
         let gang = gang && !self.is_wide(&job.spec);
-        let mut wanted: Vec<(Place, Need)> = Vec::new();
+        let mut wanted: Vec<(Placement, Need)> = Vec::new();
         for s in starts {
             let free = !job.is_done(s.index, size) && job.place(s.index, size).is_none();
-            let Some(mut conds) = self.grant_conds(&s.machine).filter(|_| free) else {
+            let Some(mut conditions) = self.grant_conds(&s.machine).filter(|_| free) else {
                 if gang {
                     return true; // all or nothing
                 }
                 continue;
             };
-            conds.push((key.clone(), job.rec.version));
-            let place = Place { index: s.index, machine: s.machine.clone(), attempt };
-            wanted.push((place, Need { conds, machine: Some(s.machine.clone()), bytes: bytes::START }));
+            conditions.push((key.clone(), job.rec.version));
+            let place = Placement { index: s.index, machine: s.machine.clone(), attempt };
+            wanted.push((place, Need { conditions, machine: Some(s.machine.clone()), bytes: bytes::START }));
         }
         let spec = job.spec.clone();
         let Some(quota) = self.quota(&spec, wanted.len(), taken, near) else { return true };
         if let Some(q) = &quota {
-            wanted.iter_mut().for_each(|(_, n)| n.conds.push(q.cond.clone()));
+            wanted.iter_mut().for_each(|(_, n)| n.conditions.push(q.cond.clone()));
         }
         if gang {
             let all: Vec<&Need> = wanted.iter().map(|w| &w.1).collect();
@@ -238,9 +240,9 @@
             }
         }
         if let Some(q) = quota.filter(|_| started > 0) {
-            let new = Taken { amounts: Amounts::default(), strict: q.strict };
+            let new = Taken { amounts: Resources::default(), strict: q.strict };
             let t = taken.entry(q.team).or_insert(new);
-            t.amounts.plus(Amounts::of(&spec, f64::from(started)), 1.0);
+            t.amounts.plus(Resources::of(&spec, f64::from(started)), 1.0);
         }
         !full
     }
@@ -248,7 +250,7 @@
     /// Whether the job is a gang whose places may not fit into one segment.
     pub(super) fn is_wide(&self, spec: &crate::protocol::user::JobSpec) -> bool {
         let st = &self.set.settings.state;
-        spec.form == Form::Ensemble && wide(spec.parcels, st.txn_ops, (st.value_kb * 1024.0) as usize)
+        spec.kind == JobKind::Gang && wide(spec.task_count, st.txn_ops, (st.value_kb * 1024.0) as usize)
     }
 
     /// How the starts of so many tasks go with their team's limit, if it has one;
@@ -260,7 +262,7 @@
         taken: &BTreeMap<String, Taken>,
         near: &mut Option<(String, u64)>,
     ) -> Option<Option<Quota>> {
-        let Some(team) = self.set.settings.teams.iter().find(|t| t.name == spec.desk && limited(t)) else {
+        let Some(team) = self.set.settings.teams.iter().find(|t| t.name == spec.team && limited(t)) else {
             return Some(None);
         };
         let key = records::team_key(&team.name);
@@ -269,9 +271,9 @@
         }
         let (cpus, gpus) = self.used(team);
         let before = taken.get(&team.name).map(|t| t.amounts).unwrap_or_default();
-        let mut need = Amounts::of(spec, tasks as f64);
+        let mut need = Resources::of(spec, tasks as f64);
         need.plus(before, 1.0);
-        let (n, age) = (self.set.controllers(), self.report_s(1.0));
+        let (n, age) = (self.set.controllers(), self.heartbeat_intervals(1.0));
         let name = team.name.clone();
         let rec = self.view.teams.get(&name);
         let (strict, version) = rec.map_or((false, 0), |r| (r.rec.strict, r.version));
@@ -292,7 +294,7 @@
             return None;
         }
         let far = |l: Limit| l.max <= 0.0 || l.used <= l.max * FAR_FROM_LIMIT;
-        let rec = records::TeamRec { strict: !(far(cpus) && far(gpus)), count: self.next_call };
+        let rec = records::TeamRecord { strict: !(far(cpus) && far(gpus)), count: self.next_call };
         Some(Some(Quota { team: name, cond: (key, version), strict: Some(rec) }))
     }
 
@@ -301,15 +303,15 @@
     /// the view's revision, so nothing of ours may be ahead of that in it.
     fn fold(&self, uid: &str, n: u32, slot_version: u64) -> Result<Option<Fold>, NotYet> {
         let chunk = self.view.jobs.get(uid).and_then(|j: &Job| j.chunks.get(&n));
-        let Some(chunk) = chunk.filter(|c| c.rec.asof < slot_version) else { return Ok(None) };
+        let Some(chunk) = chunk.filter(|c| c.rec.as_of_revision < slot_version) else { return Ok(None) };
         let key = records::chunk_key(uid, n);
         if chunk.last > self.view.revision || self.busy.contains(&key) || self.outdated.contains_key(&key) {
             return Err(NotYet);
         }
-        let rec = ChunkRec { asof: self.view.revision, ..chunk.rec.clone() };
+        let rec = TaskRangeCheckpoint { as_of_revision: self.view.revision, ..chunk.rec.clone() };
         let size = encode(&rec).len();
         let data = records::to_value(&rec);
-        let cond = Cond { key: key.clone(), entry_no: chunk.version };
+        let cond = Condition { key: key.clone(), version: chunk.version };
         Ok(Some((cond, Op::Put { key, data, lease: None }, size)))
     }
 
@@ -359,10 +361,10 @@
         self.folding = true;
         let mut txn = Txn::default();
         for (cond, op, _) in folds {
-            txn.conds.push(cond);
+            txn.conditions.push(cond);
             txn.ops.push(op);
         }
-        let keys = txn.conds.iter().map(|c| c.key.clone()).collect();
+        let keys = txn.conditions.iter().map(|c| c.key.clone()).collect();
         self.send_txn(txn, Why::Fold, keys);
     }
 
@@ -371,7 +373,7 @@
         &mut self,
         txn: &Txn,
         facts: BTreeMap<String, Facts>,
-        parts: Vec<(String, Amounts)>,
+        parts: Vec<(String, Resources)>,
         ended: &Ended,
     ) {
         self.log.busy = false;
@@ -414,7 +416,7 @@
     /// log's slot was one of them.
     pub(super) fn note_outdated(&mut self, txn: &Txn, ended: &Ended) -> bool {
         let Ended::Void { failed, revision } = ended else { return false };
-        let all = txn.conds.iter().map(|c| &c.key).filter(|_| failed.is_empty());
+        let all = txn.conditions.iter().map(|c| &c.key).filter(|_| failed.is_empty());
         let mut slot = false;
         for key in failed.iter().chain(all) {
             slot |= key.starts_with(LOG);
--- a/src/controller/lead.rs
+++ b/src/controller/leadership.rs
@@ -3,8 +3,8 @@
 //! Every write is conditional on the lead still being ours.
 
 use super::*;
-use crate::protocol::store::{Cond, Op};
-use records::{LeadRec, TermRec};
+use crate::protocol::store::{Condition, Op};
+use records::{LeaderRecord, TermRecord};
 
 impl Controller {
     pub(super) fn lead_tick(&mut self) {
@@ -14,7 +14,7 @@
             return;
         }
         self.lead_seen = self.view.members_changed;
-        self.lead_next = now + self.report_s(0.1);
+        self.lead_next = now + self.heartbeat_intervals(0.1);
         if !self.am_leader() {
             self.claim();
             return;
@@ -23,12 +23,12 @@
         if !self.fresh() {
             return;
         }
-        self.grant_blocks();
+        self.grant_shards();
         self.enrol_rentals();
-        if now >= self.relet_next {
-            self.relet_next = now + self.report_s(0.25);
-            self.relet();
-            self.upkeep_tick();
+        if now >= self.reassign_next {
+            self.reassign_next = now + self.heartbeat_intervals(0.25);
+            self.reassign_tasks();
+            self.advance_maintenance();
         }
         self.fleet_tick();
     }
@@ -39,7 +39,7 @@
         let term = self.term();
         if std::mem::replace(&mut self.led_term, term) != term {
             self.epoch = 0;
-            self.charter = 0;
+            self.request_id = 0;
             self.list_at = None;
             self.list_stalled = None;
             tracing::info!(term, member = %self.me, "took the lead");
@@ -52,27 +52,27 @@
         if !self.view.is_live(&self.me, self.incarnation) || self.busy.contains(records::TERM_KEY) {
             return;
         }
-        let lead = self.view.lead.as_ref();
-        if lead.is_some_and(|l| self.view.is_live(&l.rec.member, l.rec.incarnation)) {
+        let leader = self.view.leader.as_ref();
+        if leader.is_some_and(|l| self.view.is_live(&l.rec.member, l.rec.incarnation)) {
             return;
         }
         // No limit holds this back but the pause after a refusal: without a leader
-        // nothing is granted, rented or leased anew.
+        // nothing is granted, rented or reassigned.
         if !self.retry.may(Retry::Write, self.now) {
             return;
         }
         let term = self.view.term.as_ref().map_or(0, |t| t.rec.term) + 1;
-        let rec = LeadRec { member: self.me.clone(), incarnation: self.incarnation, term };
+        let rec = LeaderRecord { member: self.me.clone(), incarnation: self.incarnation, term };
         let txn = Txn {
-            conds: vec![
-                Cond { key: records::LEAD_KEY.into(), entry_no: lead.map_or(0, |l| l.version) },
-                Cond { key: records::TERM_KEY.into(), entry_no: self.view.term.as_ref().map_or(0, |t| t.version) },
+            conditions: vec![
+                Condition { key: records::LEADER_KEY.into(), version: leader.map_or(0, |l| l.version) },
+                Condition { key: records::TERM_KEY.into(), version: self.view.term.as_ref().map_or(0, |t| t.version) },
             ],
             ops: vec![
-                Op::Put { key: records::LEAD_KEY.into(), data: records::to_value(&rec), lease: Some(lease) },
+                Op::Put { key: records::LEADER_KEY.into(), data: records::to_value(&rec), lease: Some(lease) },
                 Op::Put {
                     key: records::TERM_KEY.into(),
-                    data: records::to_value(&TermRec { term, form: records::FORM }),
+                    data: records::to_value(&TermRecord { term, format_version: records::FORMAT_VERSION }),
                     lease: None,
                 },
             ],
@@ -80,12 +80,12 @@
         self.txn(txn, Why::Lead);
     }
 
-    pub(super) fn lead_cond(&self) -> Cond {
-        let version = self.view.lead.as_ref().map_or(0, |l| l.version);
-        Cond { key: records::LEAD_KEY.into(), entry_no: version }
+    pub(super) fn leader_condition(&self) -> Condition {
+        let version = self.view.leader.as_ref().map_or(0, |l| l.version);
+        Condition { key: records::LEADER_KEY.into(), version }
     }
 
     pub(super) fn term(&self) -> u64 {
-        self.view.lead.as_ref().map_or(0, |l| l.rec.term)
+        self.view.leader.as_ref().map_or(0, |l| l.rec.term)
     }
 }
--- a/src/controller/upkeep.rs
+++ b/src/controller/maintenance.rs
@@ -2,12 +2,12 @@
 //! what has a ticket once it can start elsewhere at once.
 
 use super::*;
-use crate::bookkeeping::Job;
-use crate::placement::{Room, zone_room};
-use crate::protocol::store::{Cond, Op};
-use crate::protocol::user::Form;
-use crate::upkeep::budget::Standing;
-use crate::upkeep::campaign::{Campaign, Candidate, Step, Ticket, UpkeepRec, next};
+use crate::maintenance::budget::TeamReplicas;
+use crate::maintenance::campaign::{Campaign, Candidate, MaintenanceRecord, Step, Ticket, next};
+use crate::placement::{MachineCapacity, zone_capacity};
+use crate::protocol::store::{Condition, Op};
+use crate::protocol::user::JobKind;
+use crate::state::Job;
 
 /// A replica that was placed elsewhere, with its image there, runs after so many report
 /// intervals: its order goes with the next report at the latest. As long is waited for
@@ -19,39 +19,39 @@
 impl Controller {
     /// The campaign that is under way, or the next one; one that comes into the file with
     /// an earlier name waits for it.
-    fn campaign(&self, rec: &UpkeepRec) -> Option<(&String, &Campaign)> {
+    fn campaign(&self, rec: &MaintenanceRecord) -> Option<(&String, &Campaign)> {
         let all = &self.set.operator.campaign;
         let open = || all.iter().find(|(name, _)| !rec.finished.contains(name));
         all.get_key_value(&rec.name).or_else(open)
     }
 
     /// By the leader: begins campaigns, waves and moves as budgets allow.
-    pub(super) fn upkeep_tick(&mut self) {
-        let stored = self.view.upkeep.as_ref().map(|u| u.rec.clone()).unwrap_or_default();
+    pub(super) fn advance_maintenance(&mut self) {
+        let stored = self.view.maintenance.as_ref().map(|u| u.rec.clone()).unwrap_or_default();
         let campaign = self.campaign(&stored).map(|(name, c)| (name.clone(), c.clone()));
         let idle = stored.name.is_empty() && stored.wave.is_empty();
         if idle && campaign.is_none()
             || !self.start.fleet_known()
-            || self.busy.contains(records::UPKEEP_KEY)
+            || self.busy.contains(records::MAINTENANCE_KEY)
             || !self.may_write(1.0 + self.writes.rate * ACCEPT_RESERVE)
         {
             return;
         }
         let mut rec = stored.clone();
         let Some((name, campaign)) = campaign.filter(|(name, _)| idle || *name == stored.name) else {
-            // It was withdrawn: half-emptied machines take work again.
+            // It was cancelled: half-emptied machines take work again.
             let again = std::mem::take(&mut rec.wave);
             rec.tickets.clear();
             tracing::info!(campaign = %stored.name, machines = again.len(), "campaign is withdrawn");
-            self.write_upkeep(rec, &again, false);
+            self.write_maintenance(rec, &again, false);
             return;
         };
         if stored.name != name {
-            let upto = self.view.hosts.keys().next_back().cloned().unwrap_or_default();
+            let upto = self.view.machines.keys().next_back().cloned().unwrap_or_default();
             let finished = std::mem::take(&mut rec.finished);
-            rec = UpkeepRec { name: name.clone(), upto, finished, ..UpkeepRec::default() };
+            rec = MaintenanceRecord { name: name.clone(), upto, finished, ..MaintenanceRecord::default() };
         }
-        rec.wave.retain(|m| self.view.hosts.contains_key(m));
+        rec.wave.retain(|m| self.view.machines.contains_key(m));
         rec.gone += (stored.wave.len() - rec.wave.len().min(stored.wave.len())) as u32;
         rec.waves += u32::from(rec.wave.is_empty() && !stored.wave.is_empty());
         self.return_tickets(&mut rec);
@@ -59,9 +59,9 @@
         let teams = self.standing_of_teams(&rec);
         let budget = |team: &str| self.set.operator.budget.get(team).copied().unwrap_or_default();
         let Step { wave, tickets, over, wait } = next(&rec, &campaign, &left, &teams, budget, TICKETS);
-        if self.upkeep_wait != wait {
+        if self.maintenance_wait != wait {
             tracing::info!(campaign = %name, waves = rec.waves, gone = rec.gone, left = left.len(), ?wait, "campaign");
-            self.upkeep_wait = wait;
+            self.maintenance_wait = wait;
         }
         if over {
             tracing::info!(campaign = %name, waves = rec.waves, gone = rec.gone, "campaign is over");
@@ -72,7 +72,7 @@
         }
         rec.tickets.extend(tickets);
         rec.wave.extend(wave.iter().cloned());
-        self.write_upkeep(rec, &wave, true);
+        self.write_maintenance(rec, &wave, true);
     }
 
     /// Whether the ticket's replica still has its place.
@@ -83,8 +83,8 @@
 
     /// Tickets whose replica is proved gone from its machine, and runs again or is
     /// wanted no more, go back to the budget.
-    fn return_tickets(&mut self, rec: &mut UpkeepRec) {
-        let settle = self.report_s(SETTLE_REPORTS);
+    fn return_tickets(&mut self, rec: &mut MaintenanceRecord) {
+        let settle = self.heartbeat_intervals(SETTLE_REPORTS);
         let pull = self.types.iter().map(|t| t.pull_gb_per_s).fold(f64::INFINITY, f64::min);
         let now = self.now;
         let mut moved = std::mem::take(&mut self.settling);
@@ -93,13 +93,13 @@
             if self.stands(t) {
                 return true;
             }
-            let Some(job) = self.view.jobs.get(&t.job).filter(|j| !j.withdrawn()) else { return false };
-            if job.placed < job.spec.parcels {
+            let Some(job) = self.view.jobs.get(&t.job).filter(|j| !j.cancelled()) else { return false };
+            if job.placed < job.spec.task_count {
                 moved.remove(t);
                 return true;
             }
             // Its image may have to come first, at the slowest rate there is.
-            let fetch = self.secs(job.spec.size_gb / pull);
+            let fetch = self.secs(job.spec.image_gb / pull);
             now.saturating_sub(*moved.entry(t.clone()).or_insert(now)) < settle + fetch
         });
         self.settling = moved;
@@ -107,9 +107,10 @@
 
     /// Machines that the campaign takes and that are there.
     fn candidates(&self, campaign: &Campaign, upto: &str) -> Vec<Candidate> {
-        let takes = |n: &str, h: &records::HostRec| n <= upto && campaign.takes(n, &h.build, &h.site, h.spot);
-        let hosts = self.view.hosts.iter().filter(|(n, h)| takes(n, &h.rec));
-        hosts.map(|(name, _)| self.candidate(name)).collect()
+        let takes =
+            |n: &str, h: &records::MachineRecord| n <= upto && campaign.takes(n, &h.machine_type, &h.zone, h.spot);
+        let machines = self.view.machines.iter().filter(|(n, h)| takes(n, &h.rec));
+        machines.map(|(name, _)| self.candidate(name)).collect()
     }
 
     fn candidate(&self, name: &str) -> Candidate {
@@ -117,33 +118,33 @@
         let mut c = Candidate { name: name.to_string(), heard, ..Candidate::default() };
         for ((uid, index), attempt) in self.view.placed.get(name).into_iter().flatten() {
             let Some(j) = self.view.jobs.get(uid) else { continue };
-            match j.spec.form {
-                Form::Standing => {
+            match j.spec.kind {
+                JobKind::Service => {
                     let machine = name.to_string();
                     let ticket = Ticket { job: uid.clone(), index: *index, attempt: *attempt, machine };
-                    c.standing.push((ticket, j.spec.desk.clone()));
+                    c.standing.push((ticket, j.spec.team.clone()));
                 }
-                Form::Batch => c.arrays += j.spec.cores,
-                Form::Ensemble => c.gang = true,
+                JobKind::Array => c.arrays += j.spec.cores,
+                JobKind::Gang => c.gang = true,
             }
         }
         c
     }
 
     fn heard_now(&self, name: &str) -> bool {
-        let limit = self.report_s(perches::HEARD_REPORTS);
+        let limit = self.heartbeat_intervals(agents::HEARD_REPORTS);
         let ours = self.machines.get(name).and_then(|m| m.heard_at);
-        ours.is_some_and(|t| self.now.saturating_sub(t) < limit) || self.told_newer(name, limit * 2)
+        ours.is_some_and(|t| self.now.saturating_sub(t) < limit) || self.reported_newer_elsewhere(name, limit * 2)
     }
 
     /// What each team's services want, and what of it is away: waiting, where nobody
     /// hears the machine, or under a ticket.
-    fn standing_of_teams(&self, rec: &UpkeepRec) -> BTreeMap<String, Standing> {
-        let mut teams: BTreeMap<String, Standing> = BTreeMap::new();
-        for j in self.view.jobs.values().filter(|j| j.spec.form == Form::Standing && !j.withdrawn()) {
-            let s = teams.entry(j.spec.desk.clone()).or_default();
-            s.wanted += j.spec.parcels;
-            s.away += j.spec.parcels - j.placed.min(j.spec.parcels);
+    fn standing_of_teams(&self, rec: &MaintenanceRecord) -> BTreeMap<String, TeamReplicas> {
+        let mut teams: BTreeMap<String, TeamReplicas> = BTreeMap::new();
+        for j in self.view.jobs.values().filter(|j| j.spec.kind == JobKind::Service && !j.cancelled()) {
+            let s = teams.entry(j.spec.team.clone()).or_default();
+            s.wanted += j.spec.task_count;
+            s.away += j.spec.task_count - j.placed.min(j.spec.task_count);
         }
         let silent = self.view.placed.iter().filter(|(name, _)| !self.heard_now(name));
         let unheard = silent.flat_map(|(_, on)| on.keys()).map(|(uid, _)| uid);
@@ -152,30 +153,30 @@
         let ticket = |t: &&Ticket| self.settling.contains_key(*t) || self.stands(t) && self.heard_now(&t.machine);
         let ticketed = rec.tickets.iter().filter(ticket).map(|t| &t.job);
         let away = unheard.chain(ticketed).filter_map(|uid| self.view.jobs.get(uid));
-        for j in away.filter(|j| j.spec.form == Form::Standing) {
-            teams.entry(j.spec.desk.clone()).or_default().away += 1;
+        for j in away.filter(|j| j.spec.kind == JobKind::Service) {
+            teams.entry(j.spec.team.clone()).or_default().away += 1;
         }
         teams
     }
 
     /// Writes the record down with the marks of machines, in one transaction.
-    fn write_upkeep(&mut self, mut rec: UpkeepRec, marked: &[String], drain: bool) {
-        let stored = self.view.upkeep.as_ref();
+    fn write_maintenance(&mut self, mut rec: MaintenanceRecord, marked: &[String], drain: bool) {
+        let stored = self.view.maintenance.as_ref();
         let version = stored.map_or(0, |u| u.version);
-        let key = records::UPKEEP_KEY.to_string();
-        let mut txn = Txn { conds: vec![self.lead_cond()], ops: Vec::new() };
-        let mut packs: BTreeMap<String, Vec<String>> = BTreeMap::new();
+        let key = records::MAINTENANCE_KEY.to_string();
+        let mut txn = Txn { conditions: vec![self.leader_condition()], ops: Vec::new() };
+        let mut machine_groups: BTreeMap<String, Vec<String>> = BTreeMap::new();
         for m in marked {
-            if let Some(h) = self.view.hosts.get(m) {
-                packs.entry(h.rec.pack.clone()).or_default().push(m.clone());
+            if let Some(h) = self.view.machines.get(m) {
+                machine_groups.entry(h.rec.group.clone()).or_default().push(m.clone());
             }
         }
         let most = self.set.settings.state.txn_ops - 1;
-        for (n, (pack, names)) in packs.iter().enumerate() {
-            let marks = (n < most).then(|| self.marked_pack(pack, names, drain)).flatten();
+        for (n, (group, names)) in machine_groups.iter().enumerate() {
+            let marks = (n < most).then(|| self.marked_group(group, names, drain)).flatten();
             match marks {
-                Some((conds, op)) => {
-                    txn.conds.extend(conds);
+                Some((conditions, op)) => {
+                    txn.conditions.extend(conditions);
                     txn.ops.push(op);
                 }
                 // Its record is in another transaction: another time.
@@ -189,35 +190,36 @@
         if stored.is_some_and(|u| u.rec == rec) {
             return; // all that is to be marked is in other transactions
         }
-        txn.conds.push(Cond { key: key.clone(), entry_no: version });
+        txn.conditions.push(Condition { key: key.clone(), version });
         txn.ops.push(Op::Put { key, data: records::to_value(&rec), lease: None });
-        self.txn_keyed(txn, Why::Upkeep);
+        self.txn_keyed(txn, Why::Maintenance);
     }
 
     /// By the owner of a machine: replicas that have a ticket are stopped once they can
     /// start elsewhere at once.
     pub(super) fn move_ticketed(&mut self) {
-        let Some(upkeep) = self.view.upkeep.as_ref().filter(|u| !u.rec.tickets.is_empty()) else { return };
-        let patience = self.report_s(SETTLE_REPORTS);
-        let (mut ours, mut all): (Option<Vec<Room>>, Option<Vec<Room>>) = (None, None);
+        let Some(maintenance) = self.view.maintenance.as_ref().filter(|u| !u.rec.tickets.is_empty()) else { return };
+        let patience = self.heartbeat_intervals(SETTLE_REPORTS);
+        let (mut ours, mut all): (Option<Vec<MachineCapacity>>, Option<Vec<MachineCapacity>>) = (None, None);
         let mut stops: Vec<(String, (String, u32, u64))> = Vec::new();
         let mut since = std::mem::take(&mut self.ticketed);
-        since.retain(|t, _| upkeep.rec.tickets.contains(t));
-        for t in &upkeep.rec.tickets {
+        since.retain(|t, _| maintenance.rec.tickets.contains(t));
+        for t in &maintenance.rec.tickets {
             let Some(m) = self.machines.get(&t.machine) else { continue };
             let key = (t.job.clone(), t.index, t.attempt);
-            let Some(j) = self.view.jobs.get(&t.job).filter(|j| !j.withdrawn()) else { continue };
+            let Some(j) = self.view.jobs.get(&t.job).filter(|j| !j.cancelled()) else { continue };
             if !self.stands(t) || m.preempted.contains_key(&key) || m.is_over(&key) {
                 continue;
             }
-            let rooms = |everyone| self.rooms(everyone).into_iter().map(|r| r.1).collect::<Vec<Room>>();
-            let here = self.takes_elsewhere(ours.get_or_insert_with(|| rooms(false)), &t.machine, j, true);
+            let capacities =
+                |everyone| self.capacities(everyone).into_iter().map(|r| r.1).collect::<Vec<MachineCapacity>>();
+            let here = self.takes_elsewhere(ours.get_or_insert_with(|| capacities(false)), &t.machine, j, true);
             // Where its image is there is no room: any room will do, with the fetch as
             // part of what the budget is spent on.
             let waited = self.now.saturating_sub(*since.entry(t.clone()).or_insert(self.now)) >= patience;
             let go = here
                 || waited && {
-                    let all = all.get_or_insert_with(|| rooms(true));
+                    let all = all.get_or_insert_with(|| capacities(true));
                     self.takes_elsewhere(all, &t.machine, j, true) || self.takes_elsewhere(all, &t.machine, j, false)
                 };
             if go {
@@ -236,19 +238,25 @@
 
     /// Whether a replica on `machine` could start in one of these rooms, at once where
     /// its image has to be there; takes the room.
-    pub(super) fn takes_elsewhere(&self, rooms: &mut [Room], machine: &str, j: &Job, image: bool) -> bool {
-        let site = self.view.hosts.get(machine).map(|h| h.rec.site.as_str());
+    pub(super) fn takes_elsewhere(
+        &self,
+        capacities: &mut [MachineCapacity],
+        machine: &str,
+        j: &Job,
+        image: bool,
+    ) -> bool {
+        let zone = self.view.machines.get(machine).map(|h| h.rec.zone.as_str());
         let mut zones = self.view.zones_of(j);
-        if let Some(n) = site.and_then(|s| zones.get_mut(s)) {
+        if let Some(n) = zone.and_then(|s| zones.get_mut(s)) {
             *n -= 1;
         }
-        let takes = |r: &&mut Room| {
-            let free = zone_room(&j.spec, j.spec.parcels, &zones, &r.site) > 0;
+        let takes = |r: &&mut MachineCapacity| {
+            let free = zone_capacity(&j.spec, j.spec.task_count, &zones, &r.zone) > 0;
             free && r.fits(&j.spec) > 0 && (!image || r.image_s(&j.spec) <= 0.0)
         };
-        match rooms.iter_mut().find(takes) {
-            Some(room) => {
-                room.take(&j.spec, 1);
+        match capacities.iter_mut().find(takes) {
+            Some(capacity) => {
+                capacity.take(&j.spec, 1);
                 true
             }
             None => false,
@@ -258,7 +266,7 @@
     /// Replicas on machines of the wave, by job: they will want room.
     pub(super) fn leaving(&self) -> BTreeMap<&str, u32> {
         let mut leaving: BTreeMap<&str, u32> = BTreeMap::new();
-        let wave = self.view.upkeep.iter().flat_map(|u| &u.rec.wave);
+        let wave = self.view.maintenance.iter().flat_map(|u| &u.rec.wave);
         for ((uid, _), _) in wave.filter_map(|m| self.view.placed.get(m)).flatten() {
             *leaving.entry(uid).or_default() += 1;
         }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -2,52 +2,52 @@
 //! the loops that work out what to do. No sockets, no clock; `now` comes in
 //! with every event.
 
-mod blocks;
-mod commit;
-mod enrol;
-mod fleet;
-mod lead;
-mod leasing;
-mod links;
-mod perches;
+mod agents;
+mod api;
+mod autoscaler;
+mod capacity;
+mod connectivity;
+mod journal;
+mod leadership;
+mod maintenance;
 mod quota;
-mod requests;
-mod rooms;
-mod segments;
-mod start;
-mod sync;
-mod upkeep;
-mod work;
-
-use crate::bookkeeping::aims::Aims;
-use crate::bookkeeping::records::{self, Versioned};
-use crate::bookkeeping::served::{self, Served};
-use crate::bookkeeping::{Amounts, Images, View};
-use crate::coordination::account::{Account, Charge, Order};
-use crate::coordination::blame::Tried;
+mod registration;
+mod scheduler;
+mod sharding;
+mod startup;
+mod store_sync;
+mod task_ranges;
+mod transactions;
+
+use crate::connectivity::account::Deaf;
+use crate::connectivity::hearing::{At, Hearing, News};
+use crate::connectivity::table::Links;
+use crate::coordination::account::{Account, Charge, WritePriority};
+use crate::coordination::fault_attribution::Tried;
 use crate::coordination::log::Writer;
 use crate::coordination::machine::Machine;
 use crate::coordination::parts::Parts;
 use crate::coordination::session::Session;
 use crate::coordination::writes::Writes as OpenWrites;
 use crate::effects::{Action, CallId, ConnId, Event, Instant, NoAnswer, Reply, Target};
-use crate::links::account::Deaf;
-use crate::links::hearing::{At, Hearing, News};
-use crate::links::table::Links;
+use crate::maintenance::campaign::{Ticket, Wait};
 use crate::placement::knapsack::Knapsack;
-use crate::protocol::cloud::{Listed, MachineType};
-use crate::protocol::peer::{Beat, Frame};
+use crate::protocol::cloud::{ListedMachine, MachineType};
+use crate::protocol::peer::{Frame, PeerHeartbeat};
 use crate::protocol::store::{self, Txn};
-use crate::protocol::worker::Report;
-use crate::recovery::phase::Start;
+use crate::protocol::worker::Heartbeat;
+use crate::reconciliation::phase::Start;
 use crate::requests::{Event as RequestEvent, Requests};
 use crate::retry::{Outcome, Purpose as Retry, Retries, Returns, Side};
 use crate::settings::Settings;
-use crate::upkeep::campaign::{Ticket, Wait};
-use commit::{Why, Writes};
+use crate::state::objectives::Aims;
+use crate::state::records::{self, Versioned};
+use crate::state::service_levels::{self, Served};
+use crate::state::{ClusterState, Images, Resources};
 use hdrhistogram::Histogram;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::time::Duration;
+use transactions::{Why, Writes};
 
 /// Why a call was made; decides what its answer means.
 #[derive(Debug)]
@@ -55,12 +55,12 @@
     Lease,
     Renew,
     Scan,
-    Follow,
+    Watch,
     Barrier,
     Catalog,
     List,
     Rent {
-        offer: crate::fleet::Offer,
+        offer: crate::scaling::Offer,
         number: u32,
     },
     Release {
@@ -92,7 +92,7 @@
             Purpose::Lease => Retry::Lease,
             Purpose::Renew => Retry::Renew,
             Purpose::Scan => Retry::Load,
-            Purpose::Follow => Retry::Watch,
+            Purpose::Watch => Retry::Watch,
             Purpose::Barrier => Retry::Barrier,
             Purpose::Catalog => Retry::Catalog,
             Purpose::List => Retry::List,
@@ -122,7 +122,7 @@
 
 /// The shortest pauses after a failure, as ratios to the settings.
 fn pauses(set: &Settings, ttl: Duration, gap: Duration) -> Vec<(Retry, Duration)> {
-    let report = Duration::from_secs_f64(set.settings.workers.report_s);
+    let report = Duration::from_secs_f64(set.settings.workers.heartbeat_interval_s);
     let lag = Duration::from_secs_f64(set.settings.cloud.list_lag_s);
     vec![
         (Retry::Lease, gap * 2),
@@ -148,9 +148,9 @@
 
 /// A report that waits for a grant to be made or seen.
 #[derive(Debug)]
-struct HeldReport {
+struct HeldHeartbeat {
     conn: ConnId,
-    report: Report,
+    report: Heartbeat,
     news: News,
     until: Instant,
 }
@@ -173,7 +173,7 @@
 
 #[derive(Debug)]
 struct Rented {
-    offer: crate::fleet::Offer,
+    offer: crate::scaling::Offer,
     at: Instant,
 }
 
@@ -214,20 +214,20 @@
     start: Start,
     /// When the last tick was.
     ticked_at: Instant,
-    view: View,
-    scan: View,
+    view: ClusterState,
+    scan: ClusterState,
     types: Vec<MachineType>,
     types_next: Instant,
     types_busy: bool,
     asked: Requests,
-    held: Vec<HeldReport>,
+    held: Vec<HeldHeartbeat>,
     machines: BTreeMap<String, Machine>,
     /// The state of the view's machine records that `machines` follows.
     adopted: Option<u64>,
     hearing: Hearing,
     /// Images on machines of other blocks.
     images: HashMap<String, Images>,
-    beats: usize,
+    heartbeats: usize,
     changes: BTreeMap<String, Change>,
     /// Transactions under way, and what settles them.
     open_writes: OpenWrites,
@@ -267,7 +267,7 @@
     owned: HashMap<String, Owned>,
     /// The state of the view's machine records that `owned` follows.
     owners_seen: Option<u64>,
-    sack: Knapsack,
+    knapsack: Knapsack,
     aims: Aims,
     served: Served,
     /// When the first machine was seen, by the time of day.
@@ -282,9 +282,9 @@
     missed: BTreeSet<String>,
     dirty: bool,
     schedule_next: Instant,
-    beat_next: Instant,
+    heartbeat_next: Instant,
     summary_next: Instant,
-    perches_next: Instant,
+    agents_next: Instant,
     fleet_next: Instant,
     retry: Retries,
     returns: Returns,
@@ -293,18 +293,18 @@
     lead_next: Instant,
     /// The state of the view's members that the lead was last looked at in.
     lead_seen: u64,
-    relet_next: Instant,
+    reassign_next: Instant,
     level_next: Instant,
     /// Not before then are blocks levelled: machines were brought together.
     gather_next: Instant,
     epoch: u64,
-    charter: u64,
-    list: BTreeMap<String, Listed>,
+    request_id: u64,
+    list: BTreeMap<String, ListedMachine>,
     /// When each machine was first listed.
     listed_since: HashMap<String, Instant>,
     /// Recorded machines that the cloud lists no more, or as failed.
     unlisted: BTreeSet<String>,
-    list_new: BTreeMap<String, Listed>,
+    list_new: BTreeMap<String, ListedMachine>,
     /// When the cloud first refused a later page of the list that is being read, for its
     /// rate: the pages before it are kept, and the list goes on there.
     list_stalled: Option<Instant>,
@@ -317,13 +317,13 @@
     /// When each recorded machine was last known to be up, by the leader.
     up_at: HashMap<String, Instant>,
     /// Rentals whose machines shall be recorded together.
-    unrecorded: VecDeque<(crate::fleet::Offer, Vec<String>)>,
+    unrecorded: VecDeque<(crate::scaling::Offer, Vec<String>)>,
     /// Recorded machines that nobody hears, and since when.
     unseen_since: HashMap<String, Instant>,
     /// Machines that do not reach their owner, and since when that is known.
     unreached_since: HashMap<String, Instant>,
     renting: u32,
-    refused: BTreeMap<crate::fleet::Offer, Instant>,
+    refused: BTreeMap<crate::scaling::Offer, Instant>,
     /// Free cores of late, for the least that stayed free.
     slack: VecDeque<(Instant, f64)>,
     /// Array tasks waited at this time.
@@ -335,7 +335,7 @@
     /// Tickets for machines of ours, and since when they are known.
     ticketed: BTreeMap<Ticket, Instant>,
     /// What the campaign waited for when it was last told.
-    upkeep_wait: Option<Wait>,
+    maintenance_wait: Option<Wait>,
     gone: BTreeSet<String>,
     release_tokens: f64,
     release_at: Instant,
@@ -361,8 +361,8 @@
         let n = set.controllers() as f64;
         // A quarter of the store's requests goes to each kind of steady read.
         let gap = Duration::from_secs_f64(n / (p.state.rps * 0.25));
-        let ttl = Duration::from_secs_f64((p.workers.report_s * 2.0).min(p.workers.lease_s / 3.0));
-        let beat_every = Self::beat_every(Duration::from_secs_f64(p.workers.report_s));
+        let ttl = Duration::from_secs_f64((p.workers.heartbeat_interval_s * 2.0).min(p.workers.lease_s / 3.0));
+        let heartbeat_interval = Self::heartbeat_interval(Duration::from_secs_f64(p.workers.heartbeat_interval_s));
         let chunk = records::chunk_size(p.state.value_kb, p.state.write_rps / n);
         Controller {
             me: set.member.clone(),
@@ -375,11 +375,13 @@
             ses: Session::new(ttl, gap, p.state.rps * LOAD_BURST / n),
             start: Start::new(
                 Duration::from_secs_f64(p.workers.lease_s),
-                Duration::from_secs_f64(p.workers.report_s * start::LONGEST_REPORT + perches::WORKER_MOVES_S),
+                Duration::from_secs_f64(
+                    p.workers.heartbeat_interval_s * startup::LONGEST_REPORT + agents::WORKER_MOVES_S,
+                ),
             ),
             ticked_at: Duration::ZERO,
-            view: View::new(chunk),
-            scan: View::new(chunk),
+            view: ClusterState::new(chunk),
+            scan: ClusterState::new(chunk),
             types: Vec::new(),
             types_next: Duration::ZERO,
             types_busy: false,
@@ -389,7 +391,7 @@
             adopted: None,
             hearing: Hearing::default(),
             images: HashMap::new(),
-            beats: 0,
+            heartbeats: 0,
             changes: BTreeMap::new(),
             open_writes: OpenWrites::default(),
             busy: BTreeSet::new(),
@@ -404,7 +406,7 @@
             written: BTreeMap::new(),
             txn_ms: Histogram::new_with_max(LONGEST_TXN_MS, 2).expect("bounds are good"),
             cloud: Account::new(p.cloud.rps / n),
-            links: Links::new(&set.member, incarnation >> 1, beat_every),
+            links: Links::new(&set.member, incarnation >> 1, heartbeat_interval),
             links_dirty: false,
             deaf: Deaf::default(),
             avoid: HashMap::new(),
@@ -413,7 +415,7 @@
             strays: HashMap::new(),
             owned: HashMap::new(),
             owners_seen: None,
-            sack: Knapsack::default(),
+            knapsack: Knapsack::default(),
             aims: Aims::new(p.objectives.clone()),
             served: Served::default(),
             fleet_since_ms: None,
@@ -423,20 +425,20 @@
             missed: BTreeSet::new(),
             dirty: false,
             schedule_next: Duration::ZERO,
-            beat_next: Duration::ZERO,
+            heartbeat_next: Duration::ZERO,
             summary_next: Duration::ZERO,
-            perches_next: Duration::ZERO,
+            agents_next: Duration::ZERO,
             fleet_next: Duration::ZERO,
             returns: Returns::default(),
             was_healthy: None,
             retry: Retries::new(incarnation, pauses(&set, ttl, gap)),
             lead_next: Duration::ZERO,
             lead_seen: 0,
-            relet_next: Duration::ZERO,
+            reassign_next: Duration::ZERO,
             level_next: Duration::ZERO,
             gather_next: Duration::ZERO,
             epoch: 0,
-            charter: 0,
+            request_id: 0,
             list: BTreeMap::new(),
             listed_since: HashMap::new(),
             unlisted: BTreeSet::new(),
@@ -458,7 +460,7 @@
             releasing: BTreeSet::new(),
             settling: BTreeMap::new(),
             ticketed: BTreeMap::new(),
-            upkeep_wait: None,
+            maintenance_wait: None,
             gone: BTreeSet::new(),
             release_tokens: 1.0,
             release_at: Duration::ZERO,
@@ -475,25 +477,25 @@
                     self.answer(id, purpose, result);
                 }
             }
-            Event::Peer { member, frame: Frame::Beat(beat) } => {
-                self.note_images(&beat);
-                self.note_young(&beat.rented);
-                for name in &beat.unlisted {
+            Event::Peer { member, frame: Frame::PeerHeartbeat(heartbeat) } => {
+                self.note_images(&heartbeat);
+                self.note_young(&heartbeat.rented);
+                for name in &heartbeat.unlisted {
                     if let Some(m) = self.machines.get_mut(name) {
                         m.unlisted = true;
                     }
                 }
-                self.links.receive(&member, &beat, now);
+                self.links.receive(&member, &heartbeat, now);
                 // True whenever it was said, and however late it comes.
-                if let Some(owed) = &beat.owed {
-                    self.heed(owed);
+                if let Some(revocations) = &heartbeat.revocations {
+                    self.apply_revocations(revocations);
                 }
-                for h in &beat.heard {
+                for h in &heartbeat.heard {
                     let when = now.saturating_sub(Duration::from_millis(h.ago_ms));
-                    self.hearing.told(&h.machine, (h.shift, h.tally), when);
+                    self.hearing.told(&h.machine, (h.agent_epoch, h.heartbeat_seq), when);
                 }
                 self.links_dirty = true;
-                self.probe(&beat.asks);
+                self.probe(&heartbeat.silent);
             }
             Event::Peer { frame: Frame::Hello { .. }, .. } => {}
             Event::Operator(operator) => {
@@ -521,26 +523,26 @@
         if self.types.is_empty() || self.now >= self.types_next {
             self.fetch_types();
         }
-        if self.now >= self.beat_next {
-            self.beat_next = self.now + Self::beat_every(self.report_s(1.0));
-            self.beat();
+        if self.now >= self.heartbeat_next {
+            self.heartbeat_next = self.now + Self::heartbeat_interval(self.heartbeat_intervals(1.0));
+            self.heartbeat();
         }
         if !self.ses.following() {
             return;
         }
         self.share_limits();
-        if self.now >= self.perches_next {
-            self.perches_next = self.now + self.report_s(0.1);
+        if self.now >= self.agents_next {
+            self.agents_next = self.now + self.heartbeat_intervals(0.1);
             self.start_tick();
             self.links_tick();
-            self.perches_tick();
+            self.check_agents();
             self.work_tick();
             self.note_overdue();
         }
         self.close_tick();
         self.lead_tick();
         if self.now >= self.summary_next {
-            self.summary_next = self.now + self.report_s(4.0);
+            self.summary_next = self.now + self.heartbeat_intervals(4.0);
             self.summary();
         }
     }
@@ -554,7 +556,8 @@
         let others = (self.set.controllers() as f64 - 1.0).max(1.0);
         let live = (self.view.members.len() as f64).max(1.0);
         let (parts, cloud) = if self.am_leader() { (2.0, RENTER_SHARE) } else { (1.0, (1.0 - RENTER_SHARE) / others) };
-        let alike = self.store_back_at.is_some_and(|t| self.now.saturating_sub(t) < self.report_s(CROWD_REPORTS));
+        let alike =
+            self.store_back_at.is_some_and(|t| self.now.saturating_sub(t) < self.heartbeat_intervals(CROWD_REPORTS));
         let (parts, of) = if alike { (1.0, live) } else { (parts, live + 1.0) };
         self.writes.rate = p.state.write_rps * WRITE_SHARE * parts / of;
         self.cloud.rate = p.cloud.rps * cloud;
@@ -576,30 +579,30 @@
         if !self.am_leader() {
             return;
         }
-        let rooms = self.rooms(true);
-        let sum = |f: fn(&crate::placement::Room) -> f64| rooms.iter().map(|(_, r)| f(r)).sum::<f64>();
+        let capacities = self.capacities(true);
+        let sum = |f: fn(&crate::placement::MachineCapacity) -> f64| capacities.iter().map(|(_, r)| f(r)).sum::<f64>();
         let mut waiting: BTreeMap<&str, u32> = BTreeMap::new();
         for j in self.view.jobs.values() {
             let n = j.waiting_count();
             if n > 0 {
-                *waiting.entry(&j.spec.docket).or_default() += n;
+                *waiting.entry(&j.spec.class).or_default() += n;
             }
         }
-        let booting = self.expected_rooms(Counted::All).len() - rooms.len();
+        let booting = self.expected_capacities(Counted::All).len() - capacities.len();
         tracing::debug!(
             jobs = self.view.jobs.len(),
             ?waiting,
-            machines = rooms.len(),
+            machines = capacities.len(),
             booting,
             cores = sum(|r| r.total_cores),
-            free_cores = sum(crate::placement::Room::free_cores),
+            free_cores = sum(crate::placement::MachineCapacity::free_cores),
             behind = self.aims.behind(),
             "cluster"
         );
         for (who, t) in self.served.tallies(self.view.jobs.values(), self.wall_ms()) {
-            let served::Tally { judged, in_time, live, untouched, waits_s, replicas, placed } = t;
+            let service_levels::ServiceTally { judged, in_time, live, untouched, waits_s, replicas, placed } = t;
             tracing::debug!(?who, judged, in_time, live, untouched, waits_s, replicas, placed, "served");
-            if let Some(share) = t.least_share().filter(|s| *s < served::HALF) {
+            if let Some(share) = t.least_share().filter(|s| *s < service_levels::HALF) {
                 tracing::warn!(
                     ?who,
                     share,
@@ -620,8 +623,8 @@
         Duration::from_secs_f64(s.max(0.0))
     }
 
-    fn report_s(&self, times: f64) -> Duration {
-        self.secs(self.set.settings.workers.report_s * times)
+    fn heartbeat_intervals(&self, times: f64) -> Duration {
+        self.secs(self.set.settings.workers.heartbeat_interval_s * times)
     }
 
     fn wall_ms(&self) -> u64 {
@@ -633,28 +636,28 @@
     /// that is answered now loses its tasks `lease_s` later at the latest.
     fn entitled(&self) -> bool {
         let w = &self.set.settings.workers;
-        let margin = w.report_s;
+        let margin = w.heartbeat_interval_s;
         let limit = self.secs((w.cancel_s - w.lease_s - margin) / DRIFT);
         let known = |at: Instant| self.now.saturating_sub(at) < limit;
         // A view read anew may lack what was told by the one before.
-        let whole = self.ses.following() && self.view.has_all_learned();
+        let whole = self.ses.following() && self.view.has_all_known();
         whole && (self.ses.fresh_at.is_some_and(known) || self.surely_fresh_at().is_some_and(known))
     }
 
     fn fresh(&self) -> bool {
-        self.ses.staleness(self.now).is_some_and(|s| s < self.report_s(1.0))
+        self.ses.staleness(self.now).is_some_and(|s| s < self.heartbeat_intervals(1.0))
     }
 
     fn am_leader(&self) -> bool {
-        self.view.lead.as_ref().is_some_and(|l| l.rec.member == self.me && l.rec.incarnation == self.incarnation)
+        self.view.leader.as_ref().is_some_and(|l| l.rec.member == self.me && l.rec.incarnation == self.incarnation)
     }
 
-    fn owns(&self, host: &Versioned<records::HostRec>) -> bool {
+    fn owns(&self, host: &Versioned<records::MachineRecord>) -> bool {
         host.rec.owner == self.me && host.rec.incarnation == self.incarnation
     }
 
-    fn machine_type(&self, build: &str) -> Option<&MachineType> {
-        self.types.iter().find(|t| t.label == build)
+    fn machine_type(&self, machine_type: &str) -> Option<&MachineType> {
+        self.types.iter().find(|t| t.label == machine_type)
     }
 
     fn call(
@@ -683,7 +686,7 @@
             }
         }
         match purpose {
-            Purpose::Lease | Purpose::Renew | Purpose::Scan | Purpose::Follow | Purpose::Barrier => {
+            Purpose::Lease | Purpose::Renew | Purpose::Scan | Purpose::Watch | Purpose::Barrier => {
                 self.sync_answer(purpose, result);
             }
             Purpose::Catalog | Purpose::List | Purpose::Rent { .. } => {
@@ -721,7 +724,7 @@
     fn note_overdue(&mut self) {
         let now_ms = self.wall_ms();
         let mut late = Vec::new();
-        for (uid, j) in self.view.jobs.iter().filter(|(uid, j)| !j.withdrawn() && !self.missed.contains(*uid)) {
+        for (uid, j) in self.view.jobs.iter().filter(|(uid, j)| !j.cancelled() && !self.missed.contains(*uid)) {
             let age_s = now_ms.saturating_sub(j.rec.rec.at_ms) as f64 / 1000.0;
             if self.aims.end_within(&j.spec).is_some_and(|a| age_s > a) {
                 late.push((uid.clone(), j.spec.clone(), j.rec.rec.at_ms));
@@ -737,10 +740,10 @@
 
     /// What waits for the view to move is looked at again.
     fn view_changed(&mut self) {
-        if self.led_since.is_none() && self.view.lead.is_some() {
+        if self.led_since.is_none() && self.view.leader.is_some() {
             self.led_since = Some(self.now);
         }
-        if self.fleet_since_ms.is_none() && self.view.hosts.keys().any(|h| self.is_up(h)) {
+        if self.fleet_since_ms.is_none() && self.view.machines.keys().any(|h| self.is_up(h)) {
             self.fleet_since_ms = Some(self.wall_ms());
             let boot = self.types.iter().map(|t| t.startup_s).fold(f64::INFINITY, f64::min);
             self.fleet_cold = self.now.as_secs_f64() > boot / 2.0;
@@ -754,7 +757,7 @@
             if self.am_leader() {
                 let took_s = self.wall_ms().saturating_sub(at_ms) as f64 / 1000.0;
                 let aim_s = self.aims.end_within(&spec);
-                tracing::debug!(job = %spec.uid, class = %spec.docket, took_s, aim_s, "done");
+                tracing::debug!(job = %spec.uid, class = %spec.class, took_s, aim_s, "done");
             }
             if !self.missed.remove(&spec.uid) {
                 self.note_end(&spec, at_ms);
@@ -764,7 +767,7 @@
             self.stop(&uid);
         }
         self.retry_held();
-        self.answer_requests(RequestEvent::View(self.view.revision));
+        self.answer_requests(RequestEvent::ClusterState(self.view.revision));
     }
 }
 
--- a/src/controller/quota.rs
+++ b/src/controller/quota.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::coordination::parts::Limit;
-use crate::protocol::store::{Cond, Op};
+use crate::protocol::store::{Condition, Op};
 use crate::protocol::user::JobSpec;
 use crate::settings::Team;
 
@@ -13,8 +13,8 @@
     /// What a team uses of its limits, in CPUs and GPUs. Places count until
     /// it is proved that the task is gone, on unreachable machines too.
     pub(super) fn used(&self, team: &Team) -> (Limit, Limit) {
-        let mut used = Amounts::default();
-        for j in self.view.jobs.values().filter(|j| j.spec.desk == team.name) {
+        let mut used = Resources::default();
+        for j in self.view.jobs.values().filter(|j| j.spec.team == team.name) {
             used.add(&j.spec, f64::from(j.placed));
         }
         (Limit { used: used.cores, max: team.cpus_max }, Limit { used: used.gpus, max: team.gpus_max })
@@ -30,12 +30,12 @@
     /// From here on every start of the team changes its record. The view that
     /// shows this change shows all starts that did not.
     pub(super) fn near_limit(&mut self, key: String, version: u64) {
-        if self.busy.contains(&key) || !self.may_write_as(Order::First) {
+        if self.busy.contains(&key) || !self.may_write_as(WritePriority::First) {
             return;
         }
-        let rec = records::TeamRec { strict: true, count: self.next_call };
+        let rec = records::TeamRecord { strict: true, count: self.next_call };
         let txn = Txn {
-            conds: vec![Cond { key: key.clone(), entry_no: version }],
+            conditions: vec![Condition { key: key.clone(), version }],
             ops: vec![Op::Put { key, data: records::to_value(&rec), lease: None }],
         };
         self.txn(txn, Why::Limit);
--- a/src/controller/enrol.rs
+++ b/src/controller/registration.rs
@@ -1,13 +1,13 @@
 //! Recording machines: those that report and those that were rented.
 
 use super::*;
-use crate::coordination::blocks::{self};
-use crate::protocol::store::{Cond, Op};
-use records::PackRec;
+use crate::coordination::shards::{self};
+use crate::protocol::store::{Condition, Op};
+use records::MachineGroupRecord;
 
 /// Rentals whose machines would take the leader's writes of this part of a
 /// second, one by one, are recorded together.
-pub(super) const PACK_FROM: f64 = 0.5;
+pub(super) const GROUP_FROM: f64 = 0.5;
 
 impl Controller {
     /// A machine that reports and is not known joins the block of whoever it
@@ -16,20 +16,20 @@
     ///
     /// A copy of a report of long ago brought machines back that had been returned,
     /// and places on them that nobody heard of: so it must answer a call first.
-    pub(super) fn enrol(&mut self, report: &Report) {
+    pub(super) fn enrol(&mut self, report: &Heartbeat) {
         if !self.probed.contains_key(&report.machine) {
             return self.call_back(report);
         }
-        let key = records::pack_key(&report.machine);
+        let key = records::machine_group_key(&report.machine);
         let led = self.leader_name().is_some() && self.view.is_live(&self.me, self.incarnation);
         // What can be started on machines that are known already comes first.
         let need = 1.0 + self.writes.rate * ACCEPT_RESERVE;
         if !led || self.busy.contains(&key) || self.gone.contains(&report.machine) || !self.may_write(need) {
             return;
         }
-        let rec = PackRec {
-            build: report.build.clone(),
-            site: report.site.clone(),
+        let rec = MachineGroupRecord {
+            machine_type: report.machine_type.clone(),
+            zone: report.zone.clone(),
             spot: report.spot,
             owner: self.me.clone(),
             incarnation: self.incarnation,
@@ -40,15 +40,19 @@
             drain: Vec::new(),
         };
         let txn = Txn {
-            conds: vec![self.lead_cond(), self.packs_cond(), Cond { key: key.clone(), entry_no: 0 }],
+            conditions: vec![
+                self.leader_condition(),
+                self.machine_groups_condition(),
+                Condition { key: key.clone(), version: 0 },
+            ],
             ops: vec![Op::Put { key, data: records::to_value(&rec), lease: None }],
         };
         self.txn_keyed(txn, Why::Enrol);
     }
 
     /// Holds while no pack was written that this view does not know.
-    fn packs_cond(&self) -> Cond {
-        Cond { key: records::PACKS_KEY.into(), entry_no: self.view.packs_version }
+    fn machine_groups_condition(&self) -> Condition {
+        Condition { key: records::MACHINE_GROUPS_KEY.into(), version: self.view.machine_groups_version }
     }
 
     /// Records the machines of a large rental before they are up, in packs for
@@ -57,10 +61,10 @@
     /// conditional on none having a record of its own, and such records on no
     /// pack having been written meanwhile.
     pub(super) fn enrol_rentals(&mut self) {
-        if self.busy.contains(records::PACKS_KEY) || !self.am_leader() || self.unrecorded.is_empty() {
+        if self.busy.contains(records::MACHINE_GROUPS_KEY) || !self.am_leader() || self.unrecorded.is_empty() {
             return;
         }
-        if !self.may_write_as(Order::First) {
+        if !self.may_write_as(WritePriority::First) {
             return;
         }
         let Some((offer, mut names)) = self.unrecorded.pop_front() else { return };
@@ -68,22 +72,23 @@
         let members = self.view.members.len().max(1);
         // Records and conditions of one transaction are limited.
         names.truncate((st.txn_ops * 4).saturating_sub(2));
-        names.retain(|n| !self.view.hosts.contains_key(n));
+        names.retain(|n| !self.view.machines.contains_key(n));
         if names.is_empty() {
             return;
         }
         let size = names.len().div_ceil(members.min(st.txn_ops.saturating_sub(1).max(1)));
         let deaf = self.deaf.names(self.now).collect();
-        let owners = blocks::spread(&self.view, &deaf, &offer.build, names.len(), size);
-        let mut txn = Txn { conds: vec![self.lead_cond(), self.packs_cond()], ops: Vec::new() };
-        txn.conds.extend(names.iter().map(|n| Cond { key: records::pack_key(n), entry_no: 0 }));
-        let count = records::to_value(&self.charter);
-        txn.ops.push(Op::Put { key: records::PACKS_KEY.into(), data: count, lease: None });
+        let owners = shards::spread(&self.view, &deaf, &offer.machine_type, names.len(), size);
+        let mut txn =
+            Txn { conditions: vec![self.leader_condition(), self.machine_groups_condition()], ops: Vec::new() };
+        txn.conditions.extend(names.iter().map(|n| Condition { key: records::machine_group_key(n), version: 0 }));
+        let count = records::to_value(&self.request_id);
+        txn.ops.push(Op::Put { key: records::MACHINE_GROUPS_KEY.into(), data: count, lease: None });
         for (machines, owner) in names.chunks(size).zip(owners) {
             let Some(to) = self.view.members.get(owner) else { continue };
-            let rec = PackRec {
-                build: offer.build.clone(),
-                site: offer.site.clone(),
+            let rec = MachineGroupRecord {
+                machine_type: offer.machine_type.clone(),
+                zone: offer.zone.clone(),
                 spot: offer.spot,
                 owner: owner.to_string(),
                 incarnation: to.rec.incarnation,
@@ -93,7 +98,7 @@
                 machines: machines.to_vec(),
                 drain: Vec::new(),
             };
-            let key = records::pack_key(&machines[0]);
+            let key = records::machine_group_key(&machines[0]);
             txn.ops.push(Op::Put { key, data: records::to_value(&rec), lease: None });
         }
         self.txn_keyed(txn, Why::Enrol);
@@ -113,6 +118,6 @@
     /// reports and was not rented by us stood there before.
     pub(super) fn beginning(&self) -> bool {
         let since = self.led_since.map(|t| self.now.saturating_sub(t));
-        self.term() == 1 && since.is_some_and(|s| s < self.report_s(1.5))
+        self.term() == 1 && since.is_some_and(|s| s < self.heartbeat_intervals(1.5))
     }
 }
--- a/src/controller/work.rs
+++ b/src/controller/scheduler.rs
@@ -3,11 +3,11 @@
 
 use super::quota::{affordable, limited};
 use super::*;
-use crate::bookkeeping::Job;
-use crate::bookkeeping::records::Place;
-use crate::placement::{Room, Rules, Start, Victim, Waiting, plan, preempt, zone_room};
+use crate::placement::{MachineCapacity, Rules, Start, Victim, Waiting, plan, preempt, zone_capacity};
 use crate::protocol::store::Op;
-use crate::protocol::user::{Form, Status};
+use crate::protocol::user::{JobKind, Status};
+use crate::state::Job;
+use crate::state::records::Placement;
 
 /// Estimates are often wrong by half: a job counts as late once its aim would
 /// be missed by a run of this part of the estimate.
@@ -45,7 +45,7 @@
         let starts = if self.fresh() { self.plan_starts() } else { Vec::new() };
         // Machines that are not heard yet may have the room that is missed.
         if self.fresh() && self.start.fleet_known() {
-            self.make_room(&starts);
+            self.make_capacity(&starts);
         }
         let mut by_job: BTreeMap<String, Vec<Start>> = BTreeMap::new();
         for s in starts {
@@ -65,7 +65,7 @@
 
     /// Whether tasks wait here that must start soon.
     fn starts_soon(&self) -> bool {
-        let here = |j: &Job| j.rec.rec.shares.iter().any(|s| s.member == self.me);
+        let here = |j: &Job| j.rec.rec.task_ranges.iter().any(|s| s.member == self.me);
         let soon = |j: &&Job| j.waiting_count() > 0 && here(j) && self.counted(&j.spec) == Counted::Lasting;
         self.view.jobs.values().any(|j| soon(&j))
     }
@@ -74,7 +74,7 @@
     /// it must start soon, and in which order all of it goes. Exits alone lose little
     /// by waiting, since workers report them until they are stored; the last ones of
     /// a job are waited for by its user.
-    fn write_order(&self, by_job: &BTreeMap<String, Vec<Start>>) -> (Vec<String>, bool, Order) {
+    fn write_order(&self, by_job: &BTreeMap<String, Vec<Start>>) -> (Vec<String>, bool, WritePriority) {
         let uids: BTreeSet<&String> = by_job.keys().chain(self.changes.keys()).collect();
         let mut order: Vec<(u8, f64, &String)> = Vec::new();
         let mut urgent = false;
@@ -91,10 +91,10 @@
             let waited = self.patience.get(uid).and_then(|p| p.waited(self.now)).unwrap_or_default();
             let waited = waited.max(self.now.saturating_sub(since));
             let size = (starts + exits + gone) as f64;
-            let weight = size * (waited + self.report_s(1.0)).as_secs_f64();
+            let weight = size * (waited + self.heartbeat_intervals(1.0)).as_secs_f64();
             // Aims on the start of arrays are long: no reason for a batch of their own.
             let soon = starts > 0 && self.counted(&job.spec) == Counted::Lasting;
-            let last = job.withdrawn() || change.is_some_and(|c| self.ends_part(job, c));
+            let last = job.cancelled() || change.is_some_and(|c| self.ends_part(job, c));
             urgent |= soon;
             let rank = match () {
                 _ if soon => 1,
@@ -104,7 +104,8 @@
             order.push((rank, -weight, uid));
         }
         order.sort_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)).then(a.2.cmp(b.2)));
-        let first = if order.iter().any(|o| matches!(o.0, 1 | 2)) { Order::Services } else { Order::Arrays };
+        let first =
+            if order.iter().any(|o| matches!(o.0, 1 | 2)) { WritePriority::Services } else { WritePriority::Arrays };
         (order.into_iter().map(|o| o.2.clone()).collect(), urgent, first)
     }
 
@@ -126,16 +127,16 @@
         for t in self.set.settings.teams.iter().filter(|t| limited(t)) {
             allowances.insert(&t.name, self.allowance(t));
         }
-        let mut rooms: Vec<Room> = self.rooms(false).into_iter().map(|(_, r)| r).collect();
+        let mut capacities: Vec<MachineCapacity> = self.capacities(false).into_iter().map(|(_, r)| r).collect();
         // Tasks of arrays per image, which leave their places to the next.
         let mut turning: HashMap<&str, f64> = HashMap::new();
         for load in self.machines.keys().filter_map(|name| self.view.loads.get(name)) {
-            for (image, b) in load.bundles.iter().filter(|b| b.1.arrays > 0) {
+            for (image, b) in load.by_image.iter().filter(|b| b.1.arrays > 0) {
                 *turning.entry(image).or_default() += f64::from(b.arrays);
             }
         }
         let pull = self.types.iter().map(|t| t.pull_gb_per_s).fold(f64::INFINITY, f64::min);
-        let most = rooms.iter().filter(|r| r.free_share() > 0.0).map(|r| r.cores).fold(0.0, f64::max);
+        let most = capacities.iter().filter(|r| r.free_share() > 0.0).map(|r| r.cores).fold(0.0, f64::max);
         let mut waiting: Vec<Waiting> = Vec::new();
         for (uid, job) in &self.view.jobs {
             if job.waiting_count() == 0 {
@@ -155,7 +156,7 @@
             patience.waiting_since.get_or_insert(now);
             if job.placed == 0 {
                 patience.parts_since = None;
-            } else if job.spec.form == Form::Ensemble {
+            } else if job.spec.kind == JobKind::Gang {
                 patience.parts_since.get_or_insert(now);
             }
             let waited_s = patience.waited(now).unwrap_or_default().as_secs_f64();
@@ -165,30 +166,30 @@
                 continue;
             }
             // Most of the time under load nothing fits anywhere: be quick then.
-            if job.spec.cores > most + 1e-6 && job.spec.form != Form::Ensemble {
+            if job.spec.cores > most + 1e-6 && job.spec.kind != JobKind::Gang {
                 continue;
             }
-            let shares = &job.rec.rec.shares;
+            let task_ranges = &job.rec.rec.task_ranges;
             let ranges: Vec<(u32, u32)> =
-                shares.iter().filter(|s| s.member == self.me).map(|s| (s.from, s.to)).collect();
+                task_ranges.iter().filter(|s| s.member == self.me).map(|s| (s.from, s.to)).collect();
             let mine = |i: u32| ranges.iter().any(|(from, to)| (*from..=*to).contains(&i));
             let all = job.waiting(size);
-            let whole = all.len() as u32 == job.spec.parcels;
-            if job.spec.form == Form::Ensemble && !whole && !self.gathers(job) {
+            let whole = all.len() as u32 == job.spec.task_count;
+            if job.spec.kind == JobKind::Gang && !whole && !self.gathers(job) {
                 continue;
             }
             let mut tasks: Vec<u32> = all.into_iter().filter(|i| mine(*i)).collect();
             // One task is enough to see that a job goes on failing.
-            if job.spec.form == Form::Batch && failing {
+            if job.spec.kind == JobKind::Array && failing {
                 tasks.truncate(1);
             }
             // Exits that are not written yet must not be started over.
             if let Some(c) = self.changes.get(uid) {
                 tasks.retain(|i| !c.done.contains(i));
             }
-            if let Some((cpus, gpus)) = allowances.get_mut(job.spec.desk.as_str()) {
+            if let Some((cpus, gpus)) = allowances.get_mut(job.spec.team.as_str()) {
                 let n = affordable(&job.spec, *cpus, *gpus, tasks.len());
-                if job.spec.form == Form::Ensemble && n < tasks.len() {
+                if job.spec.kind == JobKind::Gang && n < tasks.len() {
                     continue;
                 }
                 tasks.truncate(n);
@@ -199,17 +200,17 @@
                 continue;
             }
             let zones = self.view.zones_of(job);
-            let aim_s = self.aims.end_from(&job.spec, age_s, job.spec.expected_s * HOPE);
-            let slack_s = aim_s.map_or(f64::INFINITY, |a| a - age_s - job.spec.expected_s * HOPE);
-            let left = f64::from(job.spec.parcels - job.done);
-            let work = left * job.spec.cores * job.spec.expected_s;
+            let aim_s = self.aims.end_from(&job.spec, age_s, job.spec.estimated_run_s * HOPE);
+            let slack_s = aim_s.map_or(f64::INFINITY, |a| a - age_s - job.spec.estimated_run_s * HOPE);
+            let left = f64::from(job.spec.task_count - job.done);
+            let work = left * job.spec.cores * job.spec.estimated_run_s;
             let start_within_s = self.aims.start_within(&job.spec);
             let mut stay = 0;
-            if job.spec.form == Form::Batch
-                && let Some(n) = turning.get_mut(job.spec.bundle.as_str())
+            if job.spec.kind == JobKind::Array
+                && let Some(n) = turning.get_mut(job.spec.image.as_str())
             {
-                let fetch_s = job.spec.size_gb / pull;
-                let turns = fetch_s / job.spec.expected_s.max(f64::MIN_POSITIVE);
+                let fetch_s = job.spec.image_gb / pull;
+                let turns = fetch_s / job.spec.estimated_run_s.max(f64::MIN_POSITIVE);
                 // One that waited so long already was wrong to.
                 if waited_s < fetch_s * STAYS {
                     stay = (*n * turns * STAYS).min(tasks.len() as f64) as u32;
@@ -234,23 +235,23 @@
         }
         // Spot machines first, so that ordinary ones stay free for tasks that
         // need them; then the fullest, so that others stay empty.
-        rooms.sort_by(|a, b| {
+        capacities.sort_by(|a, b| {
             let spot = b.spot.cmp(&a.spot);
             spot.then(a.free_cores().total_cmp(&b.free_cores())).then_with(|| a.machine.cmp(&b.machine))
         });
         let op = &self.set.operator;
-        let gangs = self.view.jobs.values().filter(|j| j.spec.form == Form::Ensemble && !j.spec.loaners);
+        let gangs = self.view.jobs.values().filter(|j| j.spec.kind == JobKind::Gang && !j.spec.spot_allowed);
         let keep = gangs.map(Job::waiting_count).sum::<u32>() as usize;
         let rules = Rules { window: op.window, step_gb: op.step_mb / 1024.0, wait_limit_s: op.wait_limit_s, keep };
-        plan(&mut rooms, &mut waiting, &rules, &mut self.sack)
+        plan(&mut capacities, &mut waiting, &rules, &mut self.knapsack)
     }
 
     /// Whether a gang lost tasks before it started, and all others are seen on
     /// our machines, waiting for replacements; or whether it is a wide one of which
     /// no task was ordered yet.
     fn gathers(&self, job: &Job) -> bool {
-        let recent = self.report_s(1.5);
-        let all = |fit: &dyn Fn(&Machine, &Place) -> bool| {
+        let recent = self.heartbeat_intervals(1.5);
+        let all = |fit: &dyn Fn(&Machine, &Placement) -> bool| {
             job.chunks.values().flat_map(|c| &c.rec.on).all(|p| {
                 self.machines
                     .get(&p.machine)
@@ -258,14 +259,14 @@
             })
         };
         let uid = &job.spec.uid;
-        let absent = |m: &Machine, p: &Place| m.confirmed() && m.find(uid, p.index, p.attempt).is_none();
+        let absent = |m: &Machine, p: &Placement| m.confirmed() && m.find(uid, p.index, p.attempt).is_none();
         let stored = || self.is_wide(&job.spec) && !self.taken_back(job) && all(&absent);
         job.done == 0 && job.placed > 0 && (all(&|m, p| m.gathers(uid, p.index, p.attempt)) || stored())
     }
 
     /// Of a wide gang only some places are stored: none of them is ordered.
     pub(super) fn in_parts(&self, job: &Job) -> bool {
-        job.placed < job.spec.parcels && self.is_wide(&job.spec)
+        job.placed < job.spec.task_count && self.is_wide(&job.spec)
     }
 
     /// They have been for a lease: whoever should have stored the rest does not, or has
@@ -280,10 +281,10 @@
     /// or an array that can still meet its aim. What teams without a guarantee
     /// borrowed for minutes would hold others up for as long.
     fn presses(&self, job: &Job) -> bool {
-        match job.spec.form {
-            Form::Ensemble => false,
-            Form::Standing => self.aims.start_within(&job.spec).is_some(),
-            Form::Batch => {
+        match job.spec.kind {
+            JobKind::Gang => false,
+            JobKind::Service => self.aims.start_within(&job.spec).is_some(),
+            JobKind::Array => {
                 let aimed = self.aims.end_within(&job.spec).is_some() && self.can_be_saved(job);
                 aimed || self.aims.start_within(&job.spec).is_some()
             }
@@ -294,23 +295,23 @@
     /// would miss it if it waited once more and began anew.
     fn would_miss(&self, job: &Job, ran_s: f64) -> bool {
         let age_s = self.wall_ms().saturating_sub(job.rec.rec.at_ms) as f64 / 1000.0;
-        let needs_s = job.spec.expected_s;
+        let needs_s = job.spec.estimated_run_s;
         let aim_s = self.aims.end_within(&job.spec);
         aim_s.is_some_and(|a| a >= age_s + (needs_s - ran_s).max(0.0) && a < age_s + needs_s * 2.0)
     }
 
     /// Stops less urgent tasks for those that found no room and must start soon.
-    fn make_room(&mut self, starts: &[Start]) {
+    fn make_capacity(&mut self, starts: &[Start]) {
         let now = self.now;
         let mut pressed: Vec<(&str, u32)> = Vec::new();
-        let running = self.view.jobs.values().filter(|j| j.placed > 0 && !j.withdrawn());
-        let Some(lowest) = running.map(|j| j.spec.urgency).min() else { return };
+        let running = self.view.jobs.values().filter(|j| j.placed > 0 && !j.cancelled());
+        let Some(lowest) = running.map(|j| j.spec.priority).min() else { return };
         for (uid, job) in &self.view.jobs {
-            if job.waiting_count() == 0 || job.spec.urgency <= lowest || !self.presses(job) {
+            if job.waiting_count() == 0 || job.spec.priority <= lowest || !self.presses(job) {
                 continue;
             }
-            let shares = job.rec.rec.shares.iter().filter(|s| s.member == self.me);
-            let mine = shares
+            let task_ranges = job.rec.rec.task_ranges.iter().filter(|s| s.member == self.me);
+            let mine = task_ranges
                 .map(|s| (s.from..=s.to).filter(|i| job.place(*i, self.view.chunk_size).is_none()).count() as u32)
                 .sum::<u32>();
             let found = starts.iter().filter(|s| s.uid == *uid).count() as u32;
@@ -324,7 +325,7 @@
             return;
         }
         // Services first; of arrays the oldest, a few tasks a round.
-        let array = |uid: &str| self.view.jobs.get(uid).filter(|j| j.spec.form == Form::Batch);
+        let array = |uid: &str| self.view.jobs.get(uid).filter(|j| j.spec.kind == JobKind::Array);
         pressed.sort_by_key(|(uid, _)| array(uid).map(|j| j.rec.rec.at_ms));
         let mut left = ARRAY_ROOMS;
         for (uid, n) in pressed.iter_mut() {
@@ -334,25 +335,25 @@
             *n = left.min(*n);
             left -= *n;
         }
-        let mut rooms = Vec::new();
-        for (_, mut room) in self.rooms(false) {
-            let name = room.machine.clone();
+        let mut capacities = Vec::new();
+        for (_, mut capacity) in self.capacities(false) {
+            let name = capacity.machine.clone();
             for s in starts.iter().filter(|s| s.machine == name) {
                 if let Some(j) = self.view.jobs.get(&s.uid) {
-                    room.take(&j.spec, 1);
+                    capacity.take(&j.spec, 1);
                 }
             }
-            let Some(m) = self.machines.get(&room.machine) else { continue };
+            let Some(m) = self.machines.get(&capacity.machine) else { continue };
             // Room that is being made already counts as free, once.
             let mut victims = Vec::new();
-            for ((uid, index), attempt) in self.view.placed.get(&room.machine).into_iter().flatten() {
+            for ((uid, index), attempt) in self.view.placed.get(&capacity.machine).into_iter().flatten() {
                 let Some(j) = self.view.jobs.get(uid) else { continue };
                 let key = (uid.clone(), *index, *attempt);
                 if m.is_over(&key) {
                     continue;
                 } else if m.preempted.contains_key(&key) {
-                    room.put_back(&j.spec);
-                } else if j.spec.form == Form::Batch && !j.withdrawn() {
+                    capacity.put_back(&j.spec);
+                } else if j.spec.kind == JobKind::Array && !j.cancelled() {
                     let ran = m.since.get(&key).map_or(0.0, |t| now.saturating_sub(*t).as_secs_f64());
                     // What can save is stopped with the time to.
                     let lost = if j.spec.saves_in().is_some() { 0.0 } else { ran };
@@ -366,7 +367,7 @@
                     });
                 }
             }
-            rooms.push((room, victims));
+            capacities.push((capacity, victims));
         }
         let mut stops: Vec<(String, (String, u32, u64))> = Vec::new();
         for (uid, n) in pressed {
@@ -377,36 +378,36 @@
             let waited = self.patience.get(uid).and_then(|p| p.waited(now)).unwrap_or_default();
             let mut zones = self.view.zones_of(job);
             for s in starts.iter().filter(|s| s.uid == *uid) {
-                if let Some(h) = self.view.hosts.get(&s.machine) {
-                    *zones.entry(h.rec.site.clone()).or_default() += 1;
+                if let Some(h) = self.view.machines.get(&s.machine) {
+                    *zones.entry(h.rec.zone.clone()).or_default() += 1;
                 }
             }
-            let may = |zones: &BTreeMap<String, u32>, r: &Room| {
-                r.allowed(&job.spec) && zone_room(&job.spec, job.spec.parcels, zones, &r.site) > 0
+            let may = |zones: &BTreeMap<String, u32>, r: &MachineCapacity| {
+                r.allowed(&job.spec) && zone_capacity(&job.spec, job.spec.task_count, zones, &r.zone) > 0
             };
-            let hopeless = !rooms.iter().any(|(r, _)| may(&zones, r) && r.starts_within(&job.spec, within));
+            let hopeless = !capacities.iter().any(|(r, _)| may(&zones, r) && r.starts_within(&job.spec, within));
             if hopeless || waited.as_secs_f64() > within {
                 within = f64::INFINITY;
             }
             for _ in 0..n {
-                if let Some((room, _)) = rooms
+                if let Some((capacity, _)) = capacities
                     .iter_mut()
                     .find(|(r, _)| r.fits(&job.spec) > 0 && may(&zones, r) && r.starts_within(&job.spec, within))
                 {
-                    room.take(&job.spec, 1);
-                    *zones.entry(room.site.clone()).or_default() += 1;
+                    capacity.take(&job.spec, 1);
+                    *zones.entry(capacity.zone.clone()).or_default() += 1;
                     continue;
                 }
-                let Some((at, chosen)) = preempt(&job.spec, within, &zones, &rooms) else { break };
-                let (room, victims) = &mut rooms[at];
-                *zones.entry(room.site.clone()).or_default() += 1;
+                let Some((at, chosen)) = preempt(&job.spec, within, &zones, &capacities) else { break };
+                let (capacity, victims) = &mut capacities[at];
+                *zones.entry(capacity.zone.clone()).or_default() += 1;
                 for v in chosen {
-                    tracing::debug!(job = %v.uid, index = v.index, machine = %room.machine, for_job = %uid, "preempt");
-                    room.put_back(v.spec);
+                    tracing::debug!(job = %v.uid, index = v.index, machine = %capacity.machine, for_job = %uid, "preempt");
+                    capacity.put_back(v.spec);
                     victims.retain(|w| (&w.uid, w.index) != (&v.uid, v.index));
-                    stops.push((room.machine.clone(), (v.uid, v.index, v.attempt)));
+                    stops.push((capacity.machine.clone(), (v.uid, v.index, v.attempt)));
                 }
-                room.take(&job.spec, 1);
+                capacity.take(&job.spec, 1);
             }
         }
         let machines: BTreeSet<String> = stops.iter().map(|s| s.0.clone()).collect();
@@ -425,11 +426,11 @@
 /// Cores that the job's waiting tasks ask for, by the member they are leased
 /// to; of a job in several parts, as if all had run equally far.
 pub(super) fn queued(job: &Job) -> impl Iterator<Item = (&str, f64)> {
-    let each = f64::from(job.waiting_count()) * job.spec.cores / f64::from(job.spec.parcels.max(1));
-    job.rec.rec.shares.iter().map(move |s| (s.member.as_str(), f64::from(s.to + 1 - s.from) * each))
+    let each = f64::from(job.waiting_count()) * job.spec.cores / f64::from(job.spec.task_count.max(1));
+    job.rec.rec.task_ranges.iter().map(move |s| (s.member.as_str(), f64::from(s.to + 1 - s.from) * each))
 }
 
-pub(super) fn end_op(uid: &str, status: Status, parcels: u32) -> Op {
-    let rec = records::JobRec { spec: None, end: Some(status), parcels, at_ms: 0, shares: Vec::new() };
+pub(super) fn end_op(uid: &str, status: Status, task_count: u32) -> Op {
+    let rec = records::JobRecord { spec: None, end: Some(status), task_count, at_ms: 0, task_ranges: Vec::new() };
     Op::Put { key: records::job_key(uid), data: records::to_value(&rec), lease: None }
 }
