--- a/src/controller/blocks.rs
+++ b/src/controller/sharding.rs
@@ -2,13 +2,13 @@
 //! together, those that nobody hears moved.
 
 use super::*;
-use crate::bookkeeping::Job;
-use crate::coordination::blocks::{self, wanted_moves};
 use crate::coordination::log::fitting;
+use crate::coordination::shards::{self, wanted_moves};
 use crate::protocol::encode;
-use crate::protocol::store::{Cond, Op};
-use crate::protocol::user::Form;
-use records::{BlockRec, PackRec};
+use crate::protocol::store::{Condition, Op};
+use crate::protocol::user::JobKind;
+use crate::state::Job;
+use records::{MachineGroupRecord, ShardGrantRecord};
 
 /// After machines were brought together for a gang, blocks are not levelled for
 /// so many report intervals.
@@ -18,21 +18,21 @@
 const UNREACHED_LEASES: f64 = 4.0;
 
 impl Controller {
-    pub(super) fn grant_blocks(&mut self) {
+    pub(super) fn grant_shards(&mut self) {
         for member in self.view.restarted() {
-            let key = records::block_key(&member);
-            if self.busy.contains(&key) || !self.may_write_as(Order::First) {
+            let key = records::shard_grant_key(&member);
+            if self.busy.contains(&key) || !self.may_write_as(WritePriority::First) {
                 continue;
             }
             let Some(m) = self.view.members.get(&member) else { continue };
             self.epoch += 1;
-            let rec = BlockRec { incarnation: m.rec.incarnation, term: self.term(), epoch: self.epoch };
+            let rec = ShardGrantRecord { incarnation: m.rec.incarnation, term: self.term(), epoch: self.epoch };
             tracing::debug!(to = %member, "block granted again");
             let txn = Txn {
-                conds: vec![
-                    self.lead_cond(),
-                    Cond { key: key.clone(), entry_no: self.view.block_version(&member) },
-                    Cond { key: records::member_key(&member), entry_no: m.version },
+                conditions: vec![
+                    self.leader_condition(),
+                    Condition { key: key.clone(), version: self.view.shard_grant_version(&member) },
+                    Condition { key: records::member_key(&member), version: m.version },
                 ],
                 ops: vec![Op::Put { key, data: records::to_value(&rec), lease: None }],
             };
@@ -52,32 +52,34 @@
         let mut moves = wanted_moves(&self.view, &deaf, &unreached, ops);
         let first = !moves.is_empty();
         if moves.is_empty() && level && now >= self.gather_next {
-            moves.extend(blocks::level(&self.view, &deaf, |machine, to| self.reaches(machine, to)));
+            moves.extend(shards::level(&self.view, &deaf, |machine, to| self.reaches(machine, to)));
         }
         if moves.is_empty() && level {
             moves = self.gather_moves();
             moves.truncate(spare);
             if !moves.is_empty() {
                 // Levelling would take them apart before the gang has started.
-                self.gather_next = now + self.report_s(GATHERED_REPORTS);
+                self.gather_next = now + self.heartbeat_intervals(GATHERED_REPORTS);
             }
         }
-        let may = if first { self.may_write_as(Order::First) } else { self.may_write(moves.len() as f64) };
+        let may = if first { self.may_write_as(WritePriority::First) } else { self.may_write(moves.len() as f64) };
         if moves.is_empty() || !may {
             return;
         }
-        self.level_next = self.now + self.report_s(1.0);
-        let sizes = moves.iter().map(|m| self.view.packs.get(&m.pack).map_or(0, |p| encode(&p.rec).len()));
+        self.level_next = self.now + self.heartbeat_intervals(1.0);
+        let sizes = moves.iter().map(|m| self.view.machine_groups.get(&m.group).map_or(0, |p| encode(&p.rec).len()));
         moves.truncate(fitting(sizes));
-        let mut txn = Txn { conds: vec![self.lead_cond()], ops: Vec::new() };
+        let mut txn = Txn { conditions: vec![self.leader_condition()], ops: Vec::new() };
         for m in moves {
-            let key = records::pack_key(&m.pack);
-            let (Some(p), Some(to)) = (self.view.packs.get(&m.pack), self.view.members.get(&m.to)) else { continue };
+            let key = records::machine_group_key(&m.group);
+            let (Some(p), Some(to)) = (self.view.machine_groups.get(&m.group), self.view.members.get(&m.to)) else {
+                continue;
+            };
             if self.busy.contains(&key) {
                 continue;
             }
             self.epoch += 1;
-            let rec = PackRec {
+            let rec = MachineGroupRecord {
                 owner: m.to.clone(),
                 incarnation: to.rec.incarnation,
                 term: self.term(),
@@ -88,14 +90,14 @@
                 let until = now + self.secs(self.set.settings.workers.lease_s * UNREACHED_LEASES);
                 self.avoid.insert((machine.clone(), p.rec.owner.clone()), until);
             }
-            tracing::debug!(pack = %m.pack, machines = rec.machines.len(), from = %p.rec.owner, to = %m.to, "machine granted");
+            tracing::debug!(group = %m.group, machines = rec.machines.len(), from = %p.rec.owner, to = %m.to, "machine granted");
             // Late, after the block it leaves was granted anew, it would carry a lower
             // token than the machines have seen.
-            let block = self.block_cond_of(&p.rec.owner);
-            if !txn.conds.contains(&block) {
-                txn.conds.push(block);
+            let shard = self.shard_condition_of(&p.rec.owner);
+            if !txn.conditions.contains(&shard) {
+                txn.conditions.push(shard);
             }
-            txn.conds.push(Cond { key: key.clone(), entry_no: p.version });
+            txn.conditions.push(Condition { key: key.clone(), version: p.version });
             txn.ops.push(Op::Put { key, data: records::to_value(&rec), lease: None });
         }
         if !txn.ops.is_empty() {
@@ -105,12 +107,12 @@
 
     /// For a gang that waits and fits in no block: machines of one zone are
     /// brought together. One gang at a time.
-    fn gather_moves(&self) -> Vec<blocks::Move> {
+    fn gather_moves(&self) -> Vec<shards::Move> {
         // Until then machines that were rented for it may still come up together.
         let boot = self.types.iter().map(|t| t.startup_s).fold(0.0, f64::max);
         let waits =
             |uid: &String| self.patience.get(uid).and_then(|p| p.waited(self.now)).is_some_and(|t| t > self.secs(boot));
-        let whole = |j: &Job| j.spec.form == Form::Ensemble && j.spec.parcels > 1 && j.placed == 0;
+        let whole = |j: &Job| j.spec.kind == JobKind::Gang && j.spec.task_count > 1 && j.placed == 0;
         let mut gangs: Vec<&Job> = self
             .view
             .jobs
@@ -122,8 +124,8 @@
             return Vec::new();
         }
         gangs.sort_by_key(|j| j.rec.rec.at_ms);
-        let rooms = self.rooms(true);
-        let found = gangs.into_iter().map(|j| blocks::gather(&self.view, &rooms, &j.spec));
+        let capacities = self.capacities(true);
+        let found = gangs.into_iter().map(|j| shards::gather(&self.view, &capacities, &j.spec));
         found.into_iter().find(|moves| !moves.is_empty()).unwrap_or_default()
     }
 }
--- a/src/controller/start.rs
+++ b/src/controller/startup.rs
@@ -2,10 +2,10 @@
 //! What waits for its phases asks `self.start` where it decides.
 
 use super::*;
-use crate::bookkeeping::Placements;
 use crate::protocol::cloud::Phase as Listing;
-use crate::recovery::phase::{Facts, Heard, Phase};
-use crate::recovery::square::{Shown, Stored, case};
+use crate::reconciliation::difference::{Shown, Stored, case};
+use crate::reconciliation::phase::{Facts, Heard, Phase};
+use crate::state::PlacedTasks;
 
 /// A report comes at an interval, give or take a quarter; a worker that is not
 /// answered tries the next controller once before that counts.
@@ -18,7 +18,7 @@
     pub(super) fn pause_tick(&mut self) {
         let since = self.now.saturating_sub(self.ticked_at);
         self.ticked_at = self.now;
-        if since > self.report_s(PAUSE_REPORTS) && self.start.phase() > Phase::Gathering {
+        if since > self.heartbeat_intervals(PAUSE_REPORTS) && self.start.phase() > Phase::Gathering {
             tracing::info!(stood_ms = since.as_millis() as u64, "process stood still, gathers again");
             self.start.paused(self.now);
         }
@@ -31,13 +31,13 @@
         let facts = if self.start.phase() == Phase::Settled {
             // Only time matters any more.
             let none = Heard::default();
-            Facts { fresh: self.fresh(), members: none, block: none, fleet: none }
+            Facts { fresh: self.fresh(), members: none, shard: none, fleet: none }
         } else {
             self.start_facts()
         };
         let Some(phase) = self.start.look(self.now, &facts) else { return };
         let ms = self.now.as_millis() as u64;
-        let Facts { members, block, fleet, .. } = facts;
+        let Facts { members, shard, fleet, .. } = facts;
         tracing::info!(
             ?phase,
             ms,
@@ -45,8 +45,8 @@
             of_members = members.all,
             fleet = fleet.heard,
             of_fleet = fleet.all,
-            block = block.heard,
-            of_block = block.all,
+            shard = shard.heard,
+            of_shard = shard.all,
             "start"
         );
         if phase == Phase::Settled {
@@ -55,28 +55,28 @@
     }
 
     fn start_facts(&self) -> Facts {
-        let (mut block, mut fleet) = (Heard::default(), Heard::default());
+        let (mut shard, mut fleet) = (Heard::default(), Heard::default());
         let listed = self.list_at.is_some();
-        for (name, h) in &self.view.hosts {
+        for (name, h) in &self.view.machines {
             let heard = self.heard_by_any(name);
             // What the cloud lists as booting, or not at all, is not waited for.
-            let running = |l: &Listed| l.phase == Listing::Running;
+            let running = |l: &ListedMachine| l.phase == Listing::Running;
             if !heard && listed && !self.list.get(name).is_some_and(running) {
                 continue;
             }
             fleet.all += 1;
             fleet.heard += usize::from(heard);
             if self.owns(h) {
-                block.all += 1;
-                block.heard += usize::from(self.machines.get(name).is_some_and(|m| m.heard_at.is_some()));
+                shard.all += 1;
+                shard.heard += usize::from(self.machines.get(name).is_some_and(|m| m.heard_at.is_some()));
             }
         }
         let members = Heard { heard: self.view.members.len(), all: self.set.controllers() };
-        Facts { fresh: self.fresh(), members, block, fleet }
+        Facts { fresh: self.fresh(), members, shard, fleet }
     }
 
     /// Counts what the first report under our grant differs in.
-    pub(super) fn note_squared(&mut self, name: &str, wanted: &Placements, kept: &Placements) {
+    pub(super) fn count_differences(&mut self, name: &str, wanted: &PlacedTasks, kept: &PlacedTasks) {
         let Some(m) = self.machines.get(name).filter(|m| m.answered_at.is_none()) else { return };
         let cases = &mut self.start.cases;
         for s in &m.tasks {
--- a/src/controller/sync.rs
+++ b/src/controller/store_sync.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::coordination::session::Load;
 use crate::protocol::decode;
-use crate::protocol::store::{Cond, Followed, Lease, LeaseRequest, Ledger, Op, Rows};
+use crate::protocol::store::{Condition, Lease, LeaseRequest, Op, Rows, TxnResponse, WatchResponse};
 
 impl Controller {
     pub(super) fn sync_tick(&mut self) {
@@ -15,8 +15,8 @@
             tracing::info!("lease at the state service is given up, renewals get no answer");
             self.ses.lease = None;
         }
-        let asks = if self.ses.lease.is_some() { Retry::Renew } else { Retry::Lease };
-        if !self.ses.lease_busy && now >= self.ses.lease_next && self.retry.may(asks, now) {
+        let silent = if self.ses.lease.is_some() { Retry::Renew } else { Retry::Lease };
+        if !self.ses.lease_busy && now >= self.ses.lease_next && self.retry.may(silent, now) {
             self.ses.lease_busy = true;
             self.ses.lease_next = now + ttl / 4;
             match self.ses.lease {
@@ -32,7 +32,7 @@
         match self.ses.load {
             Load::Reading => self.load_tick(),
             Load::Following => {
-                self.follow_tick();
+                self.watch_tick();
                 self.member_tick();
                 self.barrier_tick();
             }
@@ -55,7 +55,7 @@
     /// Reads what proves the view fresh, where somebody waits for it or it is time.
     fn barrier_tick(&mut self) {
         let now = self.now;
-        let due = self.asked.queued() || self.ses.staleness(now).is_none_or(|s| s > self.report_s(0.25));
+        let due = self.asked.queued() || self.ses.staleness(now).is_none_or(|s| s > self.heartbeat_intervals(0.25));
         let may = self.ses.barrier_pace.may(now) && self.retry.may(Retry::Barrier, now);
         if !due || self.ses.barrier_busy || !may {
             return;
@@ -65,19 +65,19 @@
         self.answer_requests(RequestEvent::ReadSent);
         self.ses.barrier_sent = now;
         let path = store::key_path(records::BARRIER_KEY);
-        let timeout = self.report_s(0.5);
+        let timeout = self.heartbeat_intervals(0.5);
         self.call(Target::State, "GET", path, None, timeout, Purpose::Barrier);
     }
 
-    fn follow_tick(&mut self) {
-        if self.ses.follow_busy || !self.ses.follow_pace.may(self.now) || !self.retry.may(Retry::Watch, self.now) {
+    fn watch_tick(&mut self) {
+        if self.ses.watch_busy || !self.ses.watch_pace.may(self.now) || !self.retry.may(Retry::Watch, self.now) {
             return;
         }
-        self.ses.follow_busy = true;
-        self.ses.follow_pace.take(self.now);
-        let hold = self.report_s(2.0);
-        let path = store::follow_path(records::PREFIX, self.view.revision, hold.as_millis() as u64);
-        self.call(Target::State, "GET", path, None, hold * 2, Purpose::Follow);
+        self.ses.watch_busy = true;
+        self.ses.watch_pace.take(self.now);
+        let hold = self.heartbeat_intervals(2.0);
+        let path = store::watch_path(records::PREFIX, self.view.revision, hold.as_millis() as u64);
+        self.call(Target::State, "GET", path, None, hold * 2, Purpose::Watch);
     }
 
     /// Keeps this incarnation's member record on the lease.
@@ -91,9 +91,9 @@
             return; // no other limit: who is no member can do nothing else
         }
         let version = self.view.members.get(&self.me).map_or(0, |m| m.version);
-        let rec = records::MemberRec { incarnation: self.incarnation };
+        let rec = records::MemberRecord { incarnation: self.incarnation };
         let txn = Txn {
-            conds: vec![Cond { key: key.clone(), entry_no: version }],
+            conditions: vec![Condition { key: key.clone(), version }],
             ops: vec![Op::Put { key, data: records::to_value(&rec), lease: Some(lease) }],
         };
         self.txn(txn, Why::Member);
@@ -140,11 +140,11 @@
                     self.scanned(rows);
                 }
             }
-            Purpose::Follow => {
-                self.ses.follow_busy = false;
+            Purpose::Watch => {
+                self.ses.watch_busy = false;
                 match result {
-                    Ok(r) if r.status == 200 => match decode::<Followed>(&r.body) {
-                        Ok(f) => self.followed(f),
+                    Ok(r) if r.status == 200 => match decode::<WatchResponse>(&r.body) {
+                        Ok(f) => self.watched(f),
                         Err(_) => self.reload(),
                     },
                     Ok(r) if r.status == 410 => self.reload(),
@@ -154,16 +154,16 @@
             Purpose::Barrier => {
                 self.ses.barrier_busy = false;
                 let ledger = match result {
-                    Ok(r) if r.status == 404 => decode::<Ledger>(&r.body).ok(),
+                    Ok(r) if r.status == 404 => decode::<TxnResponse>(&r.body).ok(),
                     _ => None,
                 };
-                let read = ledger.as_ref().map_or(RequestEvent::ReadFailed, |l| RequestEvent::Read(l.ledger_no));
+                let read = ledger.as_ref().map_or(RequestEvent::ReadFailed, |l| RequestEvent::Read(l.revision));
                 self.answer_requests(read);
                 if let Some(l) = ledger {
-                    self.ses.barriers.push((l.ledger_no, self.ses.barrier_sent));
+                    self.ses.barriers.push((l.revision, self.ses.barrier_sent));
                     self.ses.reached(self.view.revision);
                 }
-                self.answer_requests(RequestEvent::View(self.view.revision));
+                self.answer_requests(RequestEvent::ClusterState(self.view.revision));
             }
             _ => {}
         }
@@ -177,12 +177,12 @@
 
     fn scanned(&mut self, rows: Rows) {
         if self.ses.scan_revision.is_none() {
-            self.scan = View::loading(self.view.chunk_size, rows.ledger_no);
-            self.ses.scan_revision = Some(rows.ledger_no);
+            self.scan = ClusterState::loading(self.view.chunk_size, rows.revision);
+            self.ses.scan_revision = Some(rows.revision);
         }
         for row in &rows.rows {
-            self.scan.put(&row.key, &row.data, row.entry_no);
-            self.open_writes.shows(&row.key, Some(&row.data), row.entry_no);
+            self.scan.put(&row.key, &row.data, row.version);
+            self.open_writes.shows(&row.key, Some(&row.data), row.version);
         }
         if let Some(last) = rows.rows.last()
             && rows.truncated
@@ -193,10 +193,10 @@
         // Changes during the paging come again from the watch.
         let mut view = std::mem::take(&mut self.scan);
         view.loaded();
-        if view.form() > records::FORM {
+        if view.format_version() > records::FORMAT_VERSION {
             tracing::error!(
-                form = view.form(),
-                known = records::FORM,
+                format_version = view.format_version(),
+                known = records::FORMAT_VERSION,
                 "the stored state is of a later form than this program knows; nothing is started"
             );
             self.ses.restart_load(self.now + self.secs(self.set.settings.workers.lease_s));
@@ -215,35 +215,35 @@
         tracing::info!(
             revision = self.view.revision,
             jobs = self.view.jobs.len(),
-            machines = self.view.hosts.len(),
+            machines = self.view.machines.len(),
             "state loaded"
         );
         self.settle(true);
         self.view_changed();
         // What workers wait for begins with these; none of them waits for a tick.
-        self.follow_tick();
+        self.watch_tick();
         self.member_tick();
         self.barrier_tick();
     }
 
-    fn followed(&mut self, f: Followed) {
+    fn watched(&mut self, f: WatchResponse) {
         if !self.ses.following() {
             return;
         }
         for n in &f.news {
             // All before this change is in the view by now.
-            self.view.reached(n.entry_no.saturating_sub(1));
+            self.view.reached(n.version.saturating_sub(1));
             if let (Some(key), Some(data)) = (&n.put, &n.data) {
-                self.view.put(key, data, n.entry_no);
-                self.open_writes.changed(key, Some(data), n.entry_no);
+                self.view.put(key, data, n.version);
+                self.open_writes.changed(key, Some(data), n.version);
             }
             if let Some(key) = &n.delete {
-                self.view.delete(key, n.entry_no);
-                self.open_writes.changed(key, None, n.entry_no);
+                self.view.delete(key, n.version);
+                self.open_writes.changed(key, None, n.version);
             }
         }
         self.dirty |= !f.news.is_empty();
-        self.view.reached(f.ledger_no);
+        self.view.reached(f.revision);
         self.ses.reached(self.view.revision);
         self.settle(false);
         self.view_changed();
--- a/src/controller/leasing.rs
+++ b/src/controller/task_ranges.rs
@@ -1,21 +1,21 @@
-//! Leases of jobs: tasks leased anew when their holder is gone or full, the
+//! Leases of jobs: tasks reassigned when their holder is gone or full, the
 //! queues that decide to whom, and the end of jobs whose last task is gone.
 
-use super::work::{HOPE, end_op, queued};
+use super::scheduler::{HOPE, end_op, queued};
 use super::*;
-use crate::bookkeeping::Job;
-use crate::bookkeeping::records::{JobRec, Share};
-use crate::coordination::blocks;
-use crate::placement::Room;
-use crate::protocol::store::{Cond, Op};
-use crate::protocol::user::{Form, JobSpec, Status, Urgency};
+use crate::coordination::shards;
+use crate::placement::MachineCapacity;
+use crate::protocol::store::{Condition, Op};
+use crate::protocol::user::{JobKind, JobSpec, Priority, Status};
+use crate::state::Job;
+use crate::state::records::{JobRecord, TaskRange};
 
 impl Controller {
     /// Whether it is ours to end the job: one controller does, so that they do not
     /// refuse each other.
     pub(super) fn ends(&self, uid: &str) -> bool {
         let Some(j) = self.view.jobs.get(uid) else { return false };
-        let first = j.rec.rec.shares.first().map(|s| &s.member);
+        let first = j.rec.rec.task_ranges.first().map(|s| &s.member);
         match first.filter(|m| self.view.members.contains_key(*m)) {
             Some(m) => *m == self.me,
             None => self.am_leader(),
@@ -35,25 +35,25 @@
         for uid in std::mem::take(&mut self.ending) {
             let key = records::job_key(&uid);
             let Some(j) = self.view.jobs.get(&uid).filter(|j| j.complete()) else { continue };
-            // What was started just before it was withdrawn may still be on its way here.
+            // What was started just before it was cancelled may still be on its way here.
             let known = j.rec.version <= self.view.revision;
             let ready = known && !self.busy.contains(&key) && !self.outdated.contains_key(&key);
             // Who withdrew a job was told so long ago: that nothing is left of it can
             // wait for writes to spare.
-            let withdrawn = j.withdrawn();
+            let cancelled = j.cancelled();
             let may = match () {
                 _ if !ready => false,
-                _ if withdrawn => self.may_write(1.0 + self.writes.rate * SPARE_WRITES),
-                _ => self.may_write_as(Order::Answers),
+                _ if cancelled => self.may_write(1.0 + self.writes.rate * SPARE_WRITES),
+                _ => self.may_write_as(WritePriority::Answers),
             };
             let Some(j) = self.view.jobs.get(&uid).filter(|_| may) else {
                 self.ending.insert(uid);
                 continue;
             };
-            let status = if j.withdrawn() { Status::Withdrawn } else { Status::Done };
+            let status = if j.cancelled() { Status::Cancelled } else { Status::Done };
             let mut txn = Txn {
-                conds: vec![Cond { key, entry_no: j.rec.version }],
-                ops: vec![end_op(&uid, status, j.spec.parcels)],
+                conditions: vec![Condition { key, version: j.rec.version }],
+                ops: vec![end_op(&uid, status, j.spec.task_count)],
             };
             let stored = j.chunks.iter().filter(|(_, c)| c.version > 0);
             let most = self.set.settings.state.txn_ops - 1;
@@ -64,20 +64,21 @@
 
     /// Leases waiting tasks anew whose holder is gone, or has no room while
     /// another block has.
-    pub(super) fn relet(&mut self) {
+    pub(super) fn reassign_tasks(&mut self) {
         let size = self.view.chunk_size;
-        let seen = [Counted::All, Counted::Lasting].map(|c| self.rooms_beside(true, c));
-        let mut ahead: BTreeMap<(bool, Urgency), BTreeMap<String, f64>> = BTreeMap::new();
+        let seen = [Counted::All, Counted::Lasting].map(|c| self.capacities_counting(true, c));
+        let mut ahead: BTreeMap<(bool, Priority), BTreeMap<String, f64>> = BTreeMap::new();
         let members: Vec<String> = self.view.members.keys().cloned().collect();
-        let patient = self.report_s(0.25);
+        let patient = self.heartbeat_intervals(0.25);
         let mut txns = Vec::new();
         for (uid, j) in &self.view.jobs {
             if j.waiting_count() == 0 || self.busy.contains(&records::job_key(uid)) {
                 continue;
             }
-            let shares = &j.rec.rec.shares;
-            let holder = |i: u32| shares.iter().find(|s| (s.from..=s.to).contains(&i)).map(|s| s.member.as_str());
-            let dead = self.start.members_known() && shares.iter().any(|s| !self.view.members.contains_key(&s.member));
+            let task_ranges = &j.rec.rec.task_ranges;
+            let holder = |i: u32| task_ranges.iter().find(|s| (s.from..=s.to).contains(&i)).map(|s| s.member.as_str());
+            let dead =
+                self.start.members_known() && task_ranges.iter().any(|s| !self.view.members.contains_key(&s.member));
             let waited = self.start.fleet_known()
                 && self.patience.get(uid).and_then(|p| p.waited(self.now)).is_some_and(|t| t > patient);
             if !dead && !waited {
@@ -87,9 +88,9 @@
             let lost = dead && waits.iter().any(|i| holder(*i).is_none_or(|m| !self.view.members.contains_key(m)));
             // The queues of all others.
             let soon = self.counted(&j.spec) == Counted::Lasting;
-            let rooms = &seen[usize::from(soon)];
-            let queues = ahead.entry((soon, j.spec.urgency));
-            let mut others = queues.or_insert_with(|| self.queues(self.counted(&j.spec), j.spec.urgency)).clone();
+            let capacities = &seen[usize::from(soon)];
+            let queues = ahead.entry((soon, j.spec.priority));
+            let mut others = queues.or_insert_with(|| self.queues(self.counted(&j.spec), j.spec.priority)).clone();
             for (m, cores) in queued(j) {
                 if let Some(q) = others.get_mut(m) {
                     *q = (*q - cores).max(0.0);
@@ -97,28 +98,34 @@
             }
             let zones = self.view.zones_of(j);
             let alike = BTreeMap::new();
-            let blocks =
-                blocks::Blocks { members: &members, rooms, queues: &others, grain: 1, zones: &zones, alike: &alike };
-            let room = blocks.room(&j.spec);
-            let fit = |m: &str| room.iter().find(|r| r.0 == m).map_or(0, |r| r.1);
+            let shards = shards::Shards {
+                members: &members,
+                capacities,
+                queues: &others,
+                grain: 1,
+                zones: &zones,
+                alike: &alike,
+            };
+            let capacity = shards.capacity(&j.spec);
+            let fit = |m: &str| capacity.iter().find(|r| r.0 == m).map_or(0, |r| r.1);
             let mut need: BTreeMap<&str, u32> = BTreeMap::new();
             for m in waits.iter().filter_map(|i| holder(*i)) {
                 *need.entry(m).or_default() += 1;
             }
             let short = need.iter().any(|(m, n)| fit(m) < i64::from(*n));
-            let spare = room.iter().any(|(m, fits)| *fits > i64::from(need.get(m).copied().unwrap_or(0)));
+            let spare = capacity.iter().any(|(m, fits)| *fits > i64::from(need.get(m).copied().unwrap_or(0)));
             let helps = short && spare;
             if !lost && !helps {
                 continue;
             }
-            let new = self.shares_for(&j.spec, &waits, rooms, &others, &zones);
-            if new == *shares {
+            let new = self.task_ranges_for(&j.spec, &waits, capacities, &others, &zones);
+            if new == *task_ranges {
                 continue;
             }
             let key = records::job_key(uid);
-            let rec = JobRec { shares: new, ..j.rec.rec.clone() };
+            let rec = JobRecord { task_ranges: new, ..j.rec.rec.clone() };
             let txn = Txn {
-                conds: vec![self.lead_cond(), Cond { key: key.clone(), entry_no: j.rec.version }],
+                conditions: vec![self.leader_condition(), Condition { key: key.clone(), version: j.rec.version }],
                 ops: vec![Op::Put { key, data: records::to_value(&rec), lease: None }],
             };
             txns.push((!soon, !self.can_be_saved(j), txn));
@@ -127,50 +134,50 @@
         for (can_wait, _, txn) in txns {
             // A reserve stays for accepting jobs and recording exits.
             if self.may_write(if can_wait { self.writes.rate / 2.0 } else { 1.0 }) {
-                self.txn(txn, Why::Relet);
+                self.txn(txn, Why::ReassignTasks);
             }
         }
     }
 
     /// The job's leases, given everyone's rooms as `counted` says.
-    pub(super) fn shares_for(
+    pub(super) fn task_ranges_for(
         &self,
         spec: &JobSpec,
         waits: &[u32],
-        rooms: &[(String, Room)],
+        capacities: &[(String, MachineCapacity)],
         queues: &BTreeMap<String, f64>,
         zones: &BTreeMap<String, u32>,
-    ) -> Vec<Share> {
+    ) -> Vec<TaskRange> {
         let hears = |m: &&String| !self.deaf.is(m, self.now);
         let mut members: Vec<String> = self.view.members.keys().filter(hears).cloned().collect();
         if members.is_empty() {
             members.extend(self.view.members.keys().cloned());
         }
-        let whole = spec.form == Form::Ensemble || spec.together || spec.apart;
+        let whole = spec.kind == JobKind::Gang || spec.zone_affinity || spec.zone_anti_affinity;
         let mut alike = BTreeMap::new();
-        let same = |j: &&Job| j.spec.bundle == spec.bundle && j.spec.uid != spec.uid && j.waiting_count() > 0;
-        for share in self.view.jobs.values().filter(same).flat_map(|j| &j.rec.rec.shares) {
+        let same = |j: &&Job| j.spec.image == spec.image && j.spec.uid != spec.uid && j.waiting_count() > 0;
+        for share in self.view.jobs.values().filter(same).flat_map(|j| &j.rec.rec.task_ranges) {
             *alike.entry(share.member.clone()).or_default() += share.to + 1 - share.from;
         }
         let name = members.iter().map(String::len).max().unwrap_or(0);
-        let grain = records::lease_size(self.set.settings.state.value_kb, name, self.view.chunk_size, spec.parcels);
-        let blocks = blocks::Blocks { members: &members, rooms, queues, grain, zones, alike: &alike };
-        blocks::lease(spec, waits, &blocks, &self.me, whole)
+        let grain = records::lease_size(self.set.settings.state.value_kb, name, self.view.chunk_size, spec.task_count);
+        let shards = shards::Shards { members: &members, capacities, queues, grain, zones, alike: &alike };
+        shards::lease(spec, waits, &shards, &self.me, whole)
     }
 
     /// Whether the job can still meet its aim, if its tasks started now.
     pub(super) fn can_be_saved(&self, job: &Job) -> bool {
         let age_s = self.wall_ms().saturating_sub(job.rec.rec.at_ms) as f64 / 1000.0;
-        let needs_s = job.spec.expected_s * HOPE;
+        let needs_s = job.spec.estimated_run_s * HOPE;
         self.aims.end_from(&job.spec, age_s, needs_s).is_none_or(|a| a - age_s >= needs_s)
     }
 
     /// Cores that waiting tasks leased to each member ask for, of services
     /// that must start soon or of all others. Late jobs do not count, nor do less
     /// urgent ones: they give way.
-    pub(super) fn queues(&self, counted: Counted, urgency: Urgency) -> BTreeMap<String, f64> {
+    pub(super) fn queues(&self, counted: Counted, priority: Priority) -> BTreeMap<String, f64> {
         let mut queues = BTreeMap::new();
-        let ahead = |j: &&Job| j.waiting_count() > 0 && j.spec.urgency >= urgency;
+        let ahead = |j: &&Job| j.waiting_count() > 0 && j.spec.priority >= priority;
         for job in self.view.jobs.values().filter(ahead) {
             if self.counted(&job.spec) == counted && self.can_be_saved(job) {
                 for (member, cores) in queued(job) {
--- a/src/controller/commit.rs
+++ b/src/controller/transactions.rs
@@ -2,20 +2,20 @@
 //! answers. The one place that writes to the state service.
 
 use super::*;
-use crate::bookkeeping::segment::Facts;
 use crate::coordination::writes::Proof;
 use crate::requests::Asked;
+use crate::state::log_segment::Facts;
 
 /// What a transaction was for.
 #[derive(Debug)]
 pub(super) enum Why {
     Accept(String),
-    Withdraw(String),
+    Cancel(String),
     /// Starts and exits, and the parts of limits that starts took without
     /// changing the teams' records.
     Segment {
         facts: BTreeMap<String, Facts>,
-        parts: Vec<(String, Amounts)>,
+        parts: Vec<(String, Resources)>,
     },
     /// Checkpoints.
     Fold,
@@ -25,7 +25,7 @@
     Grant,
     /// The end of a job whose last task is gone.
     Close,
-    Relet,
+    ReassignTasks,
     /// A machine is to be drained, or not any more.
     Mark,
     /// A machine that was released leaves the records.
@@ -35,14 +35,14 @@
     /// What the cloud offers.
     Catalog,
     /// A campaign goes on.
-    Upkeep,
+    Maintenance,
 }
 
 impl Why {
     pub(super) fn name(&self) -> &'static str {
         match self {
             Why::Accept(_) => "accept",
-            Why::Withdraw(_) => "withdraw",
+            Why::Cancel(_) => "withdraw",
             Why::Segment { .. } => "segment",
             Why::Fold => "fold",
             Why::Lead => "lead",
@@ -50,10 +50,10 @@
             Why::Enrol => "enrol",
             Why::Grant => "grant",
             Why::Close => "close",
-            Why::Relet => "relet",
+            Why::ReassignTasks => "relet",
             Why::Mark => "mark",
             Why::Catalog => "catalog",
-            Why::Upkeep => "upkeep",
+            Why::Maintenance => "upkeep",
             Why::Forget => "forget",
             Why::Limit => "limit",
         }
@@ -77,10 +77,10 @@
 impl Ended {
     fn of(result: &Result<Reply, NoAnswer>) -> Ended {
         let Ok(r) = result else { return Ended::Unknown };
-        let ledger = crate::protocol::decode::<store::Ledger>(&r.body);
+        let ledger = crate::protocol::decode::<store::TxnResponse>(&r.body);
         match (r.status, ledger) {
-            (200, Ok(l)) => Ended::Done(l.ledger_no),
-            (409, Ok(l)) => Ended::Void { failed: l.failed, revision: l.ledger_no },
+            (200, Ok(l)) => Ended::Done(l.revision),
+            (409, Ok(l)) => Ended::Void { failed: l.failed, revision: l.revision },
             (200, Err(_)) => Ended::Unknown,
             (status, _) => Ended::Refused(status),
         }
@@ -103,19 +103,19 @@
     }
 
     /// Whether a change of this order may be written now, though others wait.
-    pub(super) fn may_write_as(&mut self, order: Order) -> bool {
+    pub(super) fn may_write_as(&mut self, order: WritePriority) -> bool {
         self.retry.may(Retry::Write, self.now) && self.writes.admits(order, self.now)
     }
 
     /// Sends a transaction; its keys are left alone until it is answered.
     pub(super) fn txn(&mut self, txn: Txn, why: Why) {
-        self.txn_within(txn, why, self.report_s(1.0));
+        self.txn_within(txn, why, self.heartbeat_intervals(1.0));
     }
 
     /// The same, given up after `timeout`.
     pub(super) fn txn_within(&mut self, txn: Txn, why: Why, timeout: Duration) {
-        let mut keys: Vec<String> = txn.conds.iter().map(|c| c.key.clone()).collect();
-        keys.retain(|k| !k.starts_with("fq/h/") && !k.starts_with(records::BLOCKS) && k != records::LEAD_KEY);
+        let mut keys: Vec<String> = txn.conditions.iter().map(|c| c.key.clone()).collect();
+        keys.retain(|k| !k.starts_with("fq/h/") && !k.starts_with(records::SHARD_GRANTS) && k != records::LEADER_KEY);
         // A team's record that is only looked at keeps nobody else from it.
         keys.retain(|k| !k.starts_with(records::TEAMS) || txn.puts(k));
         self.send_txn_within(txn, why, keys, timeout);
@@ -123,7 +123,7 @@
 
     /// Sends a transaction that keeps `keys` busy until it is answered.
     pub(super) fn send_txn(&mut self, txn: Txn, why: Why, keys: Vec<String>) {
-        self.send_txn_within(txn, why, keys, self.report_s(1.0));
+        self.send_txn_within(txn, why, keys, self.heartbeat_intervals(1.0));
     }
 
     /// The same, given up after `timeout`. The one place from which any goes out.
@@ -136,7 +136,7 @@
         self.busy.extend(keys.iter().cloned());
         let body = crate::protocol::encode(&txn);
         let id = self.next_call;
-        self.open_writes.sent(id, &txn, self.view.learned());
+        self.open_writes.sent(id, &txn, self.view.known_revision());
         let purpose = Purpose::Txn { txn, why, keys, charge, sent: self.now };
         self.call(Target::State, "POST", store::TXN.into(), Some(body), timeout, purpose);
     }
@@ -178,7 +178,7 @@
     }
 
     fn view_puts(&mut self, txn: &Txn, revision: u64) {
-        self.view.learn(revision);
+        self.view.note_known_revision(revision);
         for op in &txn.ops {
             // Deletes wait for the watch: it could still bring an older put.
             if let store::Op::Put { key, data, .. } = op {
@@ -203,7 +203,7 @@
         }
         match why {
             Why::Accept(uid) => self.request_written(&uid, Asked::Submitted, &ended),
-            Why::Withdraw(uid) => self.request_written(&uid, Asked::Withdrawn, &ended),
+            Why::Cancel(uid) => self.request_written(&uid, Asked::Cancelled, &ended),
             Why::Segment { facts, parts } => self.segment_answer(&txn, facts, parts, &ended),
             Why::Fold => {
                 self.folding = false;
@@ -221,8 +221,8 @@
 
     /// A transaction whose host keys count as busy as well, and blocks that it grants.
     pub(super) fn txn_keyed(&mut self, txn: Txn, why: Why) {
-        let mut keys: Vec<String> = txn.conds.iter().map(|c| c.key.clone()).collect();
-        keys.retain(|k| k != records::LEAD_KEY && (!k.starts_with(records::BLOCKS) || txn.puts(k)));
+        let mut keys: Vec<String> = txn.conditions.iter().map(|c| c.key.clone()).collect();
+        keys.retain(|k| k != records::LEADER_KEY && (!k.starts_with(records::SHARD_GRANTS) || txn.puts(k)));
         self.send_txn(txn, why, keys);
     }
 }
--- a/src/coordination/account.rs
+++ b/src/coordination/account.rs
@@ -17,8 +17,8 @@
 
 /// What goes first where not all can go.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Order {
-    /// Withdrawals, and changes that everything else waits for.
+pub enum WritePriority {
+    /// Cancellations, and changes that everything else waits for.
     First,
     /// Acceptances, and ends of jobs.
     Answers,
@@ -28,16 +28,17 @@
     Arrays,
 }
 
-impl Order {
-    const ALL: [Order; 4] = [Order::First, Order::Answers, Order::Services, Order::Arrays];
+impl WritePriority {
+    const ALL: [WritePriority; 4] =
+        [WritePriority::First, WritePriority::Answers, WritePriority::Services, WritePriority::Arrays];
 
     /// What has to be left after it, in parts of a second's worth.
     fn leaves(self) -> f64 {
         match self {
-            Order::First => -1.0,
-            Order::Answers => -0.75,
-            Order::Services => -0.5,
-            Order::Arrays => 0.25,
+            WritePriority::First => -1.0,
+            WritePriority::Answers => -0.75,
+            WritePriority::Services => -0.5,
+            WritePriority::Arrays => 0.25,
         }
     }
 }
@@ -64,7 +65,7 @@
     pub rate: f64,
     level: f64,
     at: Instant,
-    waits: [Option<Wait>; Order::ALL.len()],
+    waits: [Option<Wait>; WritePriority::ALL.len()],
 }
 
 impl Account {
@@ -95,27 +96,28 @@
         )
     }
 
-    fn overdue(&self, order: Order, now: Instant) -> bool {
+    fn overdue(&self, order: WritePriority, now: Instant) -> bool {
         let patience = self.patience();
         self.waits[order as usize].is_some_and(|w| now >= w.since + patience && now <= w.asked + patience)
     }
 
     /// Whether a write in this order goes now; one that may not is remembered as
     /// waiting for as long as it is asked for again.
-    pub fn admits(&mut self, order: Order, now: Instant) -> bool {
+    pub fn admits(&mut self, order: WritePriority, now: Instant) -> bool {
         // What arrays have goes along with starts of services, in one transaction.
-        let along = |o: Order| order == Order::Services && o == Order::Arrays;
-        let overdue = Order::ALL.into_iter().any(|o| (o == order || along(o)) && self.overdue(o, now));
-        let leaves = if overdue { Order::First } else { order }.leaves();
-        let owed = Order::ALL.into_iter().filter(|o| *o > order && !along(*o) && self.overdue(*o, now)).count();
-        let need = (1.0 + leaves * self.worth()).min(self.worth()) + owed as f64;
+        let along = |o: WritePriority| order == WritePriority::Services && o == WritePriority::Arrays;
+        let overdue = WritePriority::ALL.into_iter().any(|o| (o == order || along(o)) && self.overdue(o, now));
+        let leaves = if overdue { WritePriority::First } else { order }.leaves();
+        let revocations =
+            WritePriority::ALL.into_iter().filter(|o| *o > order && !along(*o) && self.overdue(*o, now)).count();
+        let need = (1.0 + leaves * self.worth()).min(self.worth()) + revocations as f64;
         let goes = self.level(now) >= need;
         let patience = self.patience();
         let wait = &mut self.waits[order as usize];
         let since = wait.filter(|w| now <= w.asked + patience).map_or(now, |w| w.since);
         *wait = (!goes).then_some(Wait { since, asked: now });
-        if goes && order == Order::Services {
-            self.waits[Order::Arrays as usize] = None;
+        if goes && order == WritePriority::Services {
+            self.waits[WritePriority::Arrays as usize] = None;
         }
         goes
     }
--- a/src/coordination/blame.rs
+++ b/src/coordination/fault_attribution.rs
@@ -50,11 +50,11 @@
     /// `everywhere` says of a job that it fails everywhere, `well` that it did well
     /// on some machine.
     pub fn verdict(&self, everywhere: impl Fn(&str) -> bool, well: impl Fn(&str) -> bool) -> Verdict {
-        let blamed: Vec<(&str, u32)> =
+        let attributed: Vec<(&str, u32)> =
             self.by_job.iter().filter(|(job, _)| !everywhere(job)).map(|(job, n)| (job.as_str(), *n)).collect();
-        match blamed.iter().map(|b| b.1).sum::<u32>() {
+        match attributed.iter().map(|b| b.1).sum::<u32>() {
             n if n < FAILURES => Verdict::Well,
-            _ if blamed.len() > 1 || blamed.iter().any(|(job, _)| well(job)) => Verdict::Faulty,
+            _ if attributed.len() > 1 || attributed.iter().any(|(job, _)| well(job)) => Verdict::Faulty,
             _ => Verdict::Open,
         }
     }
--- a/src/coordination/warrant.rs
+++ b/src/coordination/fencing_token.rs
@@ -1,4 +1,4 @@
-//! Warrants: the tokens by which a worker knows who may command it. The
+//! Fencing tokens: the tokens by which a worker knows who may command it. The
 //! leader's term counts most, then the grant's epoch within the term, then a
 //! counter that the machine's owner raises by itself. A worker that took a
 //! higher one no longer listens to any earlier owner.
@@ -7,14 +7,14 @@
 const EPOCH_BITS: u32 = 24;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Warrant(pub u64);
+pub struct FencingToken(pub u64);
 
-impl Warrant {
+impl FencingToken {
     /// Fields that outgrow their bits stay at the top of their range, and so
     /// never spill into a field that counts more.
-    pub fn new(term: u64, epoch: u64, counter: u64) -> Warrant {
+    pub fn new(term: u64, epoch: u64, counter: u64) -> FencingToken {
         let cap = |v: u64, bits: u32| v.min((1 << bits) - 1);
-        Warrant(
+        FencingToken(
             (cap(term, 64 - EPOCH_BITS - COUNTER_BITS) << (EPOCH_BITS + COUNTER_BITS))
                 | (cap(epoch, EPOCH_BITS) << COUNTER_BITS)
                 | cap(counter, COUNTER_BITS),
@@ -30,8 +30,8 @@
     #[test]
     fn term_beats_epoch_beats_counter() {
         let top = u64::MAX;
-        assert!(Warrant::new(2, 0, 0) > Warrant::new(1, top, top));
-        assert!(Warrant::new(1, 2, 0) > Warrant::new(1, 1, top));
-        assert!(Warrant::new(1, 1, 2) > Warrant::new(1, 1, 1));
+        assert!(FencingToken::new(2, 0, 0) > FencingToken::new(1, top, top));
+        assert!(FencingToken::new(1, 2, 0) > FencingToken::new(1, 1, top));
+        assert!(FencingToken::new(1, 1, 2) > FencingToken::new(1, 1, 1));
     }
 }
--- a/src/coordination/log.rs
+++ b/src/coordination/log.rs
@@ -8,10 +8,10 @@
 //! the two comes first voids the other. So does the first segment of a restarted
 //! controller, which goes to the slot that its predecessor's last one would.
 
-use crate::bookkeeping::Amounts;
-use crate::bookkeeping::segment::{Facts, bytes};
 use crate::effects::Instant;
-use crate::protocol::store::Cond;
+use crate::protocol::store::Condition;
+use crate::state::Resources;
+use crate::state::log_segment::{Facts, bytes};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
@@ -22,7 +22,7 @@
     pub busy: bool,
     next_at: Instant,
     /// Parts of teams' limits that segments in doubt would take.
-    pub doubt: Vec<(String, Amounts)>,
+    pub doubt: Vec<(String, Resources)>,
 }
 
 impl Writer {
@@ -63,12 +63,12 @@
 
 /// Whether a gang of so many tasks may not fit into one segment, however few else is
 /// in it: each task may need a record of its own as a condition, and names its machine.
-pub fn wide(parcels: u32, txn_ops: usize, value: usize) -> bool {
+pub fn wide(task_count: u32, txn_ops: usize, value: usize) -> bool {
     // Beside them: the slot, the job, the block, the team, and checkpoints that go along.
-    let conds = (txn_ops * 4).saturating_sub(txn_ops + 4);
+    let conditions = (txn_ops * 4).saturating_sub(txn_ops + 4);
     let each = bytes::START + LONGEST_NAME;
-    let fit = conds.min(byte_shares(value).0.saturating_sub(bytes::FRAME + LONGEST_NAME) / each);
-    parcels as usize > fit
+    let fit = conditions.min(byte_shares(value).0.saturating_sub(bytes::FRAME + LONGEST_NAME) / each);
+    task_count as usize > fit
 }
 
 /// Names of machines and jobs are no longer, or a segment takes fewer of them.
@@ -77,7 +77,7 @@
 /// What one transaction may hold.
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
-    pub conds: usize,
+    pub conditions: usize,
     pub bytes: usize,
 }
 
@@ -86,7 +86,7 @@
 pub struct Draft {
     limits: Limits,
     bytes: usize,
-    pub conds: BTreeMap<String, u64>,
+    pub conditions: BTreeMap<String, u64>,
     pub facts: BTreeMap<String, Facts>,
     machines: BTreeSet<String>,
 }
@@ -94,7 +94,7 @@
 /// A fact that is to go into a segment, with what it needs there.
 #[derive(Debug, Clone, Default)]
 pub struct Need {
-    pub conds: Vec<(String, u64)>,
+    pub conditions: Vec<(String, u64)>,
     /// The machine it names.
     pub machine: Option<String>,
     pub bytes: usize,
@@ -102,7 +102,13 @@
 
 impl Draft {
     pub fn new(limits: Limits) -> Draft {
-        Draft { limits, bytes: bytes::FRAME, conds: BTreeMap::new(), facts: BTreeMap::new(), machines: BTreeSet::new() }
+        Draft {
+            limits,
+            bytes: bytes::FRAME,
+            conditions: BTreeMap::new(),
+            facts: BTreeMap::new(),
+            machines: BTreeSet::new(),
+        }
     }
 
     pub fn is_empty(&self) -> bool {
@@ -113,9 +119,9 @@
     pub fn take(&mut self, uid: &str, needs: &[&Need]) -> bool {
         let new_conds: BTreeSet<&str> = needs
             .iter()
-            .flat_map(|n| &n.conds)
+            .flat_map(|n| &n.conditions)
             .map(|(key, _)| key.as_str())
-            .filter(|key| !self.conds.contains_key(*key))
+            .filter(|key| !self.conditions.contains_key(*key))
             .collect();
         let new_machines: BTreeSet<&str> =
             needs.iter().filter_map(|n| n.machine.as_deref()).filter(|m| !self.machines.contains(*m)).collect();
@@ -123,56 +129,56 @@
         let size = name
             + new_machines.iter().map(|m| bytes::name(m)).sum::<usize>()
             + needs.iter().map(|n| n.bytes).sum::<usize>();
-        if self.conds.len() + new_conds.len() > self.limits.conds || self.bytes + size > self.limits.bytes {
+        if self.conditions.len() + new_conds.len() > self.limits.conditions || self.bytes + size > self.limits.bytes {
             return false;
         }
         self.bytes += size;
         self.machines.extend(new_machines.into_iter().map(Into::into));
-        for (key, version) in needs.iter().flat_map(|n| &n.conds) {
-            self.conds.insert(key.clone(), *version);
+        for (key, version) in needs.iter().flat_map(|n| &n.conditions) {
+            self.conditions.insert(key.clone(), *version);
         }
         self.facts.entry(uid.to_string()).or_default();
         true
     }
 
-    pub fn conditions(&self) -> impl Iterator<Item = Cond> + '_ {
-        self.conds.iter().map(|(key, entry_no)| Cond { key: key.clone(), entry_no: *entry_no })
+    pub fn conditions(&self) -> impl Iterator<Item = Condition> + '_ {
+        self.conditions.iter().map(|(key, version)| Condition { key: key.clone(), version: *version })
     }
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::bookkeeping::records::Place;
-    use crate::bookkeeping::segment::SegmentRec;
     use crate::protocol::encode;
+    use crate::state::log_segment::LogSegmentRecord;
+    use crate::state::records::Placement;
 
-    fn need(pack: &str, machine: &str) -> Need {
-        let conds = vec![(pack.to_string(), 7), ("fq/j/run-1".to_string(), 3)];
-        Need { conds, machine: Some(machine.into()), bytes: bytes::START }
+    fn need(group: &str, machine: &str) -> Need {
+        let conditions = vec![(group.to_string(), 7), ("fq/j/run-1".to_string(), 3)];
+        Need { conditions, machine: Some(machine.into()), bytes: bytes::START }
     }
 
     /// A transaction over a limit is refused as malformed, again and again.
     #[test]
     fn a_draft_stays_within_both_limits() {
-        let mut d = Draft::new(Limits { conds: 10, bytes: 8192 });
+        let mut d = Draft::new(Limits { conditions: 10, bytes: 8192 });
         let taken = (0..40).filter(|i| d.take("run-1", &[&need(&format!("fq/h/{i}"), "m")])).count();
-        assert_eq!((taken, d.conds.len()), (9, 10), "the job's record is one of them");
-        let mut d = Draft::new(Limits { conds: 1000, bytes: 1024 });
+        assert_eq!((taken, d.conditions.len()), (9, 10), "the job's record is one of them");
+        let mut d = Draft::new(Limits { conditions: 1000, bytes: 1024 });
         let mut taken = 0;
         while d.take("run-1", &[&need("fq/h/p", &format!("host-{taken:06}"))]) {
-            let place = Place { index: u32::MAX, machine: format!("host-{taken:06}"), attempt: u64::MAX };
+            let place = Placement { index: u32::MAX, machine: format!("host-{taken:06}"), attempt: u64::MAX };
             d.facts.get_mut("run-1").unwrap().starts.push(place);
             taken += 1;
         }
-        let size = encode(&SegmentRec::of(u64::MAX, &d.facts)).len();
+        let size = encode(&LogSegmentRecord::of(u64::MAX, &d.facts)).len();
         assert!(taken > 15 && size <= 1024, "{taken} starts in {size} bytes");
     }
 
     /// Half a gang in a segment would start without the other half.
     #[test]
     fn facts_that_belong_together_go_together_or_not_at_all() {
-        let mut d = Draft::new(Limits { conds: 4, bytes: 8192 });
+        let mut d = Draft::new(Limits { conditions: 4, bytes: 8192 });
         let needs: Vec<Need> = (0..4).map(|i| need(&format!("fq/h/{i}"), "m")).collect();
         assert!(!d.take("run-1", &needs.iter().collect::<Vec<_>>()) && d.is_empty());
         assert!(d.take("run-1", &needs[..3].iter().collect::<Vec<_>>()));
--- a/src/coordination/machine.rs
+++ b/src/coordination/machine.rs
@@ -5,12 +5,12 @@
 //! *absent* (a task that was ordered never arrived, and never will) and
 //! *empty* (the whole machine is). Both are argued in `docs/design.md`.
 
-use super::blame::Failures;
-use super::warrant::Warrant;
-use crate::bookkeeping::{Images, Placements};
+use super::fault_attribution::Failures;
+use super::fencing_token::FencingToken;
 use crate::effects::{CallId, Instant};
-use crate::protocol::worker::{Cause, Order, Report, TaskId, TaskState};
-use crate::recovery::square::{Act, Shown, Stored, case};
+use crate::protocol::worker::{Cause, Command, Heartbeat, TaskId, TaskState};
+use crate::reconciliation::difference::{Act, Shown, Stored, case};
+use crate::state::{Images, PlacedTasks};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
@@ -38,8 +38,8 @@
     /// Newest report: session and sequence.
     pub at: (u64, u64),
     /// The highest token the worker says it has seen.
-    pub warrant: u64,
-    pub recall_s: Option<f64>,
+    pub fencing_token: u64,
+    pub preemption_notice_s: Option<f64>,
     /// Where it takes orders, by its own report.
     pub addr: String,
     pub tasks: Vec<Seen>,
@@ -102,8 +102,8 @@
             counter: 0,
             owned_since: now,
             at: (0, 0),
-            warrant: 0,
-            recall_s: None,
+            fencing_token: 0,
+            preemption_notice_s: None,
             addr: String::new(),
             tasks: Vec::new(),
             ended: BTreeSet::new(),
@@ -139,27 +139,27 @@
 
     /// The token in force for this machine.
     pub fn token(&self) -> u64 {
-        Warrant::new(self.term, self.epoch, self.counter).0
+        FencingToken::new(self.term, self.epoch, self.counter).0
     }
 
     /// The worker listens to nobody else, and to no message of ours that was
     /// given up on: what it reports is all there is.
     pub fn confirmed(&self) -> bool {
-        self.warrant == self.token() && self.push.is_none()
+        self.fencing_token == self.token() && self.push.is_none()
     }
 
     /// Takes a report in, unless a newer one is known.
-    pub fn take(&mut self, report: &Report) -> bool {
-        let at = (report.shift, report.tally);
+    pub fn take(&mut self, report: &Heartbeat) -> bool {
+        let at = (report.agent_epoch, report.heartbeat_seq);
         if at <= self.at {
             return false;
         }
-        if report.shift != self.at.0 {
+        if report.agent_epoch != self.at.0 {
             self.pushed.clear();
         }
         self.at = at;
-        self.warrant = report.warrant;
-        self.recall_s = report.recall_s;
+        self.fencing_token = report.fencing_token;
+        self.preemption_notice_s = report.preemption_notice_s;
         if self.addr != report.addr {
             self.addr.clone_from(&report.addr);
         }
@@ -167,10 +167,10 @@
             .tasks
             .iter()
             .filter_map(|t| {
-                Some(Seen { task: TaskId::parse(&t.parcel)?, attempt: t.attempt, state: t.status, cause: t.cause })
+                Some(Seen { task: TaskId::parse(&t.task)?, attempt: t.attempt, state: t.status, cause: t.cause })
             })
             .collect();
-        let over = |s: &&Seen| s.state == TaskState::Exited && s.cause != Some(Cause::Alone);
+        let over = |s: &&Seen| s.state == TaskState::Exited && s.cause != Some(Cause::GangIncomplete);
         let ended = self.tasks.iter().filter(over);
         self.ended = ended.map(|s| (s.task.job.clone(), s.task.index, s.attempt)).collect();
         true
@@ -186,7 +186,7 @@
     /// (`waits_out`).
     pub fn note_reply(&mut self, news: bool, now: Instant) {
         self.note_sure(self.confirmed() || news && self.ready);
-        if self.told <= self.warrant {
+        if self.told <= self.fencing_token {
             self.missed = 0;
             self.reached_at = Some(now);
         } else if self.sure || news {
@@ -204,14 +204,14 @@
     pub fn note_sure(&mut self, sure: bool) {
         self.sure = sure;
         if sure {
-            self.floor = self.warrant;
+            self.floor = self.fencing_token;
         }
     }
 
     /// What shows this token is of a life that is over; or it is the token shown here
     /// whose life is.
-    pub fn belies(&self, warrant: u64) -> bool {
-        warrant < self.floor
+    pub fn belies(&self, fencing_token: u64) -> bool {
+        fencing_token < self.floor
     }
 
     /// Its report is answered; with what token.
@@ -242,7 +242,7 @@
 
     /// The machine came back from its end, as its answer to our call shows: nothing
     /// that was pushed to the one before may be carried out there.
-    pub fn begin_anew(&mut self, report: &Report) {
+    pub fn begin_anew(&mut self, report: &Heartbeat) {
         self.push_lost();
         self.at = (0, 0);
         self.take(report);
@@ -273,14 +273,14 @@
     /// The worker has seen a token above ours: raise the counter past it where
     /// that is possible. True if ours is now the higher one.
     pub fn outrank(&mut self) -> bool {
-        while self.token() < self.warrant {
+        while self.token() < self.fencing_token {
             let before = self.token();
             self.counter += 1;
             if self.token() == before {
                 return false;
             }
             // Only our own raised counter can be ahead within our grant.
-            if Warrant::new(self.term, self.epoch, u64::MAX).0 < self.warrant {
+            if FencingToken::new(self.term, self.epoch, u64::MAX).0 < self.fencing_token {
                 return false;
             }
         }
@@ -292,7 +292,8 @@
     pub fn gathers(&self, job: &str, index: u32, attempt: u64) -> bool {
         self.confirmed()
             && self.find(job, index, attempt).is_some_and(|s| {
-                matches!(s.state, TaskState::Fetching | TaskState::Gathering) || s.cause == Some(Cause::Alone)
+                matches!(s.state, TaskState::Fetching | TaskState::WaitingForGang)
+                    || s.cause == Some(Cause::GangIncomplete)
             })
     }
 
@@ -303,36 +304,36 @@
     /// Orders that lead from the last report to what is wanted. `wanted` are
     /// the tasks that shall run here; `kept` are those whose exit is not in
     /// the store yet, and which the worker must therefore not forget.
-    pub fn orders(&self, wanted: &Placements, kept: &Placements) -> Vec<Order> {
-        let mut orders = Vec::new();
+    pub fn commands(&self, wanted: &PlacedTasks, kept: &PlacedTasks) -> Vec<Command> {
+        let mut commands = Vec::new();
         let confirmed = self.confirmed();
         for s in &self.tasks {
             let key = (s.task.job.clone(), s.task.index);
             let stored = Stored::of(wanted, kept, &key, s.attempt);
-            let (parcel, attempt) = (s.task.to_string(), s.attempt);
+            let (task, attempt) = (s.task.to_string(), s.attempt);
             // One that gave up waiting and is still wanted has a gang that comes.
             match case(stored, Shown::of(s.state, s.cause), true).act(confirmed) {
                 Act::Kill => {
                     let key = (key.0, key.1, attempt);
-                    let wind_down_s = self.preempted.get(&key).copied().unwrap_or(0.0);
-                    orders.push(Order::Kill { parcel, attempt, wind_down_s });
+                    let grace_period_s = self.preempted.get(&key).copied().unwrap_or(0.0);
+                    commands.push(Command::Kill { task, attempt, grace_period_s });
                 }
-                Act::Forget => orders.push(Order::Forget { parcel, attempt }),
+                Act::Forget => commands.push(Command::Forget { task, attempt }),
                 Act::Again => {
                     // The same attempt waits on, with its image there by now.
-                    orders.push(Order::Forget { parcel: parcel.clone(), attempt });
-                    orders.push(Order::Run { parcel, attempt });
+                    commands.push(Command::Forget { task: task.clone(), attempt });
+                    commands.push(Command::Run { task, attempt });
                 }
                 Act::Leave | Act::Run | Act::StoreResult | Act::StoreGone => {}
             }
         }
         for ((job, index), attempt) in wanted {
             if self.find(job, *index, *attempt).is_none() {
-                orders.push(Order::Run { parcel: format!("{job}/{index}"), attempt: *attempt });
+                commands.push(Command::Run { task: format!("{job}/{index}"), attempt: *attempt });
             }
         }
-        orders.truncate(ORDERS_LIMIT);
-        orders
+        commands.truncate(ORDERS_LIMIT);
+        commands
     }
 
     /// A message is pushed.
@@ -340,17 +341,17 @@
         (self.push, self.pushed_at) = (Some(id), Some(now));
     }
 
-    /// Of `orders`, those worth a push: starts and kills not pushed before.
-    pub fn to_push(&mut self, orders: Vec<Order>) -> Vec<Order> {
+    /// Of `commands`, those worth a push: starts and kills not pushed before.
+    pub fn to_push(&mut self, commands: Vec<Command>) -> Vec<Command> {
         if self.push.is_some() || !self.confirmed() {
             return Vec::new();
         }
         let mut out = Vec::new();
-        for o in orders {
+        for o in commands {
             let key = match &o {
-                Order::Run { parcel, attempt } => (parcel, *attempt, true),
-                Order::Kill { parcel, attempt, .. } => (parcel, *attempt, false),
-                Order::Forget { .. } => continue,
+                Command::Run { task, attempt } => (task, *attempt, true),
+                Command::Kill { task, attempt, .. } => (task, *attempt, false),
+                Command::Forget { .. } => continue,
             };
             let Some(id) = TaskId::parse(key.0) else { continue };
             if self.pushed.insert((id.job, id.index, key.1, key.2)) {
--- a/src/coordination/machine/tests.rs
+++ b/src/coordination/machine/tests.rs
@@ -1,21 +1,21 @@
 use super::*;
 use crate::protocol::worker::TaskReport;
 
-fn report(at: (u64, u64), warrant: u64, tasks: &[(&str, u64, TaskState)]) -> Report {
-    Report {
+fn report(at: (u64, u64), fencing_token: u64, tasks: &[(&str, u64, TaskState)]) -> Heartbeat {
+    Heartbeat {
         machine: "host-000001".into(),
         addr: "10.1.0.1:9000".into(),
-        build: "g8".into(),
-        site: "a".into(),
+        machine_type: "g8".into(),
+        zone: "a".into(),
         spot: false,
-        shift: at.0,
-        tally: at.1,
-        warrant,
-        recall_s: None,
+        agent_epoch: at.0,
+        heartbeat_seq: at.1,
+        fencing_token,
+        preemption_notice_s: None,
         tasks: tasks
             .iter()
             .map(|(p, attempt, status)| TaskReport {
-                parcel: p.to_string(),
+                task: p.to_string(),
                 attempt: *attempt,
                 status: *status,
                 cause: None,
@@ -25,7 +25,7 @@
     }
 }
 
-fn places(list: &[(&str, u32, u64)]) -> Placements {
+fn places(list: &[(&str, u32, u64)]) -> PlacedTasks {
     list.iter().map(|(j, i, a)| ((j.to_string(), *i), *a)).collect()
 }
 
@@ -48,16 +48,16 @@
     let mut m = Machine::new(1, 1, 1, Duration::ZERO);
     let exited = [("run-1/0", 1, TaskState::Exited)];
     m.take(&report((1, 1), m.token(), &exited));
-    let forget = Order::Forget { parcel: "run-1/0".into(), attempt: 1 };
-    assert_eq!(m.orders(&places(&[]), &places(&[])), vec![forget.clone()]);
+    let forget = Command::Forget { task: "run-1/0".into(), attempt: 1 };
+    assert_eq!(m.commands(&places(&[]), &places(&[])), vec![forget.clone()]);
     m.push = Some(7);
-    assert!(m.orders(&places(&[]), &places(&[])).is_empty());
+    assert!(m.commands(&places(&[]), &places(&[])).is_empty());
     let before = m.token();
     m.push_lost();
     m.take(&report((1, 2), before, &exited));
-    assert!(m.orders(&places(&[]), &places(&[])).is_empty());
+    assert!(m.commands(&places(&[]), &places(&[])).is_empty());
     m.take(&report((1, 3), m.token(), &exited));
-    assert_eq!(m.orders(&places(&[]), &places(&[])), vec![forget]);
+    assert_eq!(m.commands(&places(&[]), &places(&[])), vec![forget]);
 }
 
 /// `done` must be in the store before the worker forgets it.
@@ -66,18 +66,18 @@
     let mut m = Machine::new(1, 1, 1, Duration::ZERO);
     m.take(&report((1, 1), m.token(), &[("run-1/0", 1, TaskState::Exited)]));
     let kept = places(&[("run-1", 0, 1)]);
-    assert!(m.orders(&places(&[]), &kept).is_empty());
-    assert!(m.orders(&kept, &places(&[])).is_empty());
+    assert!(m.commands(&places(&[]), &kept).is_empty());
+    assert!(m.commands(&kept, &places(&[])).is_empty());
 }
 
 #[test]
 fn strangers_are_killed_and_missing_tasks_started() {
     let mut m = Machine::new(1, 1, 1, Duration::ZERO);
     m.take(&report((1, 1), m.token(), &[("run-1/0", 1, TaskState::Running)]));
-    let orders = m.orders(&places(&[("run-1", 0, 2)]), &places(&[]));
-    let kill = Order::Kill { parcel: "run-1/0".into(), attempt: 1, wind_down_s: 0.0 };
-    let run = Order::Run { parcel: "run-1/0".into(), attempt: 2 };
-    assert_eq!(orders, vec![kill, run]);
+    let commands = m.commands(&places(&[("run-1", 0, 2)]), &places(&[]));
+    let kill = Command::Kill { task: "run-1/0".into(), attempt: 1, grace_period_s: 0.0 };
+    let run = Command::Run { task: "run-1/0".into(), attempt: 2 };
+    assert_eq!(commands, vec![kill, run]);
 }
 
 /// An earlier owner may be cut off with the worker and still answer it.
@@ -98,16 +98,16 @@
 fn a_gang_task_that_gave_up_waiting_waits_on() {
     let mut m = Machine::new(1, 1, 1, Duration::ZERO);
     let mut r = report((1, 1), m.token(), &[("run-1/0", 2, TaskState::Exited)]);
-    r.tasks[0].cause = Some(Cause::Alone);
+    r.tasks[0].cause = Some(Cause::GangIncomplete);
     m.take(&r);
     let here = places(&[("run-1", 0, 2)]);
-    let forget = Order::Forget { parcel: "run-1/0".into(), attempt: 2 };
-    let run = Order::Run { parcel: "run-1/0".into(), attempt: 2 };
-    assert_eq!(m.orders(&here, &here), vec![forget, run]);
+    let forget = Command::Forget { task: "run-1/0".into(), attempt: 2 };
+    let run = Command::Run { task: "run-1/0".into(), attempt: 2 };
+    assert_eq!(m.commands(&here, &here), vec![forget, run]);
     assert!(m.gathers("run-1", 0, 2) && m.over().next().is_none());
     // With a push under way nothing is forgotten.
     m.push = Some(7);
-    assert!(m.orders(&here, &here).is_empty() && !m.gathers("run-1", 0, 2));
+    assert!(m.commands(&here, &here).is_empty() && !m.gathers("run-1", 0, 2));
 }
 
 /// Tasks that can save lost their work when they were stopped for others.
@@ -115,12 +115,12 @@
 fn a_task_that_can_save_gets_the_time_to() {
     let mut m = Machine::new(1, 1, 1, Duration::ZERO);
     m.take(&report((1, 1), m.token(), &[("run-1/0", 2, TaskState::Running)]));
-    let kill = |wind_down_s| vec![Order::Kill { parcel: "run-1/0".into(), attempt: 2, wind_down_s }];
+    let kill = |grace_period_s| vec![Command::Kill { task: "run-1/0".into(), attempt: 2, grace_period_s }];
     m.preempted.insert(("run-1".into(), 0, 2), 5.0);
-    assert_eq!(m.orders(&places(&[]), &places(&[("run-1", 0, 2)])), kill(5.0));
+    assert_eq!(m.commands(&places(&[]), &places(&[("run-1", 0, 2)])), kill(5.0));
     // Withdrawn meanwhile: its work is of no use to anyone.
     m.preempted.clear();
-    assert_eq!(m.orders(&places(&[]), &places(&[("run-1", 0, 2)])), kill(0.0));
+    assert_eq!(m.commands(&places(&[]), &places(&[("run-1", 0, 2)])), kill(0.0));
 }
 
 /// A machine ended and was back at once, and a copy of what it said before its end came
@@ -132,8 +132,8 @@
     let s = Duration::from_secs;
     let mut m = Machine::new(1, 1, 1, s(0));
     let old = m.token();
-    let says = |m: &mut Machine, at, warrant, now| {
-        assert!(m.take(&report(at, warrant, &[("run-1/0", 1, TaskState::Exited)])));
+    let says = |m: &mut Machine, at, fencing_token, now| {
+        assert!(m.take(&report(at, fencing_token, &[("run-1/0", 1, TaskState::Exited)])));
         m.note_reply(true, now);
     };
     says(&mut m, (1, 8), old, s(10));
@@ -160,8 +160,8 @@
 fn one_that_never_heard_us_is_waited_out() {
     let s = Duration::from_secs;
     let (lease, cancel) = (s(18), s(48));
-    let says = |m: &mut Machine, tally, warrant, now| {
-        assert!(m.take(&report((1, tally), warrant, &[])));
+    let says = |m: &mut Machine, heartbeat_seq, fencing_token, now| {
+        assert!(m.take(&report((1, heartbeat_seq), fencing_token, &[])));
         m.note_reply(true, now);
     };
     let mut deaf = Machine::new(1, 1, 1, s(0));
@@ -196,10 +196,10 @@
 fn a_copy_of_the_first_words_of_an_earlier_life_voids_no_answer() {
     let s = Duration::from_secs;
     let mut m = Machine::new(1, 1, 1, s(0));
-    for (tally, at) in [(1, 47), (4, 49), (5, 50)] {
-        assert!(m.take(&report((1, tally), 0, &[])));
-        m.note_reply(tally > 1, s(at));
-        if tally == 1 {
+    for (heartbeat_seq, at) in [(1, 47), (4, 49), (5, 50)] {
+        assert!(m.take(&report((1, heartbeat_seq), 0, &[])));
+        m.note_reply(heartbeat_seq > 1, s(at));
+        if heartbeat_seq == 1 {
             m.answer(s(at));
         }
     }
--- a/src/coordination/parts.rs
+++ b/src/coordination/parts.rs
@@ -12,20 +12,20 @@
 //! starts that looked at the version before, and whoever sees it sees all starts
 //! that were carried out before it.
 
-use crate::bookkeeping::Amounts;
 use crate::effects::Instant;
+use crate::state::Resources;
 use std::collections::VecDeque;
 use std::time::Duration;
 
 #[derive(Debug, Default)]
 pub struct Parts {
     /// Not answered yet.
-    open: Amounts,
+    open: Resources,
     /// Without an answer: may be carried out at any later time, until the
     /// record changes.
-    unknown: Amounts,
+    unknown: Resources,
     /// Carried out of late.
-    recent: VecDeque<(Instant, Amounts)>,
+    recent: VecDeque<(Instant, Resources)>,
 }
 
 /// What a team uses of its limit, of which 0 is none, and the limit.
@@ -40,7 +40,7 @@
     /// Views are at most `age` old when starts are planned.
     pub fn allow(
         &mut self,
-        need: Amounts,
+        need: Resources,
         cpus: Limit,
         gpus: Limit,
         controllers: usize,
@@ -50,7 +50,7 @@
         while self.recent.front().is_some_and(|(t, _)| now.saturating_sub(*t) > age * 2) {
             self.recent.pop_front();
         }
-        let taken = |f: fn(&Amounts) -> f64| -> f64 {
+        let taken = |f: fn(&Resources) -> f64| -> f64 {
             f(&self.open) + f(&self.unknown) + self.recent.iter().map(|r| f(&r.1)).sum::<f64>()
         };
         let within = |l: Limit, taken: f64| {
@@ -59,12 +59,12 @@
         within(cpus, taken(|a| a.cores) + need.cores) && within(gpus, taken(|a| a.gpus) + need.gpus)
     }
 
-    pub fn sent(&mut self, amounts: Amounts) {
+    pub fn sent(&mut self, amounts: Resources) {
         self.open.plus(amounts, 1.0);
     }
 
     /// `carried_out` is unknown where there was no answer.
-    pub fn answered(&mut self, amounts: Amounts, carried_out: Option<bool>, now: Instant) {
+    pub fn answered(&mut self, amounts: Resources, carried_out: Option<bool>, now: Instant) {
         self.open.plus(amounts, -1.0);
         match carried_out {
             Some(true) => self.recent.push_back((now, amounts)),
@@ -75,7 +75,7 @@
 
     /// The record was changed: what was sent before is refused from now on.
     pub fn record_changed(&mut self) {
-        self.unknown = Amounts::default();
+        self.unknown = Resources::default();
     }
 }
 
@@ -85,8 +85,8 @@
 
     const NONE: Limit = Limit { used: 0.0, max: 0.0 };
 
-    fn gpus(n: f64) -> Amounts {
-        Amounts { gpus: n, ..Amounts::default() }
+    fn gpus(n: f64) -> Resources {
+        Resources { gpus: n, ..Resources::default() }
     }
 
     /// Each start of a team with a limit far above its use changed the team's
--- a/src/coordination/writes.rs
+++ b/src/coordination/writes.rs
@@ -12,9 +12,9 @@
 //! After a gap in what is shown (a load) only the first holds, until it is answered.
 //! Invariant: what is settled is forgotten, so that a late answer finds nothing.
 
-use crate::bookkeeping::records::lasts;
 use crate::effects::CallId;
 use crate::protocol::store::{Op, Txn};
+use crate::state::records::lasts;
 use ciborium::Value;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -33,7 +33,7 @@
     since: u64,
     puts: BTreeMap<String, Value>,
     /// Conditions of which a change voids it for good.
-    conds: BTreeMap<String, u64>,
+    conditions: BTreeMap<String, u64>,
     /// Puts that were shown, by revision.
     shown: BTreeMap<u64, BTreeSet<String>>,
     void: Option<(String, u64)>,
@@ -56,11 +56,11 @@
             Op::Delete { .. } => None,
         };
         let deletes = |k: &str| txn.ops.iter().any(|op| matches!(op, Op::Delete { key } if key == k));
-        let proves = |c: &&crate::protocol::store::Cond| !deletes(&c.key) && (c.entry_no > 0 || lasts(&c.key));
+        let proves = |c: &&crate::protocol::store::Condition| !deletes(&c.key) && (c.version > 0 || lasts(&c.key));
         Write {
             since,
             puts: txn.ops.iter().filter_map(put).collect(),
-            conds: txn.conds.iter().filter(proves).map(|c| (c.key.clone(), c.entry_no)).collect(),
+            conditions: txn.conditions.iter().filter(proves).map(|c| (c.key.clone(), c.version)).collect(),
             shown: BTreeMap::new(),
             void: None,
             gap: false,
@@ -81,11 +81,11 @@
     /// A transaction goes out; `since` is the newest change of which anything is known.
     /// One that puts nothing it is conditional on is settled by its answer alone.
     pub fn sent(&mut self, id: CallId, txn: &Txn, since: u64) {
-        if !txn.conds.iter().any(|c| txn.puts(&c.key)) {
+        if !txn.conditions.iter().any(|c| txn.puts(&c.key)) {
             return;
         }
         let write = Write::new(txn, since);
-        for key in write.puts.keys().chain(write.conds.keys()) {
+        for key in write.puts.keys().chain(write.conditions.keys()) {
             self.by_key.entry(key.clone()).or_default().insert(id);
         }
         self.open.insert(id, write);
@@ -95,7 +95,7 @@
     pub fn ended(&mut self, id: CallId) {
         let Some(write) = self.open.remove(&id) else { return };
         self.touched.remove(&id);
-        for key in write.puts.keys().chain(write.conds.keys()) {
+        for key in write.puts.keys().chain(write.conditions.keys()) {
             if let Some(ids) = self.by_key.get_mut(key) {
                 ids.remove(&id);
                 if ids.is_empty() {
@@ -110,7 +110,7 @@
         self.shows(key, data, revision);
         for id in self.by_key.get(key).into_iter().flatten() {
             if let Some(w) = self.open.get_mut(id)
-                && w.conds.get(key).is_some_and(|known| revision > *known)
+                && w.conditions.get(key).is_some_and(|known| revision > *known)
                 && w.void.is_none()
             {
                 w.void = Some((key.to_string(), revision));
--- a/src/coordination/writes/tests.rs
+++ b/src/coordination/writes/tests.rs
@@ -1,7 +1,7 @@
 //! What settles a transaction, and what does not.
 
 use super::*;
-use crate::protocol::store::Cond;
+use crate::protocol::store::Condition;
 use ciborium::cbor;
 
 fn put(key: &str, n: u64) -> Op {
@@ -12,9 +12,10 @@
     cbor!({"n" => n, "x" => 4.0}).unwrap()
 }
 
-fn txn(conds: &[(&str, u64)], ops: Vec<Op>) -> Txn {
-    let conds = conds.iter().map(|(key, entry_no)| Cond { key: (*key).into(), entry_no: *entry_no }).collect();
-    Txn { conds, ops }
+fn txn(conditions: &[(&str, u64)], ops: Vec<Op>) -> Txn {
+    let conditions =
+        conditions.iter().map(|(key, version)| Condition { key: (*key).into(), version: *version }).collect();
+    Txn { conditions, ops }
 }
 
 /// A job's record is put where there was none, and two more keys are only looked at.
--- a/src/upkeep/budget.rs
+++ b/src/maintenance/budget.rs
@@ -27,13 +27,13 @@
 
 /// The replicas of one team's services.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Standing {
+pub struct TeamReplicas {
     pub wanted: u32,
     /// Waiting, on a machine that nobody hears, just placed, or under a ticket.
     pub away: u32,
 }
 
-impl Standing {
+impl TeamReplicas {
     /// What may still be spent.
     pub fn left(&self, budget: &Budget) -> u32 {
         budget.allows(self.wanted).saturating_sub(self.away)
@@ -48,9 +48,9 @@
     #[test]
     fn what_fails_by_itself_is_spent_first() {
         let budget = Budget { away: 2, share: 0.1 };
-        assert_eq!(Standing { wanted: 50, away: 0 }.left(&budget), 5);
-        assert_eq!(Standing { wanted: 50, away: 4 }.left(&budget), 1);
-        assert_eq!(Standing { wanted: 50, away: 30 }.left(&budget), 0);
-        assert_eq!(Standing { wanted: 8, away: 0 }.left(&budget), 2);
+        assert_eq!(TeamReplicas { wanted: 50, away: 0 }.left(&budget), 5);
+        assert_eq!(TeamReplicas { wanted: 50, away: 4 }.left(&budget), 1);
+        assert_eq!(TeamReplicas { wanted: 50, away: 30 }.left(&budget), 0);
+        assert_eq!(TeamReplicas { wanted: 8, away: 0 }.left(&budget), 2);
     }
 }
--- a/src/upkeep/campaign.rs
+++ b/src/maintenance/campaign.rs
@@ -1,7 +1,7 @@
 //! Campaigns: machines of a kind are emptied and returned, a few first and then in
 //! growing waves. A wave ends when its machines are gone and every replica runs again.
 
-use super::budget::{Budget, Standing};
+use super::budget::{Budget, TeamReplicas};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -9,8 +9,10 @@
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Campaign {
-    pub build: Option<String>,
-    pub site: Option<String>,
+    #[serde(rename = "build")]
+    pub machine_type: Option<String>,
+    #[serde(rename = "site")]
+    pub zone: Option<String>,
     pub spot: Option<bool>,
     /// These alone, by name.
     pub machines: Option<Vec<String>>,
@@ -22,14 +24,14 @@
 
 impl Default for Campaign {
     fn default() -> Self {
-        Campaign { build: None, site: None, spot: None, machines: None, first: 1, wave: 8 }
+        Campaign { machine_type: None, zone: None, spot: None, machines: None, first: 1, wave: 8 }
     }
 }
 
 impl Campaign {
-    pub fn takes(&self, name: &str, build: &str, site: &str, spot: bool) -> bool {
-        self.build.as_ref().is_none_or(|b| b == build)
-            && self.site.as_ref().is_none_or(|s| s == site)
+    pub fn takes(&self, name: &str, machine_type: &str, zone: &str, spot: bool) -> bool {
+        self.machine_type.as_ref().is_none_or(|b| b == machine_type)
+            && self.zone.as_ref().is_none_or(|s| s == zone)
             && self.spot.is_none_or(|s| s == spot)
             && self.machines.as_ref().is_none_or(|m| m.iter().any(|n| n == name))
     }
@@ -53,7 +55,7 @@
 
 /// How far the campaign has come: one record, written by the leader alone.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct UpkeepRec {
+pub struct MaintenanceRecord {
     /// None is under way where it is empty.
     pub name: String,
     /// Machines up to this name, in order of their creation, were there when it began.
@@ -109,10 +111,10 @@
 /// The next step. `left` are all machines that the campaign takes and that are there,
 /// those of the wave among them; `most` tickets may be written at a time.
 pub fn next(
-    rec: &UpkeepRec,
+    rec: &MaintenanceRecord,
     campaign: &Campaign,
     left: &[Candidate],
-    teams: &BTreeMap<String, Standing>,
+    teams: &BTreeMap<String, TeamReplicas>,
     budget: impl Fn(&str) -> Budget,
     most: usize,
 ) -> Step {
@@ -180,8 +182,8 @@
         Candidate { name: name.into(), standing, heard: true, ..Candidate::default() }
     }
 
-    fn step(rec: &UpkeepRec, left: &[Candidate], wanted: u32, away: u32, budget: Budget) -> Step {
-        let teams = BTreeMap::from([("t".to_string(), Standing { wanted, away })]);
+    fn step(rec: &MaintenanceRecord, left: &[Candidate], wanted: u32, away: u32, budget: Budget) -> Step {
+        let teams = BTreeMap::from([("t".to_string(), TeamReplicas { wanted, away })]);
         next(rec, &Campaign::default(), left, &teams, |_| budget, 10)
     }
 
@@ -190,8 +192,8 @@
         let mut left = vec![machine("a", 0..3), machine("b", 3..4), machine("c", 4..4), machine("d", 5..7)];
         left[2].heard = false;
         let two = Budget { away: 2, share: 0.0 };
-        assert_eq!(step(&UpkeepRec::default(), &left, 7, 0, two).wave, ["b"]);
-        let rec = UpkeepRec { waves: 1, ..UpkeepRec::default() };
+        assert_eq!(step(&MaintenanceRecord::default(), &left, 7, 0, two).wave, ["b"]);
+        let rec = MaintenanceRecord { waves: 1, ..MaintenanceRecord::default() };
         assert_eq!(step(&rec, &left, 7, 0, two).wave, ["b", "d"]);
         left.iter_mut().for_each(|c| c.gang = true);
         assert_eq!(step(&rec, &left, 7, 0, two).wait, Some(Wait::Machines(4)));
@@ -203,14 +205,14 @@
     #[test]
     fn tickets_keep_to_what_the_budget_leaves() {
         let left = [machine("a", 0..3), machine("b", 3..5)];
-        let rec = UpkeepRec { wave: vec!["a".into(), "b".into()], ..UpkeepRec::default() };
+        let rec = MaintenanceRecord { wave: vec!["a".into(), "b".into()], ..MaintenanceRecord::default() };
         let two = Budget { away: 2, share: 0.0 };
         let s = step(&rec, &left, 9, 0, two);
         assert_eq!(s.tickets, [ticket("a", 0), ticket("a", 1)]);
         assert_eq!(s.wait, Some(Wait::Budget("t".into())));
         assert_eq!(step(&rec, &left, 9, 1, two).tickets, [ticket("a", 0)]);
         assert_eq!(step(&rec, &left, 9, 2, two).tickets, []);
-        let rec = UpkeepRec { tickets: vec![ticket("a", 0)], ..rec };
+        let rec = MaintenanceRecord { tickets: vec![ticket("a", 0)], ..rec };
         assert_eq!(step(&rec, &left, 9, 1, two).tickets, [ticket("a", 1)]);
         let none = Budget { away: 0, share: 0.01 };
         assert_eq!(step(&rec, &left, 9, 0, none).wait, Some(Wait::Never("t".into())));
@@ -222,9 +224,9 @@
     fn no_wave_begins_before_the_last_has_settled() {
         let left = [machine("a", 0..3)];
         let one = Budget::default();
-        let rec = UpkeepRec { tickets: vec![ticket("z", 8)], ..UpkeepRec::default() };
+        let rec = MaintenanceRecord { tickets: vec![ticket("z", 8)], ..MaintenanceRecord::default() };
         assert_eq!(step(&rec, &left, 9, 1, one).wait, Some(Wait::Settling(1)));
-        let s = step(&UpkeepRec::default(), &left, 9, 4, one);
+        let s = step(&MaintenanceRecord::default(), &left, 9, 4, one);
         assert_eq!((s.wave.len(), s.wait), (0, Some(Wait::Budget("t".into()))));
     }
 }
--- a/src/placement/knapsack.rs
+++ b/src/placement/knapsack.rs
@@ -170,7 +170,7 @@
     #[test]
     fn as_good_as_trying_every_set() {
         let mut rng = StdRng::seed_from_u64(7);
-        let mut sack = Knapsack::default();
+        let mut knapsack = Knapsack::default();
         for round in 0..600 {
             let gpus = if round % 3 == 0 { 1 } else { 5 };
             let groups: Vec<Group> = (0..rng.random_range(1..5))
@@ -184,7 +184,7 @@
                 })
                 .collect();
             let free = [rng.random_range(0..30), rng.random_range(0..30), rng.random_range(0..12)];
-            let took = sack.fill(&groups, free);
+            let took = knapsack.fill(&groups, free);
             let total =
                 |f: &dyn Fn(&Group) -> f32| -> f32 { took.iter().map(|(id, n)| f(&groups[*id]) * *n as f32).sum() };
             for (d, free) in free.iter().enumerate() {
--- a/src/recovery/square.rs
+++ b/src/reconciliation/difference.rs
@@ -3,15 +3,15 @@
 //! pair of the two is a case, and `docs/design.md` has the same table with the
 //! proof that each act rests on.
 
-use crate::bookkeeping::Placements;
 use crate::protocol::worker::{Cause, TaskState};
+use crate::state::PlacedTasks;
 
 /// What the store says of an attempt on this machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Stored {
     /// Its place is here and it shall run.
     Wanted,
-    /// Its place is here, but it shall not run: its job was withdrawn, it was
+    /// Its place is here, but it shall not run: its job was cancelled, it was
     /// preempted, or it was proved gone and the write is under way.
     Ending,
     /// No place here: it is elsewhere, under another attempt, of a job that is
@@ -21,7 +21,7 @@
 
 impl Stored {
     /// Of the places on one machine: those that shall run, and all there are.
-    pub fn of(wanted: &Placements, kept: &Placements, task: &(String, u32), attempt: u64) -> Stored {
+    pub fn of(wanted: &PlacedTasks, kept: &PlacedTasks, task: &(String, u32), attempt: u64) -> Stored {
         if wanted.get(task) == Some(&attempt) {
             Stored::Wanted
         } else if kept.get(task) == Some(&attempt) {
@@ -97,7 +97,7 @@
     match (stored, shown) {
         (Stored::Wanted, Shown::Alive) => Case::Runs,
         (Stored::Wanted, Shown::Absent) => Case::Missing,
-        (Stored::Wanted, Shown::Exited(Some(Cause::Alone))) if comes => Case::GaveUp,
+        (Stored::Wanted, Shown::Exited(Some(Cause::GangIncomplete))) if comes => Case::GaveUp,
         (Stored::Wanted | Stored::Ending, Shown::Exited(Some(Cause::Done))) => Case::Finished,
         (Stored::Wanted | Stored::Ending, Shown::Exited(_)) => Case::Failed,
         (Stored::Ending, Shown::Alive) => Case::Unwanted,
@@ -137,12 +137,12 @@
         None,
         Some(Cause::Done),
         Some(Cause::Stopped),
-        Some(Cause::Peers),
-        Some(Cause::Alone),
+        Some(Cause::GangMemberLost),
+        Some(Cause::GangIncomplete),
         Some(Cause::Error),
-        Some(Cause::NoRoom),
-        Some(Cause::InUse),
-        Some(Cause::NoSuch),
+        Some(Cause::NoCapacity),
+        Some(Cause::AlreadyPresent),
+        Some(Cause::UnknownTask),
     ];
 
     fn every(mut f: impl FnMut(Stored, Shown, bool, bool, Case, Act)) {
@@ -196,8 +196,8 @@
     fn only_differences_lead_to_orders() {
         assert_eq!(case(Stored::Wanted, Shown::Alive, false).act(true), Act::Leave);
         assert_eq!(case(Stored::Nowhere, Shown::Absent, false).act(true), Act::Leave);
-        assert_eq!(case(Stored::Wanted, Shown::Exited(Some(Cause::Alone)), true).act(true), Act::Again);
-        assert_eq!(case(Stored::Wanted, Shown::Exited(Some(Cause::Alone)), true).act(false), Act::Leave);
-        assert_eq!(case(Stored::Wanted, Shown::Exited(Some(Cause::Alone)), false).act(true), Act::StoreGone);
+        assert_eq!(case(Stored::Wanted, Shown::Exited(Some(Cause::GangIncomplete)), true).act(true), Act::Again);
+        assert_eq!(case(Stored::Wanted, Shown::Exited(Some(Cause::GangIncomplete)), true).act(false), Act::Leave);
+        assert_eq!(case(Stored::Wanted, Shown::Exited(Some(Cause::GangIncomplete)), false).act(true), Act::StoreGone);
     }
 }
--- a/src/recovery/mod.rs
+++ b/src/reconciliation/mod.rs
@@ -3,5 +3,5 @@
 //! Pure: facts and the time come in, phases, cases and acts go out. Why it is
 //! done so stands in `docs/notes/cold-start.md`.
 
+pub mod difference;
 pub mod phase;
-pub mod square;
--- a/src/recovery/phase.rs
+++ b/src/reconciliation/phase.rs
@@ -3,7 +3,7 @@
 //! What is known of one machine is enough to act on that machine, so its orders
 //! wait for nothing but its report. What needs the fleet waits here: machines
 //! are returned, moved between blocks, or rented for arrays, tasks are preempted
-//! and queues leased anew only once most machines were heard again, or once so
+//! and queues reassigned only once most machines were heard again, or once so
 //! much time ran that those which are still silent have had every chance: a lease,
 //! or a round of reports after which hardly any new ones came. Machines that hung or
 //! were cut off before the start hold up nothing but what concerns them.
@@ -15,7 +15,7 @@
 //!   the middle of a start does not use up what machines have to report.
 //! - A controller that starts with an empty fleet waits for nothing.
 
-use super::square::Case;
+use super::difference::Case;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -36,7 +36,7 @@
     /// the fleet.
     Gathering,
     /// Most of the fleet is known; some machines of this block are not yet.
-    Squaring,
+    Reconciling,
     Settled,
 }
 
@@ -60,7 +60,7 @@
     pub fresh: bool,
     /// Live controllers, and those configured.
     pub members: Heard,
-    pub block: Heard,
+    pub shard: Heard,
     pub fleet: Heard,
 }
 
@@ -143,9 +143,9 @@
         let before = self.phase;
         let members_in = self.members_in || facts.fleet.all == 0;
         if self.phase == Phase::Gathering && (late || members_in && facts.fleet.most()) {
-            self.phase = Phase::Squaring;
+            self.phase = Phase::Reconciling;
         }
-        if self.phase == Phase::Squaring && (late || facts.block.heard >= facts.block.all) {
+        if self.phase == Phase::Reconciling && (late || facts.shard.heard >= facts.shard.all) {
             self.phase = Phase::Settled;
         }
         (self.phase != before).then_some(self.phase)
@@ -165,7 +165,7 @@
 
     /// Whether decisions may rest on a machine's silence or on the room of all.
     pub fn fleet_known(&self) -> bool {
-        self.phase >= Phase::Squaring
+        self.phase >= Phase::Reconciling
     }
 }
 
@@ -182,8 +182,8 @@
     }
 
     fn facts(members: (usize, usize), fleet: (usize, usize)) -> Facts {
-        let block = heard(fleet.0 / 3, fleet.1 / 3);
-        Facts { fresh: true, members: heard(members.0, members.1), block, fleet: heard(fleet.0, fleet.1) }
+        let shard = heard(fleet.0 / 3, fleet.1 / 3);
+        Facts { fresh: true, members: heard(members.0, members.1), shard, fleet: heard(fleet.0, fleet.1) }
     }
 
     /// The leader returned idle machines that had not had the time to report,
@@ -196,7 +196,7 @@
         assert!(!start.members_known() && !start.fleet_known());
         assert_eq!(start.look(s(2.0), &facts((3, 3), (700, 900))), None);
         assert!(start.members_known() && !start.fleet_known());
-        assert_eq!(start.look(s(3.0), &facts((3, 3), (810, 900))), Some(Phase::Squaring));
+        assert_eq!(start.look(s(3.0), &facts((3, 3), (810, 900))), Some(Phase::Reconciling));
         assert!(start.fleet_known());
         assert_eq!(start.look(s(4.0), &facts((3, 3), (900, 900))), Some(Phase::Settled));
     }
@@ -214,7 +214,7 @@
     }
 
     /// A fifth of the fleet hung when all controllers restarted: nothing was rented
-    /// for arrays, and no queue leased anew, for a whole lease.
+    /// for arrays, and no queue reassigned, for a whole lease.
     #[test]
     fn machines_that_fell_silent_before_hold_up_nothing_else() {
         let mut start = Start::new(s(36.0), s(15.5));
--- a/src/requests/mod.rs
+++ b/src/requests/mod.rs
@@ -21,7 +21,7 @@
     /// To run it though it never can: refused, unless it was accepted.
     Impossible,
     State,
-    Withdrawn,
+    Cancelled,
 }
 
 /// What the request waits for.
@@ -41,9 +41,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Known {
     Nothing,
-    Pending,
+    Queued,
     Running,
-    /// Done or withdrawn, for good.
+    /// Done or cancelled, for good.
     Over,
 }
 
@@ -66,7 +66,7 @@
     Read(u64),
     ReadFailed,
     /// The view holds all up to this revision.
-    View(u64),
+    ClusterState(u64),
     Written(Written),
     Due,
 }
@@ -104,22 +104,22 @@
         (Stage::Queued, Event::ReadSent) => return Next::Stage(Stage::Reading),
         (Stage::Reading, Event::Read(n)) => return Next::Stage(Stage::Need(n)),
         (Stage::Reading, Event::ReadFailed) => return Next::Answer(Answer::Later),
-        (Stage::Need(n), Event::View(revision)) => revision >= n,
+        (Stage::Need(n), Event::ClusterState(revision)) => revision >= n,
         (Stage::Writing, Event::Written(w)) => return written(asked, w, known),
-        // A view read anew may lack the job that is to be withdrawn.
-        (Stage::Writing, Event::View(_)) if asked == Asked::Withdrawn && known == Known::Nothing => {
+        // A view read anew may lack the job that is to be cancelled.
+        (Stage::Writing, Event::ClusterState(_)) if asked == Asked::Cancelled && known == Known::Nothing => {
             return Next::Stage(Stage::Queued);
         }
         _ => false,
     };
     match (asked, known) {
         _ if !fresh => Next::Stage(stage),
-        (Asked::Withdrawn, Known::Pending | Known::Running) => Next::Stage(Stage::Writing),
-        (_, Known::Pending | Known::Running | Known::Over) => Next::Answer(Answer::Tell),
+        (Asked::Cancelled, Known::Queued | Known::Running) => Next::Stage(Stage::Writing),
+        (_, Known::Queued | Known::Running | Known::Over) => Next::Answer(Answer::Tell),
         // Not accepted by then; a submission under way may be yet.
         (Asked::Submitted, Known::Nothing) => Next::Answer(Answer::Later),
         (Asked::Impossible, Known::Nothing) => Next::Answer(Answer::NeverRuns),
-        (Asked::State | Asked::Withdrawn, Known::Nothing) => Next::Answer(Answer::Unknown),
+        (Asked::State | Asked::Cancelled, Known::Nothing) => Next::Answer(Answer::Unknown),
     }
 }
 
@@ -163,9 +163,9 @@
         self.open.iter().any(|r| r.stage == Stage::Queued)
     }
 
-    /// Jobs that are to be withdrawn, by writes of ours.
-    pub fn withdrawing(&self) -> BTreeSet<String> {
-        let writing = |r: &&Request| r.asked == Asked::Withdrawn && r.stage == Stage::Writing;
+    /// Jobs that are to be cancelled, by writes of ours.
+    pub fn cancelling(&self) -> BTreeSet<String> {
+        let writing = |r: &&Request| r.asked == Asked::Cancelled && r.stage == Stage::Writing;
         self.open.iter().filter(writing).map(|r| r.uid.clone()).collect()
     }
 
--- a/src/retry.rs
+++ b/src/retry.rs
@@ -230,7 +230,7 @@
 
     /// After a start a thousand users came back after one second, all of them.
     #[test]
-    fn a_crowd_is_told_to_return_spread_out() {
+    fn a_crowd_gets_spread_retry_after_times() {
         let mut r = Returns::default();
         let told: Vec<u32> = (0..4000).map(|_| r.after(s(5.0), 50.0)).collect();
         assert_eq!((told[0], told[198], told[2000]), (1, 1, 11));
--- a/src/fleet/mod.rs
+++ b/src/scaling/mod.rs
@@ -1,6 +1,6 @@
 //! Which machines to rent: pure functions over bookkeeping.
 
-use crate::placement::{Room, zone_room};
+use crate::placement::{MachineCapacity, zone_capacity};
 use crate::protocol::cloud::MachineType;
 use crate::protocol::user::JobSpec;
 use std::collections::{BTreeMap, BTreeSet};
@@ -15,7 +15,7 @@
     pub spec: &'a JobSpec,
     pub tasks: u32,
     /// Rather wait than pay for ordinary machines where spot ones would do.
-    pub thrifty: bool,
+    pub spot_only: bool,
     /// The job's tasks per zone that are, or may still be, on machines. Where
     /// its tasks must be apart or together, room in the wrong zone is none.
     pub zones: BTreeMap<String, u32>,
@@ -30,19 +30,19 @@
     /// Room to spare for some tasks like the job's, in the zones as if they
     /// were a job of their own.
     pub fn spare(spec: &'a JobSpec, tasks: u32) -> Demand<'a> {
-        Demand { spec, tasks, thrifty: false, zones: BTreeMap::new(), of: tasks, spare: true }
+        Demand { spec, tasks, spot_only: false, zones: BTreeMap::new(), of: tasks, spare: true }
     }
 
-    fn room_in(&self, zones: &BTreeMap<String, u32>, site: &str) -> u32 {
-        zone_room(self.spec, self.of, zones, site)
+    fn capacity_in(&self, zones: &BTreeMap<String, u32>, zone: &str) -> u32 {
+        zone_capacity(self.spec, self.of, zones, zone)
     }
 }
 
 /// A type, zone and kind of machine.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Offer {
-    pub build: String,
-    pub site: String,
+    pub machine_type: String,
+    pub zone: String,
     pub spot: bool,
 }
 
@@ -61,39 +61,39 @@
 }
 
 /// Whether everything in demand fits in the rooms; takes them up.
-pub fn fits(demand: &[Demand], rooms: &mut [Room]) -> bool {
-    demand.iter().all(|d| absorb(d, rooms).0 == 0)
+pub fn fits(demand: &[Demand], capacities: &mut [MachineCapacity]) -> bool {
+    demand.iter().all(|d| absorb(d, capacities).0 == 0)
 }
 
 /// Takes up the room that those tasks will use which wait already.
-pub fn take_up(demand: &[Demand], rooms: &mut [Room]) {
+pub fn take_up(demand: &[Demand], capacities: &mut [MachineCapacity]) {
     for d in demand.iter().filter(|d| !d.spare) {
-        absorb(d, rooms);
+        absorb(d, capacities);
     }
 }
 
 /// First-fit of one demand; what is left over, and its tasks per zone then.
-fn absorb(d: &Demand, rooms: &mut [Room]) -> (u32, BTreeMap<String, u32>) {
+fn absorb(d: &Demand, capacities: &mut [MachineCapacity]) -> (u32, BTreeMap<String, u32>) {
     let mut left = d.tasks;
     let mut zones = d.zones.clone();
-    if d.spec.together && zones.is_empty() {
+    if d.spec.zone_affinity && zones.is_empty() {
         // The zone that can hold most of it.
         let mut by_zone: BTreeMap<&str, u32> = BTreeMap::new();
-        for r in rooms.iter() {
-            *by_zone.entry(&r.site).or_default() += r.fits(d.spec).min(left);
+        for r in capacities.iter() {
+            *by_zone.entry(&r.zone).or_default() += r.fits(d.spec).min(left);
         }
-        if let Some((site, _)) = by_zone.iter().filter(|z| *z.1 > 0).max_by_key(|z| *z.1) {
-            zones.insert(site.to_string(), 0);
+        if let Some((zone, _)) = by_zone.iter().filter(|z| *z.1 > 0).max_by_key(|z| *z.1) {
+            zones.insert(zone.to_string(), 0);
         }
     }
-    for room in rooms.iter_mut() {
-        let n = room.fits(d.spec).min(left);
-        if n == 0 || (d.spec.together && zones.keys().any(|z| *z != room.site)) {
+    for capacity in capacities.iter_mut() {
+        let n = capacity.fits(d.spec).min(left);
+        if n == 0 || (d.spec.zone_affinity && zones.keys().any(|z| *z != capacity.zone)) {
             continue;
         }
-        let n = n.min(d.room_in(&zones, &room.site));
-        room.take(d.spec, n);
-        *zones.entry(room.site.clone()).or_default() += n;
+        let n = n.min(d.capacity_in(&zones, &capacity.zone));
+        capacity.take(d.spec, n);
+        *zones.entry(capacity.zone.clone()).or_default() += n;
         left -= n;
         if left == 0 {
             break;
@@ -102,11 +102,11 @@
     (left, zones)
 }
 
-/// The cheapest rentals for what does not fit in `rooms`, which hold the free
+/// The cheapest rentals for what does not fit in `capacities`, which hold the free
 /// room of machines that are up and all of those that boot.
 pub fn wanted_rentals(
     demand: &[Demand],
-    mut rooms: Vec<Room>,
+    mut capacities: Vec<MachineCapacity>,
     types: &[MachineType],
     refused: &BTreeSet<Offer>,
     most: u32,
@@ -114,27 +114,27 @@
     let mut rentals: Vec<Rental> = Vec::new();
     let mut budget = most;
     let mut standing: BTreeMap<String, u32> = BTreeMap::new();
-    for r in &rooms {
-        *standing.entry(r.site.clone()).or_default() += 1;
+    for r in &capacities {
+        *standing.entry(r.zone.clone()).or_default() += 1;
     }
     for d in demand {
-        let (mut left, mut zones) = absorb(d, &mut rooms);
+        let (mut left, mut zones) = absorb(d, &mut capacities);
         while left > 0 && budget > 0 {
             let Some((offer, t, each)) = cheapest(d, left, types, refused, &zones, &standing) else {
                 break;
             };
-            let here = left.min(d.room_in(&zones, &offer.site));
+            let here = left.min(d.capacity_in(&zones, &offer.zone));
             let number = here.div_ceil(each).min(budget);
             budget -= number;
             for _ in 0..number {
-                let mut room = Room::empty("", t, &offer.site, offer.spot);
-                let n = room.fits(d.spec).min(left).min(d.room_in(&zones, &offer.site));
-                room.take(d.spec, n);
-                *zones.entry(offer.site.clone()).or_default() += n;
+                let mut capacity = MachineCapacity::empty("", t, &offer.zone, offer.spot);
+                let n = capacity.fits(d.spec).min(left).min(d.capacity_in(&zones, &offer.zone));
+                capacity.take(d.spec, n);
+                *zones.entry(offer.zone.clone()).or_default() += n;
                 left -= n;
-                rooms.push(room);
+                capacities.push(capacity);
             }
-            *standing.entry(offer.site.clone()).or_default() += number;
+            *standing.entry(offer.zone.clone()).or_default() += number;
             match rentals.iter_mut().find(|r| r.offer == offer) {
                 Some(r) => r.number += number,
                 None => rentals.push(Rental { offer, number }),
@@ -157,23 +157,23 @@
 ) -> Option<(Offer, &'a MachineType, u32)> {
     let mut best: Option<((f64, u32), Offer, &MachineType, u32)> = None;
     for t in types {
-        for site in &t.sites {
-            let here = left.min(d.room_in(zones, site));
-            if here == 0 || (d.spec.together && zones.keys().any(|z| z != site)) {
+        for zone in &t.zones {
+            let here = left.min(d.capacity_in(zones, zone));
+            if here == 0 || (d.spec.zone_affinity && zones.keys().any(|z| z != zone)) {
                 continue;
             }
             for spot in [true, false] {
-                let offer = Offer { build: t.label.clone(), site: site.clone(), spot };
-                let each = Room::empty("", t, site, spot).fits(d.spec);
-                if d.thrifty && d.spec.loaners && !spot {
+                let offer = Offer { machine_type: t.label.clone(), zone: zone.clone(), spot };
+                let each = MachineCapacity::empty("", t, zone, spot).fits(d.spec);
+                if d.spot_only && d.spec.spot_allowed && !spot {
                     continue;
                 }
                 if each == 0 || refused.contains(&offer) {
                     continue;
                 }
-                let price = if spot { t.spot_price } else { t.hourly };
+                let price = if spot { t.spot_price } else { t.on_demand_price };
                 let cost = price * f64::from(here.div_ceil(each)) / f64::from(here);
-                let order = (cost, standing.get(site).copied().unwrap_or(0));
+                let order = (cost, standing.get(zone).copied().unwrap_or(0));
                 if best.as_ref().is_none_or(|b| order < b.0) {
                     best = Some((order, offer, t, each));
                 }
@@ -193,19 +193,19 @@
             cores: 4.0,
             gpus: 0.0,
             mem_gb: 16.0,
-            local_gb: 60.0,
+            disk_gb: 60.0,
             pull_gb_per_s: 1.0,
-            hourly: 0.4,
+            on_demand_price: 0.4,
             spot_price: 0.1,
             startup_s: 30.0,
-            sites: vec!["a".into()],
+            zones: vec!["a".into()],
         }]
     }
 
-    fn rentals(d: Demand, rooms: Vec<Room>, refused: &[bool]) -> Vec<(bool, u32)> {
-        let offer = |spot| Offer { build: "std".into(), site: "a".into(), spot };
+    fn rentals(d: Demand, capacities: Vec<MachineCapacity>, refused: &[bool]) -> Vec<(bool, u32)> {
+        let offer = |spot| Offer { machine_type: "std".into(), zone: "a".into(), spot };
         let refused = refused.iter().map(|s| offer(*s)).collect();
-        wanted_rentals(&[d], rooms, &types(), &refused, 50).iter().map(|r| (r.offer.spot, r.number)).collect()
+        wanted_rentals(&[d], capacities, &types(), &refused, 50).iter().map(|r| (r.offer.spot, r.number)).collect()
     }
 
     /// Room that boots must count, or each look rents the same machines again.
@@ -214,50 +214,50 @@
         // Room to spare is asked for more tasks than the job at hand has.
         let s = JobSpec::example("run-1");
         let d = |tasks| Demand { tasks, ..Demand::spare(&s, tasks) };
-        let boots = || vec![Room::empty("m", &types()[0], "a", true)];
+        let boots = || vec![MachineCapacity::empty("m", &types()[0], "a", true)];
         assert_eq!(rentals(d(4), boots(), &[]), vec![]);
         assert_eq!(rentals(d(9), boots(), &[]), vec![(true, 2)]);
         assert_eq!(rentals(d(9), boots(), &[true]), vec![(false, 2)]);
     }
 
     #[test]
-    fn thrift_waits_where_spot_would_do_and_pays_where_it_may_not() {
+    fn cost_saving_waits_where_spot_would_do_and_pays_where_it_may_not() {
         let (any, mut ordinary) = (JobSpec::example("run-1"), JobSpec::example("run-2"));
-        ordinary.loaners = false;
-        fn thrifty(spec: &JobSpec) -> Demand<'_> {
-            Demand { thrifty: true, ..Demand::spare(spec, 2) }
+        ordinary.spot_allowed = false;
+        fn spot_only(spec: &JobSpec) -> Demand<'_> {
+            Demand { spot_only: true, ..Demand::spare(spec, 2) }
         }
-        assert_eq!(rentals(thrifty(&any), vec![], &[true]), vec![]);
-        assert_eq!(rentals(thrifty(&ordinary), vec![], &[true]), vec![(false, 1)]);
+        assert_eq!(rentals(spot_only(&any), vec![], &[true]), vec![]);
+        assert_eq!(rentals(spot_only(&ordinary), vec![], &[true]), vec![(false, 1)]);
     }
 
     /// Services whose replicas must be apart waited for ever, half of them up,
     /// while the one zone that looked cheapest had room for all: that room is
     /// none for them, and the next machines come from another zone.
     #[test]
-    fn room_in_the_wrong_zone_is_none() {
+    fn capacity_in_the_wrong_zone_does_not_count() {
         let mut types = types();
-        types[0].sites = ["a", "b", "c"].map(String::from).to_vec();
-        let room = |site: &str| Room::empty("m", &types[0], site, false);
+        types[0].zones = ["a", "b", "c"].map(String::from).to_vec();
+        let capacity = |zone: &str| MachineCapacity::empty("m", &types[0], zone, false);
         let mut s = JobSpec::example("run-1");
         s.cores = 2.0;
-        s.parcels = 4;
-        s.apart = true;
+        s.task_count = 4;
+        s.zone_anti_affinity = true;
         let d = Demand { of: 4, zones: BTreeMap::from([("a".into(), 2)]), ..Demand::spare(&s, 2) };
-        let sites = |d: Demand, rooms: Vec<Room>| -> Vec<(String, u32)> {
-            let rentals = wanted_rentals(&[d], rooms, &types, &BTreeSet::new(), 50);
-            rentals.into_iter().map(|r| (r.offer.site, r.number)).collect()
+        let zones = |d: Demand, capacities: Vec<MachineCapacity>| -> Vec<(String, u32)> {
+            let rentals = wanted_rentals(&[d], capacities, &types, &BTreeSet::new(), 50);
+            rentals.into_iter().map(|r| (r.offer.zone, r.number)).collect()
         };
-        assert_eq!(sites(d, vec![room("a"), room("a"), room("b")]), []);
+        assert_eq!(zones(d, vec![capacity("a"), capacity("a"), capacity("b")]), []);
         let d = Demand { of: 4, zones: BTreeMap::from([("a".into(), 2)]), ..Demand::spare(&s, 2) };
         // Not where most machines are already.
-        assert_eq!(sites(d, vec![room("a"), room("a")]), [("b".to_string(), 1)]);
-        s.apart = false;
-        s.together = true;
+        assert_eq!(zones(d, vec![capacity("a"), capacity("a")]), [("b".to_string(), 1)]);
+        s.zone_anti_affinity = false;
+        s.zone_affinity = true;
         s.cores = 4.0;
         let gang = || Demand::spare(&s, 2);
-        assert_eq!(sites(gang(), vec![room("a"), room("b"), room("b")]), []);
-        assert_eq!(sites(gang(), vec![room("a"), room("b")]).iter().map(|r| r.1).sum::<u32>(), 1);
+        assert_eq!(zones(gang(), vec![capacity("a"), capacity("b"), capacity("b")]), []);
+        assert_eq!(zones(gang(), vec![capacity("a"), capacity("b")]).iter().map(|r| r.1).sum::<u32>(), 1);
     }
 
     /// Machines cut off for 20 s were given up after 15 s, and their tasks waited
@@ -273,13 +273,13 @@
     /// Machines that boot for services were room for gangs as well, which
     /// therefore got none of their own until the services had taken it.
     #[test]
-    fn room_that_services_will_take_is_none_for_others() {
+    fn capacity_that_services_will_take_does_not_count_for_others() {
         let s = JobSpec::example("run-1");
         let d = |spare| Demand { spare, ..Demand::spare(&s, 3) };
-        let mut rooms = vec![Room::empty("m", &types()[0], "a", false)];
-        take_up(&[d(true)], &mut rooms);
-        assert_eq!(rooms[0].cores, 4.0);
-        take_up(&[d(false)], &mut rooms);
-        assert_eq!(rooms[0].cores, 1.0);
+        let mut capacities = vec![MachineCapacity::empty("m", &types()[0], "a", false)];
+        take_up(&[d(true)], &mut capacities);
+        assert_eq!(capacities[0].cores, 4.0);
+        take_up(&[d(false)], &mut capacities);
+        assert_eq!(capacities[0].cores, 1.0);
     }
 }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -2,8 +2,8 @@
 //! own settings on top of it (HCL). This module owns reading and judging both;
 //! the rest of the program sees only values that passed.
 
-use crate::upkeep::budget::Budget;
-use crate::upkeep::campaign::Campaign;
+use crate::maintenance::budget::Budget;
+use crate::maintenance::campaign::Campaign;
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -88,7 +88,8 @@
 
 #[derive(Debug, Clone, Deserialize)]
 pub struct Workers {
-    pub report_s: f64,
+    #[serde(rename = "report_s")]
+    pub heartbeat_interval_s: f64,
     pub lease_s: f64,
     pub gang_wait_s: f64,
     pub gang_peer_s: f64,
@@ -178,7 +179,7 @@
     fn judge(&self, file: &Path) -> Result<(), SettingsError> {
         let p = &self.settings;
         let positive = [
-            ("settings.workers.report_s", p.workers.report_s),
+            ("settings.workers.report_s", p.workers.heartbeat_interval_s),
             ("settings.workers.lease_s", p.workers.lease_s),
             ("settings.workers.gang_wait_s", p.workers.gang_wait_s),
             ("settings.workers.gang_peer_s", p.workers.gang_peer_s),
@@ -199,7 +200,7 @@
         check(
             file,
             "settings.workers.cancel_s",
-            p.workers.cancel_s.is_finite() && p.workers.cancel_s > p.workers.lease_s + p.workers.report_s,
+            p.workers.cancel_s.is_finite() && p.workers.cancel_s > p.workers.lease_s + p.workers.heartbeat_interval_s,
             "must be above lease_s and report_s together: a cancellation has to outlast a worker's lease",
         )?;
         check(
--- a/src/bookkeeping/segment.rs
+++ b/src/state/log_segment.rs
@@ -7,7 +7,7 @@
 //! and then the ledger has them in that order: a start is written only where the
 //! view shows no place, an end of an attempt only where it shows its place.
 
-use super::records::Place;
+use super::records::Placement;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use thiserror::Error;
@@ -21,7 +21,7 @@
 /// A segment as it is stored. Names are listed once, and facts refer to them by
 /// number.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct SegmentRec {
+pub struct LogSegmentRecord {
     /// Counts the segments of the log, from 1.
     #[serde(rename = "n")]
     pub seq: u64,
@@ -46,7 +46,7 @@
 pub struct Facts {
     pub done: BTreeSet<u32>,
     pub gone: BTreeSet<(u32, u64)>,
-    pub starts: Vec<Place>,
+    pub starts: Vec<Placement>,
 }
 
 impl Facts {
@@ -77,9 +77,9 @@
     }
 }
 
-impl SegmentRec {
-    pub fn of(seq: u64, facts: &BTreeMap<String, Facts>) -> SegmentRec {
-        let mut rec = SegmentRec { seq, ..SegmentRec::default() };
+impl LogSegmentRecord {
+    pub fn of(seq: u64, facts: &BTreeMap<String, Facts>) -> LogSegmentRecord {
+        let mut rec = LogSegmentRecord { seq, ..LogSegmentRecord::default() };
         let mut numbers: BTreeMap<&str, u32> = BTreeMap::new();
         for (uid, f) in facts {
             let job = rec.jobs.len() as u32;
@@ -120,7 +120,7 @@
         }
         for (n, index, machine, attempt) in &self.starts {
             let machine = self.machines.get(*machine as usize).ok_or(spoilt)?.clone();
-            let place = Place { index: *index, machine, attempt: *attempt };
+            let place = Placement { index: *index, machine, attempt: *attempt };
             out.entry(job(*n)?).or_default().starts.push(place);
         }
         Ok(out)
@@ -132,8 +132,8 @@
     use super::*;
     use crate::protocol::{decode, encode};
 
-    fn place(index: u32, machine: &str, attempt: u64) -> Place {
-        Place { index, machine: machine.into(), attempt }
+    fn place(index: u32, machine: &str, attempt: u64) -> Placement {
+        Placement { index, machine: machine.into(), attempt }
     }
 
     fn sample() -> BTreeMap<String, Facts> {
@@ -149,7 +149,7 @@
     #[test]
     fn facts_survive_the_store() {
         let facts = sample();
-        let rec: SegmentRec = decode(&encode(&SegmentRec::of(5, &facts))).unwrap();
+        let rec: LogSegmentRecord = decode(&encode(&LogSegmentRecord::of(5, &facts))).unwrap();
         assert_eq!((rec.seq, rec.machines.len(), rec.done.len()), (5, 2, 2));
         let back = rec.facts(1000).unwrap();
         assert_eq!(back.into_iter().map(|(u, f)| (u.to_string(), f)).collect::<BTreeMap<_, _>>(), facts);
@@ -169,19 +169,19 @@
             f.gone.insert((u32::MAX - i, u64::MAX - 1));
             f.starts.push(place(u32::MAX - i, &name, u64::MAX));
         }
-        let rec = SegmentRec::of(u64::MAX, &[("run-000412".to_string(), f)].into());
+        let rec = LogSegmentRecord::of(u64::MAX, &[("run-000412".to_string(), f)].into());
         assert!(encode(&rec).len() <= most, "{} of {most}", encode(&rec).len());
     }
 
     #[test]
     fn a_spoilt_segment_is_an_error_and_no_panic() {
-        let mut rec = SegmentRec::of(3, &sample());
+        let mut rec = LogSegmentRecord::of(3, &sample());
         rec.starts.push((0, 1, 99, 1));
         assert_eq!(rec.facts(10), Err(Spoilt(3)));
-        let mut rec = SegmentRec::of(4, &sample());
+        let mut rec = LogSegmentRecord::of(4, &sample());
         rec.gone.push((7, 1, 1));
         assert_eq!(rec.facts(10), Err(Spoilt(4)));
-        let mut rec = SegmentRec::of(4, &sample());
+        let mut rec = LogSegmentRecord::of(4, &sample());
         rec.done.push((0, 0, u32::MAX));
         assert_eq!(rec.facts(10).unwrap()["run-a"].done.len(), 11, "no endless range");
     }
--- a/src/bookkeeping/aims.rs
+++ b/src/state/objectives.rs
@@ -1,6 +1,6 @@
 //! The aims that the settings repeat, and how well they are met of late.
 
-use crate::protocol::user::{Form, JobSpec};
+use crate::protocol::user::{JobKind, JobSpec};
 use crate::settings::Objective;
 
 /// Misses that the running share remembers when an aim is just kept: a share
@@ -26,16 +26,17 @@
 
     /// Seconds from submission within which the job should have started.
     pub fn start_within(&self, spec: &JobSpec) -> Option<f64> {
-        self.of("wait", &spec.docket).filter_map(|o| o.within_s).reduce(f64::min)
+        self.of("wait", &spec.class).filter_map(|o| o.within_s).reduce(f64::min)
     }
 
     /// Seconds from submission within which the job should be over.
     pub fn end_within(&self, spec: &JobSpec) -> Option<f64> {
-        if spec.form == Form::Standing {
+        if spec.kind == JobKind::Service {
             return None;
         }
-        let finished = self.of("finished", &spec.docket).filter_map(|o| o.within_s).reduce(f64::min);
-        let due = spec.due_s.map(|d| d * self.of("deadline", &spec.docket).filter_map(|o| o.times).fold(1.0, f64::max));
+        let finished = self.of("finished", &spec.class).filter_map(|o| o.within_s).reduce(f64::min);
+        let due =
+            spec.deadline_s.map(|d| d * self.of("deadline", &spec.class).filter_map(|o| o.times).fold(1.0, f64::max));
         [finished, due].into_iter().flatten().reduce(f64::min)
     }
 
@@ -44,7 +45,7 @@
     /// is no reason to miss the next.
     pub fn end_from(&self, spec: &JobSpec, age_s: f64, needs_s: f64) -> Option<f64> {
         let first = self.end_within(spec)?;
-        let later = self.of("finished", &spec.docket).filter_map(|o| o.within_s).filter(|a| *a > first);
+        let later = self.of("finished", &spec.class).filter_map(|o| o.within_s).filter(|a| *a > first);
         let mut all: Vec<f64> = later.chain([first]).collect();
         all.sort_by(f64::total_cmp);
         all.iter().find(|a| **a - age_s >= needs_s).or(all.last()).copied()
@@ -55,11 +56,11 @@
         for (o, met) in self.list.iter().zip(&mut self.met) {
             let within = match o.kind.as_str() {
                 "finished" => o.within_s,
-                "deadline" => spec.due_s.map(|d| d * o.times.unwrap_or(1.0)),
+                "deadline" => spec.deadline_s.map(|d| d * o.times.unwrap_or(1.0)),
                 _ => None,
             };
             if let Some(w) = within
-                && o.class.as_deref() == Some(&spec.docket)
+                && o.class.as_deref() == Some(&spec.class)
             {
                 let hit = if took_s <= w { 1.0 } else { 0.0 };
                 let memory = MISSES / (1.0 - o.share.unwrap_or(0.0)).max(0.01);
--- a/src/bookkeeping/records.rs
+++ b/src/state/records.rs
@@ -1,7 +1,7 @@
 //! The records kept in the state service, and their keys. Everything the
 //! program keeps lives under one prefix, so that one watch sees every change.
 
-use super::segment::RING;
+use super::log_segment::RING;
 use crate::protocol::cloud::MachineType;
 use crate::protocol::user::{JobSpec, Status};
 use ciborium::Value;
@@ -12,51 +12,51 @@
 /// Never written: reading it tells how far the ledger has come.
 pub const BARRIER_KEY: &str = "fq/none";
 pub const TERM_KEY: &str = "fq/term";
-pub const LEAD_KEY: &str = "fq/lead";
+pub const LEADER_KEY: &str = "fq/lead";
 /// Changed with every pack of several machines, so that none of them can be
 /// recorded a second time by a controller that has not seen the pack.
-pub const PACKS_KEY: &str = "fq/packs";
+pub const MACHINE_GROUPS_KEY: &str = "fq/packs";
 /// The cloud's catalog as the leader last read it, for those that start while the
 /// cloud does not answer. The leader alone writes it.
 pub const CATALOG_KEY: &str = "fq/catalog";
 
 /// How far a campaign has come (`upkeep::campaign`). The leader alone writes it.
-pub const UPKEEP_KEY: &str = "fq/upkeep";
+pub const MAINTENANCE_KEY: &str = "fq/upkeep";
 
 /// Where the grants of whole blocks lie.
-pub const BLOCKS: &str = "fq/b/";
+pub const SHARD_GRANTS: &str = "fq/b/";
 
 /// Where the records of teams lie.
 pub const TEAMS: &str = "fq/q/";
 
 /// A live controller; the key hangs on its lease. A restart is a new incarnation.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct MemberRec {
+pub struct MemberRecord {
     pub incarnation: u64,
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct LeadRec {
+pub struct LeaderRecord {
     pub member: String,
     pub incarnation: u64,
     pub term: u64,
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct TermRec {
+pub struct TermRecord {
     pub term: u64,
     /// The form of all records; absent before the logs.
-    #[serde(default)]
-    pub form: u32,
+    #[serde(rename = "form", default)]
+    pub format_version: u32,
 }
 
 /// The machine types that the cloud has.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct CatalogRec {
+pub struct CatalogRecord {
     pub types: Vec<MachineType>,
 }
 
-impl CatalogRec {
+impl CatalogRecord {
     /// Whether these are the same types; current prices move all the time.
     pub fn has(&self, types: &[MachineType]) -> bool {
         let steady = |t: &MachineType| MachineType { spot_price: 0.0, ..t.clone() };
@@ -66,11 +66,11 @@
 
 /// The form of records that this program writes and reads, with those before it.
 /// State of a later form is not touched.
-pub const FORM: u32 = 1;
+pub const FORMAT_VERSION: u32 = 1;
 
 /// Part of a job's tasks, leased to one controller to place.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Share {
+pub struct TaskRange {
     pub member: String,
     pub from: u32,
     pub to: u32,
@@ -78,24 +78,26 @@
 
 /// A job: all of it while it lives, only its end once it is over.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct JobRec {
+pub struct JobRecord {
     /// Present while the job lives.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub spec: Option<JobSpec>,
-    /// The end, `done` or `withdrawn`.
+    /// The end, `done` or `cancelled`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub end: Option<Status>,
-    pub parcels: u32,
+    #[serde(rename = "parcels")]
+    pub task_count: u32,
     /// Submission, in milliseconds of the time of day.
     #[serde(default)]
     pub at_ms: u64,
     #[serde(default)]
-    pub shares: Vec<Share>,
+    #[serde(rename = "shares")]
+    pub task_ranges: Vec<TaskRange>,
 }
 
 /// Where a started task is: nowhere else may it be started meanwhile.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Place {
+pub struct Placement {
     #[serde(rename = "i")]
     pub index: u32,
     #[serde(rename = "m")]
@@ -106,20 +108,22 @@
 
 /// The state of a run of tasks of one job: a checkpoint of what the logs say.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct ChunkRec {
+pub struct TaskRangeCheckpoint {
     /// Finished tasks, as inclusive ranges.
     #[serde(default)]
     pub done: Vec<(u32, u32)>,
     /// Started and unfinished tasks.
     #[serde(default)]
-    pub on: Vec<Place>,
+    pub on: Vec<Placement>,
     /// The highest attempt number used.
     #[serde(default)]
-    pub tries: u64,
+    #[serde(rename = "tries")]
+    pub highest_attempt: u64,
     /// It holds what all segments up to this revision say, and nothing of later
     /// ones. Absent in records of versions before the logs: their own revision.
     #[serde(default, skip_serializing_if = "none")]
-    pub asof: u64,
+    #[serde(rename = "asof")]
+    pub as_of_revision: u64,
 }
 
 fn none(revision: &u64) -> bool {
@@ -130,9 +134,11 @@
 /// Those of a large rental share a record, written before they are up: one
 /// record each, written as they report, would take all of the store's writes.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct PackRec {
-    pub build: String,
-    pub site: String,
+pub struct MachineGroupRecord {
+    #[serde(rename = "build")]
+    pub machine_type: String,
+    #[serde(rename = "site")]
+    pub zone: String,
     pub spot: bool,
     pub owner: String,
     pub incarnation: u64,
@@ -149,14 +155,14 @@
     pub drain: Vec<String>,
 }
 
-impl PackRec {
+impl MachineGroupRecord {
     /// One machine as its pack's record, of that name, has it.
-    pub fn host(&self, pack: &str, name: &str, granted: u64, grant: &BlockRec) -> HostRec {
-        HostRec {
+    pub fn host(&self, group: &str, name: &str, granted: u64, grant: &ShardGrantRecord) -> MachineRecord {
+        MachineRecord {
             granted,
-            pack: pack.to_string(),
-            build: self.build.clone(),
-            site: self.site.clone(),
+            group: group.to_string(),
+            machine_type: self.machine_type.clone(),
+            zone: self.zone.clone(),
             spot: self.spot,
             owner: self.owner.clone(),
             incarnation: grant.incarnation,
@@ -168,7 +174,7 @@
     }
 
     /// The record without some machines; `None` if none is left.
-    pub fn without(&self, names: &[String]) -> Option<PackRec> {
+    pub fn without(&self, names: &[String]) -> Option<MachineGroupRecord> {
         let mut rec = self.clone();
         rec.machines.retain(|m| !names.contains(m));
         rec.drain.retain(|m| !names.contains(m));
@@ -179,7 +185,7 @@
 /// All packs that a member held when this was written, granted anew to a later
 /// incarnation of it: one write brings its block back after a restart.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct BlockRec {
+pub struct ShardGrantRecord {
     pub incarnation: u64,
     pub term: u64,
     pub epoch: u64,
@@ -187,12 +193,12 @@
 
 /// One machine of a pack, under the newest grant that holds for it.
 #[derive(Debug, Clone, PartialEq)]
-pub struct HostRec {
+pub struct MachineRecord {
     /// Revision of that grant.
     pub granted: u64,
-    pub pack: String,
-    pub build: String,
-    pub site: String,
+    pub group: String,
+    pub machine_type: String,
+    pub zone: String,
     pub spot: bool,
     pub owner: String,
     pub incarnation: u64,
@@ -206,8 +212,8 @@
     format!("fq/m/{name}")
 }
 
-pub fn block_key(member: &str) -> String {
-    format!("{BLOCKS}{member}")
+pub fn shard_grant_key(member: &str) -> String {
+    format!("{SHARD_GRANTS}{member}")
 }
 
 pub fn job_key(uid: &str) -> String {
@@ -225,7 +231,7 @@
 
 /// How starts of a team that has a limit are made; absent: not strictly.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct TeamRec {
+pub struct TeamRecord {
     /// The limit is near: every start changes this record, so that two
     /// controllers cannot both use the last of it.
     pub strict: bool,
@@ -237,7 +243,7 @@
     format!("{TEAMS}{name}")
 }
 
-pub fn pack_key(name: &str) -> String {
+pub fn machine_group_key(name: &str) -> String {
     format!("fq/h/{name}")
 }
 
@@ -246,9 +252,9 @@
 pub enum Key<'a> {
     Term,
     Lead,
-    Packs,
+    MachineGroups,
     Catalog,
-    Upkeep,
+    Maintenance,
     Member(&'a str),
     Block(&'a str),
     Job(&'a str),
@@ -262,10 +268,10 @@
 pub fn parse_key(key: &str) -> Option<Key<'_>> {
     match key {
         TERM_KEY => return Some(Key::Term),
-        LEAD_KEY => return Some(Key::Lead),
-        PACKS_KEY => return Some(Key::Packs),
+        LEADER_KEY => return Some(Key::Lead),
+        MACHINE_GROUPS_KEY => return Some(Key::MachineGroups),
         CATALOG_KEY => return Some(Key::Catalog),
-        UPKEEP_KEY => return Some(Key::Upkeep),
+        MAINTENANCE_KEY => return Some(Key::Maintenance),
         _ => {}
     }
     let (kind, rest) = key.strip_prefix(PREFIX)?.split_once('/')?;
@@ -293,9 +299,9 @@
         Some(Key::Lead | Key::Member(_) | Key::Host(_) | Key::Chunk(..)) | None => false,
         Some(
             Key::Term
-            | Key::Packs
+            | Key::MachineGroups
             | Key::Catalog
-            | Key::Upkeep
+            | Key::Maintenance
             | Key::Block(_)
             | Key::Job(_)
             | Key::Team(_)
@@ -325,9 +331,9 @@
 /// Tasks per lease of a job with so many: chunks are not split, and all leases
 /// together stay within half of the job's record, its description has the rest. A
 /// member's name takes at most `name` bytes.
-pub fn lease_size(value_kb: f64, name: usize, chunk: u32, parcels: u32) -> u32 {
+pub fn lease_size(value_kb: f64, name: usize, chunk: u32, task_count: u32) -> u32 {
     let most = (value_kb * 1024.0 / 2.0) as usize / (SHARE_BYTES + name);
-    chunk * parcels.div_ceil(chunk).div_ceil(most.max(1) as u32).max(1)
+    chunk * task_count.div_ceil(chunk).div_ceil(most.max(1) as u32).max(1)
 }
 
 /// The most that the record of a chunk takes.
@@ -405,12 +411,12 @@
     #[test]
     fn the_fullest_chunk_fits_the_store() {
         let size = chunk_size(8.0, 1.0);
-        let place = |index| Place { index, machine: "host-000231".into(), attempt: 100_000 };
-        let full = ChunkRec {
+        let place = |index| Placement { index, machine: "host-000231".into(), attempt: 100_000 };
+        let full = TaskRangeCheckpoint {
             done: (0..size / 2).map(|i| (99_000 + i * 2, 99_000 + i * 2)).collect(),
             on: (0..size).map(|i| place(99_000 + i)).collect(),
-            tries: 100_000,
-            asof: u64::MAX,
+            highest_attempt: 100_000,
+            as_of_revision: u64::MAX,
         };
         let bytes = crate::protocol::encode(&full).len();
         assert!(bytes <= 8 * 1024, "{bytes}");
@@ -422,10 +428,10 @@
     fn the_leases_of_the_largest_job_fit_its_record() {
         // Limits are counted in the form of JSON.
         let each = r#"{"member":"perch-6","from":99999,"to":99999},"#.len();
-        for (value_kb, writes, parcels) in [(8.0, 7.1, 25_000), (8.0, 100.0, 100_000), (4.0, 1.0, 100_000)] {
+        for (value_kb, writes, task_count) in [(8.0, 7.1, 25_000), (8.0, 100.0, 100_000), (4.0, 1.0, 100_000)] {
             let chunk = chunk_size(value_kb, writes);
-            let size = lease_size(value_kb, "perch-6".len(), chunk, parcels);
-            let bytes = parcels.div_ceil(size) as usize * each;
+            let size = lease_size(value_kb, "perch-6".len(), chunk, task_count);
+            let bytes = task_count.div_ceil(size) as usize * each;
             assert!(bytes as f64 <= value_kb * 512.0, "{bytes} of {value_kb} KiB");
             assert_eq!(size % chunk, 0, "a chunk has one holder");
         }
--- a/src/bookkeeping/served.rs
+++ b/src/state/service_levels.rs
@@ -6,7 +6,7 @@
 //! team, or all large jobs, may be shut out while each class as a whole does well.
 
 use super::Job;
-use crate::protocol::user::{Form, JobSpec};
+use crate::protocol::user::{JobKind, JobSpec};
 use hdrhistogram::Histogram;
 use std::collections::BTreeMap;
 
@@ -36,7 +36,7 @@
     }
 
     fn of(spec: &JobSpec) -> [u64; 3] {
-        let all = |each: f64| (each * f64::from(spec.parcels) * 1000.0) as u64;
+        let all = |each: f64| (each * f64::from(spec.task_count) * 1000.0) as u64;
         [all(1.0), all(spec.cores), all(spec.mem_gb)]
     }
 
@@ -58,7 +58,7 @@
 }
 
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Tally {
+pub struct ServiceTally {
     /// Jobs that ended or missed their aim, of those that have an aim; each once.
     pub judged: u32,
     /// Of them, those that were over in time.
@@ -73,16 +73,16 @@
     pub placed: u32,
 }
 
-impl Tally {
+impl ServiceTally {
     /// The least of its shares that rests on enough jobs; none where none does.
     pub fn least_share(&self) -> Option<f64> {
         let share = |part: u32, all: u32| (all >= ENOUGH).then(|| f64::from(part) / f64::from(all));
-        let shares = [
+        let task_ranges = [
             share(self.in_time, self.judged),
             share(self.live - self.untouched.min(self.live), self.live),
             share(self.placed.min(self.replicas), self.replicas),
         ];
-        shares.into_iter().flatten().reduce(f64::min)
+        task_ranges.into_iter().flatten().reduce(f64::min)
     }
 }
 
@@ -95,16 +95,16 @@
 
 impl Served {
     fn who(sizes: &BTreeMap<String, Sizes>, spec: &JobSpec) -> Vec<Who> {
-        let mut all = vec![Who::Class(spec.docket.clone()), Who::Team(spec.desk.clone())];
-        if sizes.get(&spec.docket).is_some_and(|s| s.large(spec)) {
-            all.push(Who::Largest(spec.docket.clone()));
+        let mut all = vec![Who::Class(spec.class.clone()), Who::Team(spec.team.clone())];
+        if sizes.get(&spec.class).is_some_and(|s| s.large(spec)) {
+            all.push(Who::Largest(spec.class.clone()));
         }
         all
     }
 
     /// A job with an aim is over, or its aim has passed.
     pub fn note(&mut self, spec: &JobSpec, in_time: bool) {
-        self.sizes.entry(spec.docket.clone()).or_insert_with(Sizes::new).note(spec);
+        self.sizes.entry(spec.class.clone()).or_insert_with(Sizes::new).note(spec);
         for who in Served::who(&self.sizes, spec) {
             let (judged, met) = self.ends.entry(who).or_default();
             *judged += 1;
@@ -113,15 +113,15 @@
     }
 
     /// The tallies of all that have ended or live.
-    pub fn tallies<'a>(&self, jobs: impl Iterator<Item = &'a Job>, now_ms: u64) -> BTreeMap<Who, Tally> {
+    pub fn tallies<'a>(&self, jobs: impl Iterator<Item = &'a Job>, now_ms: u64) -> BTreeMap<Who, ServiceTally> {
         let ended = |(who, (judged, in_time)): (&Who, &(u32, u32))| {
-            (who.clone(), Tally { judged: *judged, in_time: *in_time, ..Tally::default() })
+            (who.clone(), ServiceTally { judged: *judged, in_time: *in_time, ..ServiceTally::default() })
         };
-        let mut out: BTreeMap<Who, Tally> = self.ends.iter().map(ended).collect();
-        let live: Vec<&Job> = jobs.filter(|j| !j.withdrawn()).collect();
+        let mut out: BTreeMap<Who, ServiceTally> = self.ends.iter().map(ended).collect();
+        let live: Vec<&Job> = jobs.filter(|j| !j.cancelled()).collect();
         let mut sizes = self.sizes.clone();
         for j in &live {
-            sizes.entry(j.spec.docket.clone()).or_insert_with(Sizes::new).note(&j.spec);
+            sizes.entry(j.spec.class.clone()).or_insert_with(Sizes::new).note(&j.spec);
         }
         for j in live {
             let untouched = j.placed == 0 && j.done == 0;
@@ -131,8 +131,8 @@
                 t.live += 1;
                 t.untouched += u32::from(untouched);
                 t.waits_s = t.waits_s.max(if untouched { age_s } else { 0 });
-                if j.spec.form == Form::Standing {
-                    t.replicas += j.spec.parcels;
+                if j.spec.kind == JobKind::Service {
+                    t.replicas += j.spec.task_count;
                     t.placed += j.placed;
                 }
             }
@@ -146,7 +146,7 @@
     use super::*;
 
     fn spec(class: &str, team: &str) -> JobSpec {
-        JobSpec { docket: class.into(), desk: team.into(), ..JobSpec::example("run-1") }
+        JobSpec { class: class.into(), team: team.into(), ..JobSpec::example("run-1") }
     }
 
     /// Half of the jobs of a class are in time, and all that are not are one team's.
@@ -170,7 +170,7 @@
     #[test]
     fn the_largest_jobs_show_beside_their_class() {
         let mut s = Served::default();
-        let sized = |parcels, mem_gb| JobSpec { parcels, mem_gb, ..spec("scores", "risk") };
+        let sized = |task_count, mem_gb| JobSpec { task_count, mem_gb, ..spec("scores", "risk") };
         for n in 0..100 {
             s.note(&sized(1 + n % 5, 1.0), true);
             if n % 4 == 0 {
@@ -192,7 +192,7 @@
         let mut s = Served::default();
         (0..ENOUGH - 1).for_each(|_| s.note(&spec("scores", "risk"), false));
         assert_eq!(s.tallies(std::iter::empty(), 0)[&Who::Class("scores".into())].least_share(), None);
-        let services = Tally { replicas: 10, placed: 4, live: 10, untouched: 2, ..Tally::default() };
+        let services = ServiceTally { replicas: 10, placed: 4, live: 10, untouched: 2, ..ServiceTally::default() };
         assert_eq!(services.least_share(), Some(0.4), "the least of them counts");
     }
 }
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -145,8 +145,8 @@
     poll.registry().register(&mut users, USERS, Interest::READABLE)?;
     poll.registry().register(&mut peers, PEERS, Interest::READABLE)?;
     let workers = &settings.settings.workers;
-    let tick = Duration::from_secs_f64((workers.report_s / 100.0).clamp(0.01, 0.05));
-    let every = Duration::from_secs_f64(workers.report_s);
+    let tick = Duration::from_secs_f64((workers.heartbeat_interval_s / 100.0).clamp(0.01, 0.05));
+    let every = Duration::from_secs_f64(workers.heartbeat_interval_s);
     let mut watched = operator.map(|file| Watched::new(file, settings.settings.teams.clone(), every));
     tracing::info!(member = %settings.member, others = settings.others.len(), "controller starts");
     let mut net = Net::new(&settings, poll);
@@ -217,7 +217,7 @@
             peers_in: 0,
             max_peers_in: limits.max_connections / 16,
             response_limit: (limits.ram_mb * 1048576.0) as usize / RESPONSE_SHARE,
-            slow: Duration::from_secs_f64(workers.report_s * 2.0),
+            slow: Duration::from_secs_f64(workers.heartbeat_interval_s * 2.0),
             patience: Duration::from_secs_f64(workers.lease_s * 2.0),
             events: VecDeque::new(),
         }
@@ -250,7 +250,7 @@
                 if self.servers >= self.max_server && !self.shed() {
                     continue;
                 }
-                self.make_room();
+                self.make_capacity();
                 self.servers += 1;
                 Role::Server { busy: false, close: false }
             } else {
@@ -292,7 +292,7 @@
     /// idle connection to a worker goes, or else an idle one of a client. A large block
     /// has more workers than there are sockets, and each that was called would keep one.
     /// False where all are in use.
-    fn make_room(&mut self) -> bool {
+    fn make_capacity(&mut self) -> bool {
         self.conns.len() < self.max_conns || self.shed_idle_call() || self.shed()
     }
 
@@ -637,7 +637,7 @@
                     continue;
                 }
                 None => {
-                    full = full || !self.make_room();
+                    full = full || !self.make_capacity();
                     if full && matches!(q.target, Target::Worker(_)) {
                         waiting.push_back(q);
                         continue;
--- a/tests/behaviour/mod.rs
+++ b/tests/behaviour/mod.rs
@@ -5,7 +5,7 @@
 
 use crate::meetings::drawn;
 use crate::world::digest::{CHECKPOINT, Recording, record};
-use crate::{known, links, log, recovery, restarts, upkeep};
+use crate::{connectivity, known, log, maintenance, reconciliation, restarts};
 use std::fmt::Write;
 
 /// One line per world: scenario, seed, number of actions, digest, and the digests at
@@ -61,7 +61,7 @@
 
 #[test]
 fn quiet_day() {
-    check("quiet_day", crate::a_quiet_day_runs_arrays_and_services_and_withdraws);
+    check("quiet_day", crate::a_quiet_day_runs_arrays_and_services_and_cancels);
 }
 
 #[test]
@@ -145,26 +145,26 @@
 
 #[test]
 fn random_cuts() {
-    check("random_cuts", || links::random_cuts(0));
+    check("random_cuts", || connectivity::random_cuts(0));
 }
 
 #[test]
 fn starts_with_faults() {
     check("starts_with_faults", || {
         (0..2).for_each(|seed| {
-            recovery::start_with_faults(seed);
+            reconciliation::start_with_faults(seed);
         })
     });
 }
 
 #[test]
 fn failures_during_replacement() {
-    check("failures_during_replacement", || upkeep::failures_during_replacement(0));
+    check("failures_during_replacement", || maintenance::failures_during_replacement(0));
 }
 
 #[test]
 fn failures_and_budget() {
-    check("failures_and_budget", || upkeep::failures_and_budget(0));
+    check("failures_and_budget", || maintenance::failures_and_budget(0));
 }
 
 #[test]
--- a/tests/links/mod.rs
+++ b/tests/connectivity/mod.rs
@@ -1,7 +1,7 @@
 //! Cuts that leave some links up, at some hundred machines: nothing that some
 //! controller could answer for loses its lease, and nothing that lives is returned.
 
-use crate::recovery::seeds;
+use crate::reconciliation::seeds;
 use crate::running;
 use crate::world::{CANCEL_S, LEASE_S, SMALL, Size, World, array, s, service};
 use rand::RngExt;
@@ -78,7 +78,7 @@
                 w.join_store(node);
             });
         }
-        w.later(33.0, |w| w.jobs.get_mut("run-009").unwrap().withdraw_asked = false);
+        w.later(33.0, |w| w.jobs.get_mut("run-009").unwrap().cancel_asked = false);
         w.run_until(130.0);
         assert_eq!((lapsed(&w), w.lost_alive), (0, 0), "seed {seed}");
         assert_eq!(running(&w, "run-009"), 300, "seed {seed}");
@@ -108,7 +108,7 @@
     let mut w = fleet(42, 3, 150, 100.0);
     w.submit("run-009", service(300));
     w.run_until(30.0);
-    let names: Vec<String> = w.workers.values().filter(|x| x.site == "b").map(|x| x.name.clone()).collect();
+    let names: Vec<String> = w.workers.values().filter(|x| x.zone == "b").map(|x| x.name.clone()).collect();
     names.iter().for_each(|n| w.cut_worker(n, true));
     w.run_until(44.0);
     names.iter().for_each(|n| w.cut_worker(n, false));
@@ -145,7 +145,7 @@
     w.submit("run-009", service(180));
     w.run_until(50.0);
     // Half of one zone at once: silence alone would count as a cut.
-    let names: Vec<String> = w.workers.values().filter(|x| x.site == "b").map(|x| x.name.clone()).step_by(2).collect();
+    let names: Vec<String> = w.workers.values().filter(|x| x.zone == "b").map(|x| x.name.clone()).step_by(2).collect();
     for n in names.iter().chain(names.iter()) {
         w.cloud.machines.remove(n);
         w.workers.remove(n);
@@ -155,7 +155,7 @@
 }
 
 /// The store refuses all for longer than one controller may act by itself: all
-/// attest that nobody can have been told of a withdrawal, and nothing stops.
+/// attest that nobody can have been told of a cancellation, and nothing stops.
 #[test]
 fn an_outage_of_the_store_for_all_stops_nothing_while_all_attest() {
     let mut w = fleet(45, 5, 80, 60.0);
@@ -172,7 +172,7 @@
 }
 
 /// One that says nothing ends the attestation: it might have told a user that the
-/// job is withdrawn. The world checks that no task outlives that by `cancel_s`.
+/// job is cancelled. The world checks that no task outlives that by `cancel_s`.
 #[test]
 fn a_missing_word_ends_the_attestation_in_time() {
     for seed in 0..4 {
@@ -188,9 +188,9 @@
                 w.peers_cut.insert((n, lone));
             }
         }
-        w.later(31.0, |w| w.jobs.get_mut("run-009").unwrap().withdraw_asked = true);
+        w.later(31.0, |w| w.jobs.get_mut("run-009").unwrap().cancel_asked = true);
         w.run_until(130.0);
-        assert!(w.jobs["run-009"].withdrawn_at.is_some(), "seed {seed}");
+        assert!(w.jobs["run-009"].cancelled_at.is_some(), "seed {seed}");
         assert_eq!(running(&w, "run-009"), 0, "seed {seed}");
     }
 }
@@ -217,7 +217,7 @@
         let job = array(w.rng.random_range(4..60), 4.0);
         if n % 4 == 1 {
             let (gone, uid) = (w.rng.random_range(at..100.0), uid.clone());
-            w.later(gone, move |w| w.jobs.get_mut(&uid).unwrap().withdraw_asked = true);
+            w.later(gone, move |w| w.jobs.get_mut(&uid).unwrap().cancel_asked = true);
         }
         w.later(at, move |w| w.submit(&uid, job));
     }
@@ -255,7 +255,7 @@
             6 => {
                 // A zone's machines reach one controller only.
                 let set = move |w: &mut World, on: bool| {
-                    for x in w.workers.values_mut().filter(|x| x.site == "b") {
+                    for x in w.workers.values_mut().filter(|x| x.zone == "b") {
                         x.unreached = if on { (0..nodes).filter(|n| *n != i).collect() } else { [].into() };
                     }
                 };
@@ -276,7 +276,7 @@
     w.run_until(260.0);
     assert_eq!(w.lost_alive, 0, "seed {seed}: tasks on machines that live were lost");
     for (uid, j) in &w.jobs {
-        let over = j.told_done || j.withdrawn_at.is_some() || j.standing;
+        let over = j.confirmed_done || j.cancelled_at.is_some() || j.standing;
         assert!(over, "seed {seed}: {uid} is not over: {j:?}");
     }
     assert!(w.now == s(260.0));
--- a/tests/rehearsal.rs
+++ b/tests/emulator.rs
@@ -1,11 +1,11 @@
-//! Real controllers on loopback, played by the rehearsal: load, a killed
+//! Real controllers on loopback, played by the emulator: load, a killed
 //! controller, a killed state service, a machine that dies, a late write.
 //! Bounded to well under a minute; ports are free ones.
 
 use finchquay_client::Client;
+use finchquay_emulator::run::{Options, play};
+use finchquay_emulator::scenario::Scenario;
 use finchquay_protocol::user::{JobSpec, Status};
-use finchquay_rehearsal::run::{Options, play};
-use finchquay_rehearsal::scenario::Scenario;
 use std::net::{SocketAddr, TcpListener};
 use std::path::Path;
 use std::time::Duration;
@@ -99,7 +99,7 @@
     assert_eq!(guest.await.unwrap(), Status::Done, "a job beside the load, through the way in");
     let v = &outcome.verdict;
     assert!(v.holds() && v.settled, "{:#?}", v.violations);
-    assert!(v.accepted >= 10 && v.accepted == v.told_done + v.told_withdrawn, "{v:?}");
+    assert!(v.accepted >= 10 && v.accepted == v.confirmed_done + v.confirmed_cancelled, "{v:?}");
     assert!(v.tasks_done >= 20, "{v:?}");
 }
 
@@ -107,7 +107,7 @@
 async fn guest(front: SocketAddr) -> Status {
     tokio::time::sleep(Duration::from_secs(1)).await;
     let client = Client::new([front]).unwrap();
-    let spec = JobSpec { desk: "t".into(), expected_s: 1.0, ..JobSpec::example("run-777000001") };
+    let spec = JobSpec { team: "t".into(), estimated_run_s: 1.0, ..JobSpec::example("run-777000001") };
     client.submit(&spec).await.unwrap();
     client.wait(&spec.uid, Some(Duration::from_secs(25))).await.unwrap().status
 }
--- a/tests/exploration.rs
+++ b/tests/exploration.rs
@@ -7,7 +7,7 @@
 use finchquay_explorer::{Failed, explore};
 use models::attest::{Attest, Trust};
 use models::log::{Guards, Log};
-use models::upkeep::{Rests, Upkeep};
+use models::maintenance::{Maintenance, Rests};
 
 fn broken<M: finchquay_explorer::Model>(model: &M) -> String {
     match explore(model, 6_000_000) {
@@ -43,12 +43,12 @@
     println!("attestation: {} states, {} events deep", found.states, found.depth);
     assert!(found.states > 1_000);
     for (name, trust) in [
-        ("echo", Trust { echo: false, ..Trust::default() }),
+        ("echo", Trust { acknowledgements: false, ..Trust::default() }),
         ("revision", Trust { revision: false, ..Trust::default() }),
         ("limit", Trust { limit: false, ..Trust::default() }),
         // Words of the view's revision alone: this broke the rules until 2026-12.
-        ("learned", Trust { learned: false, ..Trust::default() }),
-        ("heeded", Trust { heeded: false, ..Trust::default() }),
+        ("learned", Trust { known_revision: false, ..Trust::default() }),
+        ("heeded", Trust { applied: false, ..Trust::default() }),
         ("granted", Trust { granted: false, ..Trust::default() }),
         ("since", Trust { since: false, ..Trust::default() }),
     ] {
@@ -58,7 +58,7 @@
 
 #[test]
 fn tickets_are_spent_once() {
-    let found = explore(&Upkeep { rests: Rests::default() }, 6_000_000).unwrap_or_else(|e| panic!("{e}"));
+    let found = explore(&Maintenance { rests: Rests::default() }, 6_000_000).unwrap_or_else(|e| panic!("{e}"));
     println!("tickets: {} states, {} events deep", found.states, found.depth);
     assert!(found.states > 1_000);
     for (name, rests) in [
@@ -66,6 +66,6 @@
         ("counted", Rests { counted: false, ..Rests::default() }),
         ("settled", Rests { settled: false, ..Rests::default() }),
     ] {
-        println!("without {name}: {}", broken(&Upkeep { rests }));
+        println!("without {name}: {}", broken(&Maintenance { rests }));
     }
 }
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -2,22 +2,22 @@
 //! the rules at every step; the tests say what must still get done.
 
 mod behaviour;
+mod connectivity;
 mod known;
 mod limits;
-mod links;
 mod log;
+mod maintenance;
 mod meetings;
-mod recovery;
+mod reconciliation;
 mod requests_sent;
 mod restarts;
-mod upkeep;
 mod world;
 
 use rand::RngExt;
 use world::{Job, SMALL, Size, World, array, gang, s, service};
 
 fn done(w: &World, uid: &str) -> bool {
-    w.jobs[uid].told_done
+    w.jobs[uid].confirmed_done
 }
 
 fn running(w: &World, uid: &str) -> usize {
@@ -28,16 +28,16 @@
 }
 
 #[test]
-fn a_quiet_day_runs_arrays_and_services_and_withdraws() {
+fn a_quiet_day_runs_arrays_and_services_and_cancels() {
     let mut w = World::new(1, 4);
     w.submit("run-001", array(12, 4.0));
     w.submit("run-009", service(2));
     w.run_until(20.0);
     assert!(done(&w, "run-001"));
     assert_eq!(running(&w, "run-009"), 2);
-    w.jobs.get_mut("run-009").unwrap().withdraw_asked = true;
+    w.jobs.get_mut("run-009").unwrap().cancel_asked = true;
     w.run_until(25.0);
-    assert!(w.jobs["run-009"].withdrawn_at.is_some());
+    assert!(w.jobs["run-009"].cancelled_at.is_some());
     assert_eq!(running(&w, "run-009"), 0);
     // Once the tasks are proved gone nothing but the end is kept.
     assert_eq!(w.store.count("fq/t/"), 0);
@@ -117,13 +117,13 @@
 }
 
 /// A controller that the store refuses must stop answering its workers in time
-/// for a withdrawal it cannot know of; the others take its machines over.
+/// for a cancellation it cannot know of; the others take its machines over.
 #[test]
 fn a_refused_controller_yields() {
     let mut w = World::new(7, 4);
     w.submit("run-009", service(4));
     w.later(10.0, |w| w.nodes[1].refused = true);
-    w.later(12.0, |w| w.jobs.get_mut("run-009").unwrap().withdraw_asked = true);
+    w.later(12.0, |w| w.jobs.get_mut("run-009").unwrap().cancel_asked = true);
     w.later(14.0, |w| w.submit("run-003", array(12, 8.0)));
     w.run_until(70.0);
     assert_eq!(running(&w, "run-009"), 0);
@@ -197,9 +197,9 @@
         most = most.max(running(&w, "run-001"));
     }
     assert!(most >= 200, "{most} of 240 ran at once");
-    w.jobs.get_mut("run-001").unwrap().withdraw_asked = true;
+    w.jobs.get_mut("run-001").unwrap().cancel_asked = true;
     w.run_until(60.0);
-    assert!(w.jobs["run-001"].withdrawn_at.is_some());
+    assert!(w.jobs["run-001"].cancelled_at.is_some());
     assert_eq!(running(&w, "run-001"), 0);
 }
 
@@ -283,8 +283,8 @@
         let uid = format!("run-7{n}{}", n % 5);
         w.later(at, move |w| w.submit(&uid, gang(1 + n % 4)));
     }
-    let apart = Job { apart: true, gpus: 1.0, ..service(4) };
-    w.later(3.0, move |w| w.submit("run-809", apart));
+    let zone_anti_affinity = Job { zone_anti_affinity: true, gpus: 1.0, ..service(4) };
+    w.later(3.0, move |w| w.submit("run-809", zone_anti_affinity));
     random_failures(w, 10, 9, 300.0);
 }
 
@@ -333,7 +333,7 @@
     let name = w.workers.values().find(|x| on(x, "run-004")).unwrap().name.clone();
     let other = w.workers.values().find(|x| on(x, "run-009") && x.name != name).unwrap().name.clone();
     for n in [&name, &other] {
-        w.workers.get_mut(n).unwrap().recall_at = Some(s(24.0));
+        w.workers.get_mut(n).unwrap().preempted_at = Some(s(24.0));
     }
     w.run_until(20.0);
     let told: Vec<(std::time::Duration, f64)> =
@@ -377,7 +377,7 @@
         let (a, b) = (uid.clone(), uid);
         w.later(at, move |w| w.submit(&a, j));
         if n % 4 == 0 || n % 7 == 0 {
-            w.later(leave, move |w| w.jobs.get_mut(&b).unwrap().withdraw_asked = true);
+            w.later(leave, move |w| w.jobs.get_mut(&b).unwrap().cancel_asked = true);
         }
     }
     for _ in 0..failures {
@@ -423,7 +423,7 @@
     }
     w.run_until(end_s);
     for (uid, j) in &w.jobs {
-        let over = j.told_done || j.withdrawn_at.is_some() || j.standing;
+        let over = j.confirmed_done || j.cancelled_at.is_some() || j.standing;
         assert!(over, "seed {}: {uid} is not over: {j:?}", w.seed);
     }
     assert!(w.now == s(end_s));
--- a/tests/forms/configuration.rs
+++ b/tests/forms/configuration.rs
@@ -48,7 +48,7 @@
 fn limits_are_read() {
     let params = settings().settings;
     let workers = params.workers;
-    assert_eq!((workers.report_s, workers.lease_s), (2.0, 18.0));
+    assert_eq!((workers.heartbeat_interval_s, workers.lease_s), (2.0, 18.0));
     assert_eq!((workers.gang_wait_s, workers.gang_peer_s, workers.cancel_s), (40.0, 4.0, 48.0));
     let state = params.state;
     assert_eq!((state.rps, state.write_rps, state.value_kb, state.txn_ops), (200.0, 80.0, 8.0, 32));
--- a/tests/forms/operator_file.rs
+++ b/tests/forms/operator_file.rs
@@ -41,11 +41,14 @@
     let operator = Operator::load(&fixture(), &teams()).unwrap();
     assert_eq!(operator.campaign.len(), 2);
     let full = &operator.campaign["2026-12-hall-a"];
-    assert_eq!((full.build.as_deref(), full.site.as_deref(), full.spot), (Some("std"), Some("zone-a"), Some(true)));
+    assert_eq!(
+        (full.machine_type.as_deref(), full.zone.as_deref(), full.spot),
+        (Some("std"), Some("zone-a"), Some(true))
+    );
     assert_eq!(full.machines.as_deref(), Some(&["host-000231".to_string(), "host-000232".to_string()][..]));
     assert_eq!((full.first, full.wave), (2, 16));
     let plain = &operator.campaign["2026-12-hall-b"];
-    assert_eq!((&plain.build, &plain.site, plain.spot, &plain.machines), (&None, &None, None, &None));
+    assert_eq!((&plain.machine_type, &plain.zone, plain.spot, &plain.machines), (&None, &None, None, &None));
     assert_eq!((plain.first, plain.wave), (1, 8));
 }
 
--- a/tests/forms/stored_keys.rs
+++ b/tests/forms/stored_keys.rs
@@ -1,32 +1,32 @@
 //! Keys of the stored records: their text, how it is taken apart, and which keys are
 //! never deleted once they exist.
 
-use finchquay::bookkeeping::records::{
-    self, Key, block_key, chunk_key, job_key, lasts, log_key, member_key, pack_key, parse_key, team_key,
+use finchquay::state::log_segment::RING;
+use finchquay::state::records::{
+    self, Key, chunk_key, job_key, lasts, log_key, machine_group_key, member_key, parse_key, shard_grant_key, team_key,
 };
-use finchquay::bookkeeping::segment::RING;
 
 #[test]
 fn constant_keys_stay() {
     assert_eq!(records::PREFIX, "fq/");
     assert_eq!(records::BARRIER_KEY, "fq/none");
     assert_eq!(records::TERM_KEY, "fq/term");
-    assert_eq!(records::LEAD_KEY, "fq/lead");
-    assert_eq!(records::PACKS_KEY, "fq/packs");
+    assert_eq!(records::LEADER_KEY, "fq/lead");
+    assert_eq!(records::MACHINE_GROUPS_KEY, "fq/packs");
     assert_eq!(records::CATALOG_KEY, "fq/catalog");
-    assert_eq!(records::UPKEEP_KEY, "fq/upkeep");
-    assert_eq!(records::BLOCKS, "fq/b/");
+    assert_eq!(records::MAINTENANCE_KEY, "fq/upkeep");
+    assert_eq!(records::SHARD_GRANTS, "fq/b/");
     assert_eq!(records::TEAMS, "fq/q/");
 }
 
 #[test]
 fn keys_of_named_records_stay() {
     assert_eq!(member_key("perch-0"), "fq/m/perch-0");
-    assert_eq!(block_key("perch-0"), "fq/b/perch-0");
+    assert_eq!(shard_grant_key("perch-0"), "fq/b/perch-0");
     assert_eq!(job_key("run-000412"), "fq/j/run-000412");
     assert_eq!(chunk_key("run-000412", 3), "fq/t/run-000412/3");
     assert_eq!(team_key("search"), "fq/q/search");
-    assert_eq!(pack_key("host-000231"), "fq/h/host-000231");
+    assert_eq!(machine_group_key("host-000231"), "fq/h/host-000231");
 }
 
 /// A log is a ring: a slot is the number of the segment modulo its length.
@@ -44,9 +44,9 @@
     for (key, expected, permanent) in [
         ("fq/term", Key::Term, true),
         ("fq/lead", Key::Lead, false),
-        ("fq/packs", Key::Packs, true),
+        ("fq/packs", Key::MachineGroups, true),
         ("fq/catalog", Key::Catalog, true),
-        ("fq/upkeep", Key::Upkeep, true),
+        ("fq/upkeep", Key::Maintenance, true),
         ("fq/m/perch-0", Key::Member("perch-0"), false),
         ("fq/b/perch-0", Key::Block("perch-0"), true),
         ("fq/j/run-000412", Key::Job("run-000412"), true),
--- a/tests/known/gangs.rs
+++ b/tests/known/gangs.rs
@@ -25,7 +25,7 @@
     }
 }
 
-/// Crashes, lost machines and a withdrawal while its places are being stored: it is
+/// Crashes, lost machines and a cancellation while its places are being stored: it is
 /// completed or taken back, never half ordered; the rules hold at every step.
 #[test]
 fn a_gang_stored_in_parts_survives_what_comes_between() {
@@ -56,12 +56,12 @@
             });
         }
         if seed % 4 == 3 {
-            w.later(8.0, |w| w.jobs.get_mut("run-013").unwrap().withdraw_asked = true);
+            w.later(8.0, |w| w.jobs.get_mut("run-013").unwrap().cancel_asked = true);
         }
         w.run_until(240.0);
         for uid in ["run-003", "run-013"] {
             let j = &w.jobs[uid];
-            assert!(j.told_done || j.withdrawn_at.is_some(), "seed {seed}: {uid} is not over");
+            assert!(j.confirmed_done || j.cancelled_at.is_some(), "seed {seed}: {uid} is not over");
         }
         assert_eq!(running(&w, "run-009"), 6, "seed {seed}");
     }
@@ -76,7 +76,8 @@
             w.later(20.0 * f64::from(n), move |w| w.submit(&format!("run-7{n}1"), gang(12 + 2 * n)));
         }
         let w = random_failures(w, 6, 6, 400.0);
-        let on = w.workers.values().flat_map(|x| x.tasks.values()).filter(|t| t.state == TaskState::Gathering).count();
+        let on =
+            w.workers.values().flat_map(|x| x.tasks.values()).filter(|t| t.state == TaskState::WaitingForGang).count();
         assert_eq!(on, 0, "seed {seed}: some wait for ever");
         assert!(w.now >= s(400.0));
     }
--- a/tests/known/guests.rs
+++ b/tests/known/guests.rs
@@ -61,7 +61,7 @@
     w.run_until(15.0);
     assert!(running(&w, "run-900") > 0, "the huge job has not begun");
     w.run_until(110.0);
-    let over = |j: &&Job| j.told_done;
+    let over = |j: &&Job| j.confirmed_done;
     let (all, left) = (w.jobs.len(), w.jobs.values().filter(|j| !over(j)).count());
     assert_eq!(left, 0, "of {all}");
     assert!(w.now >= s(110.0));
@@ -86,7 +86,8 @@
             w.later(30.0 + 4.0 * f64::from(n), move |w| w.submit(&format!("run-4{n:02}2"), array(8, 6.0)));
         }
         w.run_until(90.0);
-        let late: Vec<&String> = w.jobs.iter().filter(|(u, j)| *u != "run-903" && !j.told_done).map(|j| j.0).collect();
+        let late: Vec<&String> =
+            w.jobs.iter().filter(|(u, j)| *u != "run-903" && !j.confirmed_done).map(|j| j.0).collect();
         assert!(late.is_empty(), "seed {seed}: {late:?} wait");
         let failed = |name: &str| w.workers.get(name).map_or(0, |x| x.failed);
         let others: u32 = w.workers.values().map(|x| x.failed).sum::<u32>() - failed(&sick) - before.min(failed(&sick));
@@ -94,8 +95,8 @@
         // The failing job is tried ever more rarely.
         assert!(others < before + 30, "seed {seed}: {others} failures, {before} at first");
         assert_eq!(w.jobs["run-903"].done.len(), 0);
-        w.jobs.get_mut("run-903").unwrap().withdraw_asked = true;
+        w.jobs.get_mut("run-903").unwrap().cancel_asked = true;
         w.run_until(100.0);
-        assert!(w.jobs["run-903"].withdrawn_at.is_some());
+        assert!(w.jobs["run-903"].cancelled_at.is_some());
     }
 }
--- a/tests/known/mod.rs
+++ b/tests/known/mod.rs
@@ -5,7 +5,7 @@
 mod gangs;
 mod guests;
 
-use crate::recovery::seeds;
+use crate::reconciliation::seeds;
 use crate::world::worker::{TaskState, Worker};
 use crate::world::{CANCEL_S, LEASE_S, REPORT_S, SMALL, Size, World, array, s, service};
 use crate::{done, random_failures, running};
@@ -87,13 +87,13 @@
         let to = w.rng.random_range(0..3);
         w.crash(to);
         w.run_until(66.0);
-        let hosts = w.store.count("fq/h/");
+        let machines = w.store.count("fq/h/");
         for n in 0..10 {
             let copy = old.clone();
             w.later(66.0 + n as f64, move |w| w.copy_to(to, copy));
         }
         w.run_until(80.0);
-        assert_eq!(w.store.count("fq/h/"), hosts, "seed {seed}: what was returned is back");
+        assert_eq!(w.store.count("fq/h/"), machines, "seed {seed}: what was returned is back");
     }
 }
 
@@ -109,9 +109,9 @@
         let copy = {
             let now = w.now;
             let x: &mut Worker = w.workers.get_mut(&name).unwrap();
-            x.recall_at = Some(now + s(4.0));
+            x.preempted_at = Some(now + s(4.0));
             let copy = x.report(now);
-            x.recall_at = None;
+            x.preempted_at = None;
             // The copy is the first word that the new processes have.
             x.next_report = now + s(REPORT_S);
             copy
@@ -204,7 +204,7 @@
     let mut w = fleet(8600, 3, 30);
     w.submit("run-009", service(60));
     w.run_until(20.0);
-    let zone: Vec<String> = w.workers.values().filter(|x| x.site == "a").map(|x| x.name.clone()).collect();
+    let zone: Vec<String> = w.workers.values().filter(|x| x.zone == "a").map(|x| x.name.clone()).collect();
     zone.iter().for_each(|n| w.workers.get_mut(n).unwrap().deaf = true);
     let names = zone.clone();
     w.later(20.0 + 1.5 * LEASE_S, move |w| {
--- a/tests/limits/mod.rs
+++ b/tests/limits/mod.rs
@@ -40,11 +40,11 @@
 fn a_controller_that_hears_thousands_of_machines_is_understood() {
     let mut controller = World::sized(72, SMALL).nodes[0].logic.take().unwrap();
     let mut actions = Vec::new();
-    for tally in 1..=2 {
+    for heartbeat_seq in 1..=2 {
         for n in 0..HEARD {
             let report = bytes(
                 &cbor!({"perch" => format!("machine-of-a-fleet-with-long-names-{n:05}"), "addr" => "10.1.0.232:9000",
-                    "build" => "std", "site" => "a", "loaners" => false, "shift" => 1, "tally" => tally,
+                    "build" => "std", "site" => "a", "loaners" => false, "shift" => 1, "tally" => heartbeat_seq,
                     "warrant" => 0, "recall_s" => null, "parcels" => []})
                 .unwrap(),
             );
@@ -54,13 +54,19 @@
     }
     actions.clear();
     controller.handle(s(2.0), Event::Tick, &mut actions);
-    let mut beats = 0;
+    let mut heartbeats = 0;
     for action in actions {
         let Action::Send { frame, .. } = action else { continue };
         let mut sent = peer::encode(&frame);
-        let Ok(Some(Frame::Beat(beat))) = peer::take(&mut sent) else { panic!("a frame that nobody reads") };
-        assert!(beat.heard.len() > 3_000 && beat.heard.len() < HEARD as usize, "{} machines", beat.heard.len());
-        beats += 1;
+        let Ok(Some(Frame::PeerHeartbeat(heartbeat))) = peer::take(&mut sent) else {
+            panic!("a frame that nobody reads")
+        };
+        assert!(
+            heartbeat.heard.len() > 3_000 && heartbeat.heard.len() < HEARD as usize,
+            "{} machines",
+            heartbeat.heard.len()
+        );
+        heartbeats += 1;
     }
-    assert_eq!(beats, 2, "one to each of the others");
+    assert_eq!(heartbeats, 2, "one to each of the others");
 }
--- a/tests/log/mod.rs
+++ b/tests/log/mod.rs
@@ -2,7 +2,7 @@
 //! incarnations of one writer, rings that go round. The world checks at every
 //! step that no task is in two places and that all limits hold.
 
-use crate::recovery::seeds;
+use crate::reconciliation::seeds;
 use crate::world::{SMALL, Size, World, array, s, service};
 use crate::{done, running};
 use ciborium::cbor;
@@ -25,7 +25,7 @@
         let uid = format!("run-{n:03}{}", n % 4);
         if n % 6 == 5 {
             let (gone, uid) = (w.rng.random_range(at..until_s + 10.0), uid.clone());
-            w.later(gone, move |w| w.jobs.get_mut(&uid).unwrap().withdraw_asked = true);
+            w.later(gone, move |w| w.jobs.get_mut(&uid).unwrap().cancel_asked = true);
         }
         w.later(at, move |w| w.submit(&uid, j));
     }
@@ -33,7 +33,7 @@
 
 fn all_over(w: &World) {
     for (uid, j) in &w.jobs {
-        let over = j.told_done || j.withdrawn_at.is_some() || j.standing;
+        let over = j.confirmed_done || j.cancelled_at.is_some() || j.standing;
         assert!(over, "seed {}: {uid} is not over: {j:?}", w.seed);
     }
 }
@@ -108,7 +108,7 @@
     assert!((0..3).all(|i| !w.healthy(i)));
 }
 
-/// A withdrawal, and a relet, refuse one job of a batch: the rest goes with the next.
+/// A cancellation, and a relet, refuse one job of a batch: the rest goes with the next.
 #[test]
 fn one_job_that_changed_does_not_hold_up_the_batch() {
     let mut w = fleet(62, 3, 60);
@@ -118,7 +118,7 @@
     for n in 0..30 {
         w.later(1.0 + 0.05 * f64::from(n), move |w| {
             if n % 2 == 0 {
-                w.jobs.get_mut(&format!("run-{n:02}3")).unwrap().withdraw_asked = true;
+                w.jobs.get_mut(&format!("run-{n:02}3")).unwrap().cancel_asked = true;
             }
         });
     }
--- a/tests/upkeep/mod.rs
+++ b/tests/maintenance/mod.rs
@@ -1,12 +1,12 @@
 //! Machines are emptied in waves while services run on them, with failures in between:
 //! no team misses more replicas on purpose than its budget leaves, and campaigns end.
 
-use crate::recovery::seeds;
+use crate::reconciliation::seeds;
 use crate::world::{SMALL, Size, World, array, s, service};
 use crate::{random_failures, running};
+use finchquay::maintenance::budget::Budget;
+use finchquay::maintenance::campaign::Campaign;
 use finchquay::settings::Operator;
-use finchquay::upkeep::budget::Budget;
-use finchquay::upkeep::campaign::Campaign;
 use rand::RngExt;
 
 const REPLICAS: usize = 60;
@@ -15,7 +15,7 @@
 fn operator(away: u32) -> Operator {
     let mut o = Operator::default();
     o.budget.insert("free".into(), Budget { away, share: 0.0 });
-    let campaign = Campaign { site: Some("a".into()), wave: 4, ..Campaign::default() };
+    let campaign = Campaign { zone: Some("a".into()), wave: 4, ..Campaign::default() };
     o.campaign.insert("hall-a".into(), campaign);
     o
 }
@@ -39,7 +39,7 @@
 
 /// Machines that were there at the start and belong to the zone.
 fn old(w: &World) -> usize {
-    w.workers.values().filter(|x| x.site == "a" && x.name.as_str() < "host-000020").count()
+    w.workers.values().filter(|x| x.zone == "a" && x.name.as_str() < "host-000020").count()
 }
 
 /// Plays on in small steps; whenever a replica is stopped, no more than the budget may
@@ -118,13 +118,13 @@
     w.later(60.0, |w| w.submit("run-001", array(40, 4.0)));
     watch(&mut w, 500.0, AWAY + 8);
     assert_eq!((old(&w), running(&w, "run-009")), (0, REPLICAS), "seed {seed}");
-    assert!(w.jobs["run-001"].told_done, "seed {seed}");
+    assert!(w.jobs["run-001"].confirmed_done, "seed {seed}");
 }
 
 /// The campaign is taken out of the file in the middle: machines that are half empty
 /// take work again, and none goes any more.
 #[test]
-fn a_campaign_that_is_withdrawn_leaves_no_machine_shut() {
+fn a_campaign_that_is_cancelled_leaves_no_machine_closed() {
     let mut w = fleet(8300, 1);
     let mut slow = w.operator.clone();
     slow.campaign.get_mut("hall-a").unwrap().wave = 1;
@@ -151,10 +151,10 @@
     let mut w = fleet(8600, AWAY as u32);
     watch(&mut w, 34.0, AWAY);
     let mut both = w.operator.clone();
-    both.campaign.insert("first-by-name".into(), Campaign { site: Some("b".into()), ..Campaign::default() });
+    both.campaign.insert("first-by-name".into(), Campaign { zone: Some("b".into()), ..Campaign::default() });
     assert!("first-by-name" < "hall-a");
     w.operate(both);
-    let of_b = |w: &World| w.workers.values().filter(|x| x.site == "b" && x.name.as_str() < "host-000020").count();
+    let of_b = |w: &World| w.workers.values().filter(|x| x.zone == "b" && x.name.as_str() < "host-000020").count();
     let mut b_while_a = of_b(&w);
     while old(&w) > 0 && w.now < s(400.0) {
         let t = w.now.as_secs_f64() + 1.0;
--- a/tests/meetings/answers.rs
+++ b/tests/meetings/answers.rs
@@ -1,9 +1,9 @@
 //! Answers to users: asked at all nodes within milliseconds after something was told, at
 //! the moment of a job's last end, and while answers of the state service are lost.
 
-use super::{all_over, fleet, withdraw};
+use super::{all_over, cancel, fleet};
 use crate::known::all_are_known;
-use crate::recovery::seeds;
+use crate::reconciliation::seeds;
 use crate::world::{CloseLooks, Job, World, array, service};
 use rand::RngExt;
 
@@ -20,7 +20,7 @@
 }
 
 /// Users ask all nodes for the job, repeat its submission, and some call it off, right
-/// after it was accepted, ended or withdrawn; meanwhile a node lost the store, one reads
+/// after it was accepted, ended or cancelled; meanwhile a node lost the store, one reads
 /// its state anew, and one began a moment ago.
 #[test]
 fn no_node_answers_something_older() {
@@ -28,7 +28,7 @@
     for seed in 0..seeds(4) {
         let nodes = [3, 7][seed as usize % 2];
         let mut w = fleet(9900 + seed, nodes, 12);
-        w.close_looks = Some(CloseLooks { withdraw: 0.3 });
+        w.close_looks = Some(CloseLooks { cancel: 0.3 });
         w.late_answers = Some((0.25, (0.05, 1.4)));
         w.slow_watches = Some((0.3, (0.05, 0.8)));
         w.restart_between = Some((0.01, 0.5));
@@ -57,13 +57,13 @@
 }
 
 /// One node's acceptance is under way, its answer a second late and its watch still, when
-/// another node confirms that the job is withdrawn; then the submission is repeated there.
+/// another node confirms that the job is cancelled; then the submission is repeated there.
 #[test]
 fn a_repeat_does_not_join_what_is_under_way() {
     let mut left = 0;
     for seed in 0..seeds(6) {
         let mut w = fleet(9920 + seed, 3, 12);
-        w.close_looks = Some(CloseLooks { withdraw: 0.0 });
+        w.close_looks = Some(CloseLooks { cancel: 0.0 });
         w.late_answers = Some((1.0, (0.9, 1.2)));
         w.run_until(5.0);
         for n in 0..8 {
@@ -80,7 +80,7 @@
         w.jobs.values_mut().for_each(|j| j.via = None);
         w.run_until(70.0);
         all_over(&w);
-        left += w.jobs.values().filter(|j| j.withdrawn_at.is_some()).count();
+        left += w.jobs.values().filter(|j| j.cancelled_at.is_some()).count();
     }
     assert!(left >= 30, "{left} of 48 were withdrawn");
 }
@@ -94,7 +94,7 @@
     let mut left = 0;
     for seed in 0..seeds(6) {
         let mut w = fleet(9930 + seed, [3, 7][seed as usize % 2], 12);
-        w.close_looks = Some(CloseLooks { withdraw: 0.9 });
+        w.close_looks = Some(CloseLooks { cancel: 0.9 });
         w.slow_watches = Some((0.5, (0.05, 0.5)));
         w.late_answers = Some((0.5, (0.05, 0.6)));
         work(&mut w, 60);
@@ -103,7 +103,7 @@
         w.run_until(80.0);
         all_over(&w);
         all_are_known(&mut w);
-        left += w.jobs.values().filter(|j| j.withdrawn_at.is_some()).count();
+        left += w.jobs.values().filter(|j| j.cancelled_at.is_some()).count();
     }
     assert!(left > 200, "{left} of 360 were withdrawn");
 }
@@ -116,14 +116,14 @@
     for seed in 0..seeds(4) {
         let mut w = fleet(9940 + seed, [3, 7][seed as usize % 2], 12);
         w.cancel_at_end = Some(0.8);
-        w.close_looks = Some(CloseLooks { withdraw: 0.0 });
+        w.close_looks = Some(CloseLooks { cancel: 0.0 });
         work(&mut w, 40);
         w.run_until(60.0);
         all_over(&w);
-        assert_eq!((w.unanswered, w.started_withdrawn), (0, 0), "seed {seed}");
+        assert_eq!((w.unanswered, w.started_cancelled), (0, 0), "seed {seed}");
         all_are_known(&mut w);
-        done += w.jobs.values().filter(|j| j.told_done).count();
-        left += w.jobs.values().filter(|j| j.withdrawn_at.is_some()).count();
+        done += w.jobs.values().filter(|j| j.confirmed_done).count();
+        left += w.jobs.values().filter(|j| j.cancelled_at.is_some()).count();
     }
     assert!(done > 20 && left > 20, "{done} done, {left} withdrawn");
 }
@@ -157,7 +157,7 @@
         assert!(quick * 100 >= all * 95, "seed {seed}: {quick} of {all} within 300 ms");
         assert!(running >= 18, "seed {seed}: {running} of 20 services run after 2.5 s");
         for n in 0..20 {
-            withdraw(&mut w, &format!("run-9{n:02}9"), None);
+            cancel(&mut w, &format!("run-9{n:02}9"), None);
         }
         w.run_until(60.0);
         assert_eq!(w.unanswered, 0, "seed {seed}: requests without an answer");
@@ -174,7 +174,7 @@
         let mut w = fleet(9980 + seed, [3, 7][seed as usize % 2], 12);
         w.late_writes = Some((0.5, (2.0, 12.0)));
         for (at, uid) in work(&mut w, 40) {
-            w.later(at + 3.0, move |w| withdraw(w, &uid, None));
+            w.later(at + 3.0, move |w| cancel(w, &uid, None));
         }
         w.run_until(60.0);
         w.late_writes = None;
@@ -184,11 +184,11 @@
     }
 }
 
-/// Withdrawals are answered while their controller reads its state anew, and pages it read
+/// Cancellations are answered while their controller reads its state anew, and pages it read
 /// before lack them; its watch stands still, and no other controller tells it. It answers
 /// no worker by the view that it then has: what was told is not in it.
 #[test]
-fn a_view_read_anew_speaks_for_nothing_until_it_has_what_was_told() {
+fn a_reloaded_state_answers_nothing_until_it_has_what_was_answered_before() {
     for (seed, slow) in [(9991, 0.12), (9992, 0.14)] {
         let mut w = fleet(seed, 3, 24);
         w.submit("run-999", service(48));
@@ -214,7 +214,7 @@
         w.store.mute.insert(node);
         w.nodes[node].deaf = false;
         w.run_until(22.0);
-        assert!(w.jobs.values().filter(|j| j.withdrawn_at.is_some()).count() > 10, "seed {seed}");
+        assert!(w.jobs.values().filter(|j| j.cancelled_at.is_some()).count() > 10, "seed {seed}");
         let before = w.nodes[node].served;
         w.run_until(25.5);
         let served = w.nodes[node].served - before;
@@ -223,7 +223,7 @@
         w.peers_cut.clear();
         w.jobs.values_mut().for_each(|j| j.via = None);
         w.run_until(45.0);
-        assert_eq!(w.started_withdrawn, 0, "seed {seed}");
+        assert_eq!(w.started_cancelled, 0, "seed {seed}");
         all_over(&w);
     }
 }
--- a/tests/meetings/withdrawals.rs
+++ b/tests/meetings/cancellations.rs
@@ -1,9 +1,9 @@
-//! Withdrawals that meet other troubles: a team at its limit and machines out of reach,
+//! Cancellations that meet other troubles: a team at its limit and machines out of reach,
 //! work that changes hands, a gap with machines that hang, a stream of short jobs at the
 //! limits of writes.
 
-use super::{all_over, withdraw};
-use crate::recovery::seeds;
+use super::{all_over, cancel};
+use crate::reconciliation::seeds;
 use crate::running;
 use crate::world::{CANCEL_S, CloseLooks, Job, LEASE_S, REPORT_S, SMALL, Size, World, array, gang, s, service};
 use rand::RngExt;
@@ -38,10 +38,10 @@
     }
 }
 
-/// Whoever confirms a withdrawal, all owners of machines where the job runs tell them to
+/// Whoever confirms a cancellation, all owners of machines where the job runs tell them to
 /// end it as soon as their watches show it, not with the next report.
 #[test]
-fn a_withdrawal_ends_tasks_on_the_machines_of_all_owners() {
+fn a_cancellation_ends_tasks_on_the_machines_of_all_owners() {
     let mut w = World::sized(9945, Size { machines: 18, ..SMALL });
     w.cloud.most = 18;
     w.run_until(10.0);
@@ -56,12 +56,12 @@
         w.call_off(&uid);
         let now = w.now.as_secs_f64();
         w.run_until(now + REPORT_S / 10.0);
-        assert!(w.jobs[&uid].withdrawn_at.is_some());
+        assert!(w.jobs[&uid].cancelled_at.is_some());
         assert_eq!(running(&w, &uid), 0, "{uid} runs on");
     }
 }
 
-/// The team has taken all of its limit; jobs of it are withdrawn whose machines are cut
+/// The team has taken all of its limit; jobs of it are cancelled whose machines are cut
 /// off, hang or hear nothing, and the leader ends. Their places count until they are
 /// proved gone (the world looks at the limit at every step), and then others have them.
 #[test]
@@ -86,23 +86,23 @@
             for name in machines_of(&w, uid) {
                 out_of_reach(&mut w, &name, seed % 3, for_s);
             }
-            withdraw(&mut w, uid, None);
+            cancel(&mut w, uid, None);
         }
         let leader = w.store.leader().expect("somebody leads");
         w.restart_s = if seed % 2 == 0 { 0.2 } else { 30.0 };
         w.later(21.5, move |w| w.crash(leader));
         w.run_until(20.0 + for_s.min(LEASE_S) + CANCEL_S);
-        assert!(["run-109", "run-119"].iter().all(|uid| w.jobs[*uid].withdrawn_at.is_some()), "seed {seed}");
+        assert!(["run-109", "run-119"].iter().all(|uid| w.jobs[*uid].cancelled_at.is_some()), "seed {seed}");
         assert_eq!(running(&w, "run-109") + running(&w, "run-119"), 0, "seed {seed}");
         let all = count(&w, "1") + count(&w, "2");
         assert_eq!(all, 12, "seed {seed}: the room of what was withdrawn has not come back");
     }
 }
 
-/// Every team is at its limit, with as much waiting as runs; jobs of each are withdrawn
+/// Every team is at its limit, with as much waiting as runs; jobs of each are cancelled
 /// whose machines can't be asked (cut off, hanging, deaf or mute), and leaders end before,
 /// in and after that spell. No team ever has more than its limit (the world looks at every
-/// step), and all of it again once what was withdrawn is proved gone.
+/// step), and all of it again once what was cancelled is proved gone.
 #[test]
 fn every_team_is_at_its_limit_as_leaders_change() {
     const MAX: f64 = 36.0;
@@ -138,8 +138,8 @@
             left += 1;
         }
         w.run_until(16.0 + for_s + CANCEL_S * 1.5);
-        for (uid, j) in w.jobs.iter().filter(|(_, j)| j.withdraw_asked) {
-            assert!(j.withdrawn_at.is_some() && running(&w, uid) == 0, "seed {seed}: {uid} is still there");
+        for (uid, j) in w.jobs.iter().filter(|(_, j)| j.cancel_asked) {
+            assert!(j.cancelled_at.is_some() && running(&w, uid) == 0, "seed {seed}: {uid} is still there");
         }
         assert!(full(&w), "seed {seed}: room has not come back: {:?}", w.used());
     }
@@ -168,9 +168,9 @@
 }
 
 /// Both owners live, or the first is gone, or back at once with a new incarnation, while
-/// machines are granted, shares let anew and segments on their way.
+/// machines are granted, shares reassigned and segments on their way.
 #[test]
-fn work_changes_hands_while_its_jobs_are_withdrawn() {
+fn work_changes_hands_while_its_jobs_are_cancelled() {
     let (mut told, mut segments) = (0, 0);
     for seed in 0..6 {
         let size = Size { machines: 24, write_rps: 60.0, zones: &["a", "b"], ..SMALL };
@@ -207,7 +207,7 @@
             w.later(at, |w| w.store.mute.extend(0..3));
             w.later(at + 0.4, move |w| w.store.mute.retain(|n| *n == node && seed % 3 == 0));
         }
-        w.close_looks = Some(CloseLooks { withdraw: 0.5 });
+        w.close_looks = Some(CloseLooks { cancel: 0.5 });
         w.later(32.0, |w| w.close_looks = None);
         for n in 0..40 {
             let at = w.rng.random_range(20.0..30.0);
@@ -222,15 +222,15 @@
                 if w.jobs.get(&uid).is_some_and(|j| j.accepted) {
                     w.call_off(&uid);
                 } else if w.jobs.contains_key(&uid) {
-                    withdraw(w, &uid, None);
+                    cancel(w, &uid, None);
                 }
             });
         }
         nothing_starts_late(&mut w, 36.0);
         segments += w.store.changes("fq/l/", ledger);
         w.run_until(35.0 + CANCEL_S);
-        for (uid, j) in w.jobs.iter().filter(|(_, j)| j.withdraw_asked) {
-            assert!(j.withdrawn_at.is_some(), "seed {seed}: {uid} waits");
+        for (uid, j) in w.jobs.iter().filter(|(_, j)| j.cancel_asked) {
+            assert!(j.cancelled_at.is_some(), "seed {seed}: {uid} waits");
             assert_eq!(machines_of(&w, uid).len(), 0, "seed {seed}: {uid} is still there");
             told += 1;
         }
@@ -247,10 +247,10 @@
     let mut seen: BTreeSet<(String, u64)> = BTreeSet::new();
     while w.now.as_secs_f64() < until {
         for x in w.workers.values() {
-            for ((parcel, attempt), t) in &x.tasks {
-                let new = seen.insert((parcel.clone(), *attempt));
-                let told = w.jobs[&t.job].withdrawn_at.is_some_and(|at| w.now > at + s(TOLD_S));
-                assert!(!new || !told, "seed {}: {parcel} starts long after its withdrawal", w.seed);
+            for ((task, attempt), t) in &x.tasks {
+                let new = seen.insert((task.clone(), *attempt));
+                let told = w.jobs[&t.job].cancelled_at.is_some_and(|at| w.now > at + s(TOLD_S));
+                assert!(!new || !told, "seed {}: {task} starts long after its withdrawal", w.seed);
             }
         }
         w.run_until(w.now.as_secs_f64() + 0.1);
@@ -259,16 +259,16 @@
 
 /// What nobody withdrew runs, all of it.
 fn all_over_but_long(w: &World) {
-    for (uid, j) in w.jobs.iter().filter(|(_, j)| !j.withdraw_asked) {
+    for (uid, j) in w.jobs.iter().filter(|(_, j)| !j.cancel_asked) {
         assert_eq!(running(w, uid), j.tasks as usize, "seed {}: {uid} does not run", w.seed);
     }
 }
 
-/// The store refuses the leader alone at the moment of the withdrawals, and a second later
+/// The store refuses the leader alone at the moment of the cancellations, and a second later
 /// everybody, for longer than `cancel_s`; machines hang when they are told to kill, and go
 /// on within their lease or after it.
 #[test]
-fn the_gap_begins_with_the_withdrawals_and_machines_hang() {
+fn the_gap_begins_with_the_cancellations_and_machines_hang() {
     let mut told = 0;
     for seed in 0..8 {
         let mut w = World::sized(9970 + seed, Size { machines: 8, ..SMALL });
@@ -296,7 +296,7 @@
         }
         w.later(21.0, |w| w.store.set_down(w.now, true));
         w.run_until(21.0);
-        told += leave.iter().filter(|uid| w.jobs[**uid].withdrawn_at.is_some()).count();
+        told += leave.iter().filter(|uid| w.jobs[**uid].cancelled_at.is_some()).count();
         w.run_until(21.0 + CANCEL_S * 1.4);
         let lapsed: u32 = w.workers.values().filter(|x| !hang.contains(&x.name)).map(|x| x.lapsed).sum();
         assert_eq!(lapsed, 0, "seed {seed}: what was not withdrawn ended with its lease");
@@ -305,16 +305,16 @@
         w.nodes[leader].refused = false;
         w.run_until(21.0 + CANCEL_S * 1.4 + 30.0);
         for uid in leave {
-            let over = w.jobs[uid].withdrawn_at.is_some() && running(&w, uid) == 0;
+            let over = w.jobs[uid].cancelled_at.is_some() && running(&w, uid) == 0;
             assert!(over, "seed {seed}: {uid} is still there");
         }
         assert_eq!(running(&w, "run-509"), 8, "seed {seed}");
-        assert_eq!(w.started_withdrawn, 0, "seed {seed}: starts after a confirmed withdrawal");
+        assert_eq!(w.started_cancelled, 0, "seed {seed}: starts after a confirmed withdrawal");
     }
     assert!(told >= 24, "{told} of 32 withdrawals were confirmed before the outage");
 }
 
-/// Four a second, a quarter withdrawn at once, with so few writes that users are put off:
+/// Four a second, a quarter cancelled at once, with so few writes that users are put off:
 /// what was accepted begins within seconds, and the records are those of what is under way.
 #[test]
 fn a_stream_of_one_task_jobs_at_the_limits_of_writes() {
@@ -330,7 +330,7 @@
         w.later(at, move |w| w.submit(&name, array(1, 2.0)));
         if n % 4 == 0 {
             let after = w.rng.random_range(0.3..3.0);
-            w.later(at + after, move |w| withdraw(w, &uid, None));
+            w.later(at + after, move |w| cancel(w, &uid, None));
         }
     }
     let mut waits: std::collections::BTreeMap<String, f64> = Default::default();
@@ -340,7 +340,7 @@
         w.run_until(now);
         for (uid, j) in w.jobs.iter().filter(|(_, j)| j.accepted) {
             let begun = !j.done.is_empty() || running(&w, uid) > 0;
-            if begun || j.withdraw_asked {
+            if begun || j.cancel_asked {
                 waits.remove(uid);
             } else {
                 let since = *waits.entry(uid.clone()).or_insert(now);
@@ -354,6 +354,6 @@
     w.calm_from(from_s + for_s);
     w.run_until(from_s + for_s + 90.0);
     all_over(&w);
-    assert_eq!(w.started_withdrawn, 0, "starts after a confirmed withdrawal");
+    assert_eq!(w.started_cancelled, 0, "starts after a confirmed withdrawal");
     assert_eq!(w.store.count("fq/t/"), 0, "records of jobs that are over are left");
 }
--- a/tests/meetings/room.rs
+++ b/tests/meetings/capacity.rs
@@ -2,9 +2,9 @@
 //! waits for 90 s while a machine that fits has room and its team is under its limit (the
 //! world checks that from `calm_from` on).
 
-use super::{all_over, fleet, withdraw};
+use super::{all_over, cancel, fleet};
 use crate::known::all_are_known;
-use crate::recovery::seeds;
+use crate::reconciliation::seeds;
 use crate::running;
 use crate::world::{Job, World, array, gang, service};
 use rand::RngExt;
@@ -17,7 +17,7 @@
 /// come to several times the room, over links that take up to half a second, with ends of
 /// leaders beside.
 #[test]
-fn more_work_than_room_over_slow_links() {
+fn more_work_than_capacity_over_slow_links() {
     for seed in 0..seeds(2) {
         let mut w = fleet(9900 + seed, [7, 3][seed as usize % 2], 12);
         w.slow_links = Some((0.02, [0.1, 0.5][seed as usize % 2]));
@@ -36,7 +36,7 @@
             let (a, b) = (uid.clone(), uid);
             w.later(at, move |w| w.submit(&a, job));
             if n % 10 == 0 {
-                w.later(at + 25.0, move |w| withdraw(w, &b, None));
+                w.later(at + 25.0, move |w| cancel(w, &b, None));
             }
         }
         for at in [30.0, 50.0] {
@@ -53,7 +53,7 @@
 /// All machines of one controller end while it holds shares of what waits, and it stays
 /// without any for as long as no cloud gives it more: others have room for its share.
 #[test]
-fn shares_leave_a_controller_without_room() {
+fn task_ranges_leave_a_controller_without_capacity() {
     for seed in 0..seeds(4) {
         let mut w = fleet(9920 + seed, 3, 18);
         w.cloud.most = 18;
@@ -92,7 +92,7 @@
         }
         w.later(20.0, |w| w.crash_leader());
         for n in 0..2 {
-            w.later(20.0 + 0.3 * f64::from(n), move |w| withdraw(w, &format!("run-3{n}9"), None));
+            w.later(20.0 + 0.3 * f64::from(n), move |w| cancel(w, &format!("run-3{n}9"), None));
         }
         w.calm_from(22.0);
         w.run_until(200.0);
--- a/tests/meetings/copies.rs
+++ b/tests/meetings/copies.rs
@@ -1,9 +1,9 @@
 //! Reports that meet a new leader: copies kept for it, from earlier sessions, attempts and
 //! lives of a machine, and the worker's own calls that were held back until it had acted.
 
-use super::{all_over, fleet, withdraw};
+use super::{all_over, cancel, fleet};
 use crate::known::all_are_known;
-use crate::recovery::seeds;
+use crate::reconciliation::seeds;
 use crate::running;
 use crate::world::worker::Worker;
 use crate::world::{CANCEL_S, Job, LEASE_S, REPORT_S, World, array, gang, service};
@@ -59,7 +59,7 @@
 }
 
 /// Work of all kinds, whose attempts are ordered again (machines on which all fails for a
-/// while, gangs that give up waiting), and some of which is withdrawn. Beside it a team at
+/// while, gangs that give up waiting), and some of which is cancelled. Beside it a team at
 /// its limit: the job that fills it is called off in each round, a second before the leader
 /// ends and with its machines out of reach, and the next one waits for it.
 fn work(w: &mut World, jobs: usize) {
@@ -76,7 +76,7 @@
         w.later(at, move |w| w.submit(&a, job));
         if n % 3 == 0 || n % 5 == 0 {
             let leave = w.rng.random_range(at..ends_at(ROUNDS));
-            w.later(leave, move |w| withdraw(w, &b, None));
+            w.later(leave, move |w| cancel(w, &b, None));
         }
     }
     for n in 0..ROUNDS {
@@ -91,7 +91,7 @@
                 w.later(at + 4.0, move |w| w.cut_worker(&name, false));
             }
         });
-        w.later(at - 1.0, move |w| withdraw(w, &format!("run-6{n}9"), None));
+        w.later(at - 1.0, move |w| cancel(w, &format!("run-6{n}9"), None));
     }
 }
 
--- a/tests/meetings/drawn.rs
+++ b/tests/meetings/drawn.rs
@@ -1,10 +1,10 @@
-//! Two and three of all troubles, drawn, overlapping, with withdrawals and questions at
+//! Two and three of all troubles, drawn, overlapping, with cancellations and questions at
 //! every step, at some hundred machines and seven controllers; then calm. The least lines
 //! of a failing seed are kept as a test of their own beside this one.
 
-use super::{all_over, fleet, withdraw};
+use super::{all_over, cancel, fleet};
 use crate::known::all_are_known;
-use crate::recovery::seeds;
+use crate::reconciliation::seeds;
 use crate::world::{CANCEL_S, CloseLooks, Job, LEASE_S, World, array, gang, service};
 use rand::RngExt;
 
@@ -50,8 +50,8 @@
             w.later(end, move |w| w.store.mute.retain(|n| *n != node));
         }
         6 => {
-            w.later(at, |w| w.late_beats = Some((0.3, (0.5, 20.0))));
-            w.later(end, |w| w.late_beats = None);
+            w.later(at, |w| w.late_heartbeats = Some((0.3, (0.5, 20.0))));
+            w.later(end, |w| w.late_heartbeats = None);
         }
         7 => {
             w.later(at, |w| w.late_pushes = Some((0.3, (1.0, LEASE_S))));
@@ -95,7 +95,7 @@
             w.later(end + 20.0, |w| w.copies_for_next = None);
         }
         16 => {
-            w.later(at, |w| w.close_looks = Some(CloseLooks { withdraw: 0.2 }));
+            w.later(at, |w| w.close_looks = Some(CloseLooks { cancel: 0.2 }));
             w.later(end, |w| w.close_looks = None);
         }
         17 => {
@@ -108,7 +108,7 @@
         }
         19 => w.later(at, |w| {
             // Dozens of running jobs within a fifth of a second.
-            let runs = |j: &&Job| j.accepted && !j.told_done && !j.withdraw_asked;
+            let runs = |j: &&Job| j.accepted && !j.confirmed_done && !j.cancel_asked;
             let uids: Vec<String> =
                 w.jobs.iter().filter(|(_, j)| runs(j)).map(|(uid, _)| uid.clone()).take(40).collect();
             for uid in uids {
@@ -161,7 +161,7 @@
         w.later(at, move |w| w.submit(&a, job));
         if n % 5 == 2 || n % 3 == 0 {
             let leave = w.rng.random_range(at..110.0);
-            w.later(leave, move |w| withdraw(w, &b, None));
+            w.later(leave, move |w| cancel(w, &b, None));
         }
     }
     for _ in 0..2 {
--- a/tests/meetings/gap.rs
+++ b/tests/meetings/gap.rs
@@ -1,6 +1,6 @@
 //! The gap: the state service refuses the leader alone, another controller confirms
-//! withdrawals, then the state service is down for all for longer than `cancel_s`, while
-//! workers report to the old leader. The withdrawn tasks must be gone within `cancel_s` of
+//! cancellations, then the state service is down for all for longer than `cancel_s`, while
+//! workers report to the old leader. The cancelled tasks must be gone within `cancel_s` of
 //! the confirmation; nothing else need stop.
 
 use crate::running;
@@ -14,7 +14,7 @@
     refused_s: f64,
     /// The watch of all others stands still from then on, while writes are answered.
     mute: bool,
-    /// Users withdraw at that time, by this controller after the leader.
+    /// Users cancel at that time, by this controller after the leader.
     asks_s: f64,
     by: usize,
     /// The outage's begin and length.
@@ -23,7 +23,7 @@
 
 const GAP: Gap = Gap { size: SMALL, refused_s: 10.0, mute: true, asks_s: 21.0, by: 1, down: (25.0, CANCEL_S * 1.5) };
 
-/// Jobs that are withdrawn: of one task and of many, an array, a gang and a service.
+/// Jobs that are cancelled: of one task and of many, an array, a gang and a service.
 const LEAVE: [&str; 4] = ["run-109", "run-209", "run-309", "run-409"];
 
 /// The world at the end, and how many tasks were ended by leases in the outage.
@@ -46,7 +46,7 @@
     w.later(gap.asks_s, move |w| {
         for uid in LEAVE {
             let j = w.jobs.get_mut(uid).unwrap();
-            (j.withdraw_asked, j.via) = (true, Some(by));
+            (j.cancel_asked, j.via) = (true, Some(by));
         }
     });
     let (from, length) = gap.down;
@@ -62,22 +62,22 @@
     w.run_until(from + length + 30.0);
     for uid in LEAVE {
         let j = &w.jobs[uid];
-        assert!(j.withdrawn_at.is_some() && running(&w, uid) == 0, "seed {seed}: {uid} is still there");
+        assert!(j.cancelled_at.is_some() && running(&w, uid) == 0, "seed {seed}: {uid} is still there");
     }
     assert_eq!(running(&w, "run-509"), gap.size.machines as usize, "seed {seed}");
     (w, lapsed)
 }
 
-/// The canceller knew of the withdrawal by the answer to its write; its watch stood still
+/// The canceller knew of the cancellation by the answer to its write; its watch stood still
 /// from then on, and its word told the old leader that nothing had changed, for as long as
 /// the outage took.
 #[test]
-fn withdrawn_tasks_end_in_time_and_nothing_else_does() {
+fn cancelled_tasks_end_in_time_and_nothing_else_does() {
     for seed in 0..4 {
         let by = 1 + seed as usize % 2;
         let (w, lapsed) = play(4000 + seed, Gap { by, ..GAP }, |_, _, _| {});
         assert!(
-            LEAVE.iter().all(|uid| w.jobs[*uid].withdrawn_at.is_some_and(|t| t < s(25.0))),
+            LEAVE.iter().all(|uid| w.jobs[*uid].cancelled_at.is_some_and(|t| t < s(25.0))),
             "seed {seed}: told too late"
         );
         assert_eq!(lapsed, 0, "seed {seed}: what was not withdrawn ended with its lease");
@@ -135,7 +135,7 @@
                     w.peers_cut.extend(others.into_iter().map(|o| (by, o)));
                     w.later(at + 60.0, |w| w.peers_cut.clear());
                 }),
-                3 => w.late_beats = Some((0.5, (0.5, 25.0))),
+                3 => w.late_heartbeats = Some((0.5, (0.5, 25.0))),
                 4 => w.later(at, |w| {
                     for x in w.workers.values_mut().take(2) {
                         x.deaf = true;
@@ -153,14 +153,14 @@
 
 /// The store answers slowly before it refuses the leader alone and then everybody, and
 /// users ask all nodes for their jobs all the while: nobody is told less than before, and
-/// the withdrawn tasks end in time.
+/// the cancelled tasks end in time.
 #[test]
 fn a_slow_store_and_users_who_ask() {
     for seed in 0..4 {
         let gap = Gap { by: 1 + seed as usize % 2, mute: seed % 2 == 0, down: (26.0, CANCEL_S * 1.5), ..GAP };
         let (w, _) = play(4500 + seed, gap, |w, _, _| {
             w.slow_writes = 0.3 + 0.3 * seed as f64;
-            w.close_looks = Some(CloseLooks { withdraw: 0.0 });
+            w.close_looks = Some(CloseLooks { cancel: 0.0 });
             for n in 0..60 {
                 w.later(20.5 + f64::from(n), move |w| LEAVE.iter().for_each(|uid| w.look_at(uid)));
             }
@@ -171,7 +171,7 @@
 
 /// One controller started a task, another, whose watch had not come to that, withdrew the
 /// job and ended its record, as if nothing of it were left: the task no longer counted for
-/// its team, and nobody was told of the withdrawal any more.
+/// its team, and nobody was told of the cancellation any more.
 #[test]
 fn a_job_is_not_over_while_its_starts_are_on_their_way() {
     let (mut started, mut closed) = (0, 0);
@@ -188,10 +188,10 @@
         started += (0..4).map(|n| running(&w, &format!("run-{n}09"))).sum::<usize>();
         let others: Vec<usize> = (0..3).filter(|i| *i != by).collect();
         others.iter().for_each(|i| w.nodes[*i].refused = true);
-        w.jobs.values_mut().for_each(|j| j.withdraw_asked = true);
+        w.jobs.values_mut().for_each(|j| j.cancel_asked = true);
         w.later(17.0, |w| w.store.set_down(w.now, true));
         w.run_until(17.0);
-        closed += w.jobs.values().filter(|j| j.withdrawn_at.is_some()).count();
+        closed += w.jobs.values().filter(|j| j.cancelled_at.is_some()).count();
         w.later(17.0 + CANCEL_S * 1.5, |w| {
             w.store.mute.clear();
             w.store.set_down(w.now, false);
--- a/tests/meetings/late.rs
+++ b/tests/meetings/late.rs
@@ -1,14 +1,14 @@
 //! What is carried out late: transactions without an answer, after newer ones of the
 //! same controller; direct commands that were held up; reports of long ago.
 
-use super::{all_over, fleet, withdraw};
+use super::{all_over, cancel, fleet};
 use crate::known::all_are_known;
-use crate::recovery::seeds;
+use crate::reconciliation::seeds;
 use crate::running;
 use crate::world::{LEASE_S, REPORT_S, World, array, gang, service};
 use rand::RngExt;
 
-/// Work of all kinds over a minute, some of it withdrawn, and blocks that move: machines
+/// Work of all kinds over a minute, some of it cancelled, and blocks that move: machines
 /// come and go with it.
 fn work(w: &mut World, jobs: usize) {
     for n in 0..jobs {
@@ -23,7 +23,7 @@
         w.later(at, move |w| w.submit(&a, job));
         if n % 4 == 0 || n % 5 == 0 {
             let leave = w.rng.random_range(at..90.0);
-            w.later(leave, move |w| withdraw(w, &b, None));
+            w.later(leave, move |w| cancel(w, &b, None));
         }
     }
 }
@@ -93,7 +93,7 @@
 }
 
 /// Whoever leads fills the fleet, and each direct command of it is on its way when it ends
-/// or is deposed; the next leader has its machines, kills there what was withdrawn or gives
+/// or is deposed; the next leader has its machines, kills there what was cancelled or gives
 /// way to urgent work, starts that in its place, and then the commands arrive. They start
 /// nothing that runs elsewhere or has no room any more.
 #[test]
@@ -117,7 +117,7 @@
                 w.later(begins, move |w| w.submit(&name, job));
                 // Some leave before anybody started them, some after, and all for the next round.
                 let leaves = if n % 3 == 0 { begins + w.rng.random_range(0.1..6.0) } else { at + 15.0 };
-                w.later(leaves, move |w| withdraw(w, &uid, None));
+                w.later(leaves, move |w| cancel(w, &uid, None));
             }
             w.later(at + 0.8, move |w| {
                 w.late_pushes = None;
@@ -141,7 +141,7 @@
 }
 
 /// Half of all reports come again, up to three leases later, while blocks move, machines
-/// are back at once with their counters begun anew, and jobs are withdrawn.
+/// are back at once with their counters begun anew, and jobs are cancelled.
 ///
 /// Seed 15: a copy from before a machine's end was above all that its present life had
 /// said; it counted as proof that our answer to that had not come, the lease as over, and
