--- a/src/controller/agents.rs
+++ b/src/controller/agents.rs
@@ -14,6 +14,25 @@
 use crate::state::records::Placement;
 use crate::state::{Job, PlacedTasks};
 
+/// The agents on the machines of this controller's shard, and what is known of others.
+#[derive(Debug, Default)]
+pub(super) struct Agents {
+    /// Heartbeats that wait for a grant to be made or seen.
+    pub(super) held: Vec<HeldHeartbeat>,
+    /// Machines that this controller owns.
+    pub(super) machines: BTreeMap<String, Machine>,
+    /// The state of the replica's machine records that `machines` follows.
+    pub(super) adopted: Option<u64>,
+    /// The newest heartbeat of each machine.
+    pub(super) hearing: Hearing,
+    /// Images on machines of other shards.
+    pub(super) images: HashMap<String, Images>,
+    /// Silent machines that answered a call of ours, and when.
+    pub(super) probed: BTreeMap<String, Instant>,
+    /// When machines are next checked for silence.
+    pub(super) check_next: Instant,
+}
+
 /// A worker waits this long for an answer, then a little to try the next node.
 pub(super) const WORKER_MOVES_S: f64 = 4.0 + 1.0 + 0.5;
 /// Reports come at an interval, give or take a quarter: whoever was heard within
@@ -28,12 +47,12 @@
 impl Controller {
     /// A worker's call.
     pub(super) fn report(&mut self, conn: ConnId, report: Heartbeat) {
-        if self.machines.get(&report.machine).is_some_and(|m| m.belies(report.fencing_token)) {
+        if self.agents.machines.get(&report.machine).is_some_and(|m| m.belies(report.fencing_token)) {
             // A copy from before its end, or it ended since.
             self.call_back(&report);
             return self.refuse(conn, 503, "an older report");
         }
-        let news = self.hearing.report(&report.machine, (report.agent_epoch, report.heartbeat_seq), self.now);
+        let news = self.agents.hearing.report(&report.machine, (report.agent_epoch, report.heartbeat_seq), self.now);
         self.take_report(conn, report, news, None);
     }
 
@@ -46,25 +65,25 @@
             return self.refuse(conn, 503, "not in touch with the state service");
         }
         let leader = self.leader_name();
-        let Some(host) = self.view.machines.get(&report.machine) else {
+        let Some(host) = self.state.machines.get(&report.machine) else {
             self.enrol(&report);
             return self.hold(conn, report, news, until);
         };
         if !self.owns(host) {
-            if self.view.owned(&host.rec) {
+            if self.state.owned(&host.rec) {
                 let owner = host.rec.owner.clone();
                 if news == News::New {
                     self.note_stray(&report.machine);
                 }
                 return self.redirect(conn, Some(&owner));
             }
-            if leader.as_deref() == Some(self.me.as_str()) {
+            if leader.as_deref() == Some(self.process.member.as_str()) {
                 return self.hold(conn, report, news, until);
             }
             return self.redirect(conn, leader.as_deref());
         }
         // Our view must hold all that earlier owners stored about the machine.
-        if self.view.revision < host.rec.granted {
+        if self.state.revision < host.rec.granted {
             return self.hold(conn, report, news, until);
         }
         if news == News::Old {
@@ -75,7 +94,7 @@
         self.adopt();
         let name = report.machine.clone();
         let (now, [lease, cancel]) = (self.now, self.lapse_s());
-        let Some(m) = self.machines.get_mut(&name) else {
+        let Some(m) = self.agents.machines.get_mut(&name) else {
             return self.refuse(conn, 503, "not granted yet");
         };
         let new_session = m.at.0 > 0 && report.agent_epoch > m.at.0;
@@ -86,13 +105,13 @@
             return self.refuse(conn, 503, "the worker listens to somebody else");
         }
         m.note_reply(news == News::New, now);
-        let heartbeat_interval_s = self.set.settings.workers.heartbeat_interval_s;
+        let heartbeat_interval_s = self.config.settings.workers.heartbeat_interval_s;
         let silent = m.heard_at.map(|t| now.saturating_sub(t).as_secs_f64() / heartbeat_interval_s);
-        self.dirty |= silent.is_none_or(|reports| reports > 1.0) || m.answered_at.is_none();
+        self.scheduler.dirty |= silent.is_none_or(|reports| reports > 1.0) || m.answered_at.is_none();
         if news == News::New || m.sure {
             m.heard_at = Some(now);
             m.unlisted = false;
-            self.hearing.proved(&name, m.at, now);
+            self.agents.hearing.proved(&name, m.at, now);
         }
         m.note_pace(silent.is_some_and(|reports| reports > HEARD_REPORTS), new_session);
         if m.lapsed(now, lease, cancel) {
@@ -101,30 +120,31 @@
             self.give_places_up(&name);
         }
         self.look(&name);
-        if self.machines.get(&name).is_some_and(|m| m.waits_out(now, lease, cancel)) && self.holds_places(&name) {
+        if self.agents.machines.get(&name).is_some_and(|m| m.waits_out(now, lease, cancel)) && self.holds_places(&name)
+        {
             return self.refuse(conn, 503, "hears nothing");
         }
         let (wanted, kept) = self.wanted(&name);
         self.count_differences(&name, &wanted, &kept);
-        let Some(m) = self.machines.get(&name) else { return };
+        let Some(m) = self.agents.machines.get(&name) else { return };
         let commands = self.in_time(m.commands(&wanted, &kept));
-        let Some(m) = self.machines.get_mut(&name) else { return };
+        let Some(m) = self.agents.machines.get_mut(&name) else { return };
         let body = encode(&HeartbeatResponse { fencing_token: m.answer(now), commands: commands.into() });
         self.respond(conn, 200, body);
     }
 
     pub(super) fn leader_name(&self) -> Option<String> {
-        let leader = self.view.leader.as_ref()?;
-        self.view.is_live(&leader.rec.member, leader.rec.incarnation).then(|| leader.rec.member.clone())
+        let leader = self.state.leader.as_ref()?;
+        self.state.is_live(&leader.rec.member, leader.rec.incarnation).then(|| leader.rec.member.clone())
     }
 
     fn hold(&mut self, conn: ConnId, report: Heartbeat, news: News, until: Option<Instant>) {
         let until = until.unwrap_or(self.now + self.heartbeat_intervals(0.75));
-        self.held.push(HeldHeartbeat { conn, report, news, until });
+        self.agents.held.push(HeldHeartbeat { conn, report, news, until });
     }
 
     pub(super) fn retry_held(&mut self) {
-        for h in std::mem::take(&mut self.held) {
+        for h in std::mem::take(&mut self.agents.held) {
             if h.until <= self.now {
                 self.refuse(h.conn, 503, "no owner yet");
             } else {
@@ -134,41 +154,41 @@
     }
 
     fn redirect(&mut self, conn: ConnId, to: Option<&str>) {
-        let controller = to.filter(|t| *t != self.me);
+        let controller = to.filter(|t| *t != self.process.member);
         self.respond(conn, 421, encode(&Redirect { controller: controller.map(Into::into) }));
     }
 
     /// Brings the machines in memory in line with the grants in the view.
     pub(super) fn adopt(&mut self) {
-        if self.adopted == Some(self.view.machines_changed) {
+        if self.agents.adopted == Some(self.state.machines_changed) {
             return;
         }
-        self.adopted = Some(self.view.machines_changed);
+        self.agents.adopted = Some(self.state.machines_changed);
         let mut lost = Vec::new();
-        for name in self.machines.keys() {
-            if !self.view.machines.get(name).is_some_and(|h| self.owns(h)) {
+        for name in self.agents.machines.keys() {
+            if !self.state.machines.get(name).is_some_and(|h| self.owns(h)) {
                 lost.push(name.clone());
             }
         }
         for name in lost {
             tracing::debug!(machine = %name, "machine left the block");
-            if let Some(m) = self.machines.remove(&name) {
-                self.images.insert(name, m.images);
+            if let Some(m) = self.agents.machines.remove(&name) {
+                self.agents.images.insert(name, m.images);
             }
         }
         let now = self.now;
-        for (name, h) in &self.view.machines {
-            if h.rec.owner != self.me || h.rec.incarnation != self.incarnation {
+        for (name, h) in &self.state.machines {
+            if h.rec.owner != self.process.member || h.rec.incarnation != self.process.incarnation {
                 continue;
             }
-            match self.machines.get_mut(name) {
+            match self.agents.machines.get_mut(name) {
                 // The same grant with another mark on it keeps its counter.
                 Some(m) if m.is_under(h.rec.term, h.rec.epoch) => m.grant = h.version,
                 _ => {
                     let mut m = Machine::new(h.version, h.rec.term, h.rec.epoch, now);
-                    let placed = self.view.loads.get(name).map(|l| &l.images);
-                    m.images = self.images.remove(name).or(placed.cloned()).unwrap_or_default();
-                    self.machines.insert(name.clone(), m);
+                    let placed = self.state.loads.get(name).map(|l| &l.images);
+                    m.images = self.agents.images.remove(name).or(placed.cloned()).unwrap_or_default();
+                    self.agents.machines.insert(name.clone(), m);
                 }
             }
         }
@@ -176,20 +196,20 @@
 
     /// What shall run on the machine, and all that is placed there.
     fn wanted(&self, name: &str) -> (PlacedTasks, PlacedTasks) {
-        let mut kept = self.view.placed.get(name).cloned().unwrap_or_default();
-        let live = |job: &str| self.view.jobs.get(job).is_some_and(|j| !j.cancelled() && !self.taken_back(j));
+        let mut kept = self.state.placed.get(name).cloned().unwrap_or_default();
+        let live = |job: &str| self.state.jobs.get(job).is_some_and(|j| !j.cancelled() && !self.taken_back(j));
         let mut wanted = kept.clone();
-        let m = self.machines.get(name);
+        let m = self.agents.machines.get(name);
         wanted.retain(|(job, index), attempt| {
             let key = (job.clone(), *index, *attempt);
             live(job) && m.is_none_or(|m| !m.preempted.contains_key(&key) && !m.gone.contains(&key))
         });
         // A result that came while nobody listened counts wherever it is shown,
         // and the worker keeps it until it is stored.
-        let size = self.view.chunk_size;
+        let size = self.state.chunk_size;
         for s in m.iter().flat_map(|m| &m.tasks).filter(|s| s.cause == Some(Cause::Done)) {
             let lacks = |j: &Job| !j.cancelled() && !j.is_done(s.task.index, size) && s.task.index < j.spec.task_count;
-            if s.state == TaskState::Exited && self.view.jobs.get(&s.task.job).is_some_and(lacks) {
+            if s.state == TaskState::Exited && self.state.jobs.get(&s.task.job).is_some_and(lacks) {
                 kept.entry((s.task.job.clone(), s.task.index)).or_insert(s.attempt);
             }
         }
@@ -199,7 +219,7 @@
     /// Of the orders for a machine those that may go now: nothing of a wide gang is
     /// started before the last of its places is stored.
     fn in_time(&self, mut commands: Vec<Command>) -> Vec<Command> {
-        let parts = |job: &str| self.view.jobs.get(job).is_some_and(|j| self.in_parts(j));
+        let parts = |job: &str| self.state.jobs.get(job).is_some_and(|j| self.in_parts(j));
         commands.retain(|o| match o {
             Command::Run { task, .. } => TaskId::parse(task).is_none_or(|t| !parts(&t.job)),
             Command::Kill { .. } | Command::Forget { .. } => true,
@@ -210,16 +230,16 @@
     /// Works out what the newest report says of the tasks placed there.
     fn look(&mut self, name: &str) {
         let now = self.now;
-        let size = self.view.chunk_size;
+        let size = self.state.chunk_size;
         let (wanted, kept) = self.wanted(name);
-        let Some(m) = self.machines.get_mut(name) else { return };
+        let Some(m) = self.agents.machines.get_mut(name) else { return };
         let mut failed = false;
         // A machine that has just taken our token can take tasks now.
         let mut freed = m.fencing_token == m.token() && !std::mem::replace(&mut m.ready, true);
         for s in &m.tasks {
             let (job, index) = (&s.task.job, s.task.index);
             let key = (job.clone(), index);
-            let Some(j) = self.view.jobs.get(job) else { continue };
+            let Some(j) = self.state.jobs.get(job) else { continue };
             if s.state == TaskState::Running {
                 m.since.entry((job.clone(), index, s.attempt)).or_insert(now);
             }
@@ -241,7 +261,7 @@
                         // be lost with their machines.
                         let all = j.spec.kind == JobKind::Gang;
                         let (from, to) = if all { (0, j.spec.task_count) } else { (index, index + 1) };
-                        let change = self.changes.entry(job.clone()).or_insert_with(|| Change::new(now));
+                        let change = self.journal.exits.entry(job.clone()).or_insert_with(|| Change::new(now));
                         for i in from..to {
                             freed |= change.done.insert(i);
                         }
@@ -256,32 +276,33 @@
             if !gone {
                 continue;
             }
-            let change = self.changes.entry(job.clone()).or_insert_with(|| Change::new(now));
+            let change = self.journal.exits.entry(job.clone()).or_insert_with(|| Change::new(now));
             if change.clear.insert((index, s.attempt)) {
                 freed = true;
                 m.gone.insert((job.clone(), index, s.attempt));
                 if s.cause == Some(Cause::Error) {
                     m.failures.note(job);
                     failed = true;
-                    let p = self.patience.entry(job.clone()).or_default();
+                    let p = self.scheduler.queue.entry(job.clone()).or_default();
                     p.failures += 1;
                     p.tried.failed_on(name);
                     let pause = (p.failures / 4).min(6);
                     p.not_before = now
-                        + Duration::from_secs_f64(self.set.settings.workers.heartbeat_interval_s) * ((1 << pause) - 1);
+                        + Duration::from_secs_f64(self.config.settings.workers.heartbeat_interval_s)
+                            * ((1 << pause) - 1);
                 }
                 tracing::debug!(machine = %name, task = %s.task, cause = ?s.cause, "task ended without a result");
             }
         }
         let there = |k: &(String, u32, u64)| kept.get(&(k.0.clone(), k.1)) == Some(&k.2);
         m.since.retain(|k, _| there(k));
-        m.preempted.retain(|k, _| there(k) && self.view.jobs.get(&k.0).is_some_and(|j| !j.cancelled()));
+        m.preempted.retain(|k, _| there(k) && self.state.jobs.get(&k.0).is_some_and(|j| !j.cancelled()));
         m.gone.retain(there);
         if m.confirmed() {
             for ((job, index), attempt) in &kept {
                 let unwanted = !wanted.contains_key(&(job.clone(), *index));
                 if unwanted && m.find(job, *index, *attempt).is_none() {
-                    let change = self.changes.entry(job.clone()).or_insert_with(|| Change::new(now));
+                    let change = self.journal.exits.entry(job.clone()).or_insert_with(|| Change::new(now));
                     change.clear.insert((*index, *attempt));
                     m.gone.insert((job.clone(), *index, *attempt));
                     freed = true;
@@ -289,9 +310,9 @@
             }
         }
         if failed {
-            let done = |job: &str| self.view.jobs.get(job).map_or(0, |j| j.done);
-            let bad = |job: &str| self.patience.get(job).is_some_and(|p| p.fails_everywhere(done(job)));
-            let w = &self.set.settings.workers;
+            let done = |job: &str| self.state.jobs.get(job).map_or(0, |j| j.done);
+            let bad = |job: &str| self.scheduler.queue.get(job).is_some_and(|p| p.fails_everywhere(done(job)));
+            let w = &self.config.settings.workers;
             match m.failures.verdict(bad, |job| done(job) > 0) {
                 Verdict::Well => {}
                 // So long that the job is tried elsewhere.
@@ -303,7 +324,7 @@
                 }
             }
         }
-        self.dirty |= freed;
+        self.scheduler.dirty |= freed;
     }
 
     /// Sends starts and kills straight to the worker, where that is safe.
@@ -313,16 +334,16 @@
         }
         let (wanted, kept) = self.wanted(name);
         let silent = self.heartbeat_intervals(2.0);
-        if self.view.machines.get(name).is_none_or(|h| self.view.revision < h.rec.granted) {
+        if self.state.machines.get(name).is_none_or(|h| self.state.revision < h.rec.granted) {
             return;
         }
-        let Some(m) = self.machines.get(name) else { return };
+        let Some(m) = self.agents.machines.get(name) else { return };
         let Ok(addr) = m.addr.parse() else { return };
         if m.heard_at.is_none_or(|t| self.now.saturating_sub(t) > silent) {
             return;
         }
         let commands = self.in_time(m.commands(&wanted, &kept));
-        let Some(m) = self.machines.get_mut(name) else { return };
+        let Some(m) = self.agents.machines.get_mut(name) else { return };
         let commands = m.to_push(commands);
         if commands.is_empty() {
             return;
@@ -332,7 +353,7 @@
         let timeout = self.heartbeat_intervals(1.0);
         let purpose = Purpose::Push { machine: name.to_string(), grant };
         let id = self.call(Target::Worker(addr), "POST", "/commands".into(), Some(body), timeout, purpose);
-        if let Some(m) = self.machines.get_mut(name) {
+        if let Some(m) = self.agents.machines.get_mut(name) {
             m.pushes(id, self.now);
         }
     }
@@ -340,8 +361,8 @@
     /// Tells the machines of ours on which the job has tasks to end them, whoever wrote
     /// that it is cancelled: by their own reports they would run on for a while.
     pub(super) fn stop(&mut self, uid: &str) {
-        let places = self.view.jobs.get(uid).into_iter().flat_map(|j| j.chunks.values().flat_map(|c| &c.rec.on));
-        let ours = places.map(|p| &p.machine).filter(|m| self.machines.contains_key(*m));
+        let places = self.state.jobs.get(uid).into_iter().flat_map(|j| j.chunks.values().flat_map(|c| &c.rec.on));
+        let ours = places.map(|p| &p.machine).filter(|m| self.agents.machines.contains_key(*m));
         let ours: BTreeSet<String> = ours.cloned().collect();
         for m in ours {
             self.push(&m);
@@ -349,7 +370,7 @@
     }
 
     pub(super) fn push_answer(&mut self, id: CallId, name: &str, grant: u64, result: Result<Reply, NoAnswer>) {
-        let Some(m) = self.machines.get_mut(name) else { return };
+        let Some(m) = self.agents.machines.get_mut(name) else { return };
         if m.push != Some(id) || m.epoch != grant {
             return;
         }
@@ -362,7 +383,7 @@
                 m.push = None;
                 if m.take(&report) {
                     m.note_sure(true);
-                    self.hearing.proved(name, m.at, self.now);
+                    self.agents.hearing.proved(name, m.at, self.now);
                 }
                 self.look(name);
             }
@@ -392,11 +413,11 @@
         let mut stops: Vec<(String, (String, u32, u64), f64)> = Vec::new();
         let mut capacities: Option<Vec<MachineCapacity>> = None;
         let recent = self.heartbeat_intervals(1.5);
-        for (name, m) in &self.machines {
+        for (name, m) in &self.agents.machines {
             let Some(left_s) = m.preemption_notice_s.filter(|_| m.sure && m.ready) else { continue };
-            for ((uid, index), attempt) in self.view.placed.get(name).into_iter().flatten() {
+            for ((uid, index), attempt) in self.state.placed.get(name).into_iter().flatten() {
                 let key = (uid.clone(), *index, *attempt);
-                let Some(j) = self.view.jobs.get(uid).filter(|j| !j.cancelled()) else { continue };
+                let Some(j) = self.state.jobs.get(uid).filter(|j| !j.cancelled()) else { continue };
                 if m.preempted.contains_key(&key) || m.is_over(&key) {
                     continue;
                 }
@@ -413,7 +434,7 @@
                         // All are told at once, or the save fails.
                         let places = || j.chunks.values().flat_map(|c| &c.rec.on);
                         let ready = |p: &Placement| {
-                            self.machines.get(&p.machine).is_some_and(|m| {
+                            self.agents.machines.get(&p.machine).is_some_and(|m| {
                                 let seen = m.find(uid, p.index, p.attempt);
                                 m.confirmed()
                                     && m.heard_at.is_some_and(|t| self.now.saturating_sub(t) < recent)
@@ -432,7 +453,7 @@
         let machines: BTreeSet<String> = stops.iter().map(|s| s.0.clone()).collect();
         for (machine, key, save_s) in stops {
             tracing::debug!(job = %key.0, index = key.1, %machine, save_s, "moved on notice");
-            if let Some(m) = self.machines.get_mut(&machine) {
+            if let Some(m) = self.agents.machines.get_mut(&machine) {
                 m.preempted.insert(key, save_s);
             }
         }
@@ -448,29 +469,29 @@
     /// its lease is waited for, which ends its tasks all the same.
     fn release_silent(&mut self) {
         let now = self.now;
-        let w = &self.set.settings.workers;
+        let w = &self.config.settings.workers;
         // Whoever reaches it has to have had the time to say so.
         let told = self.heartbeat_intervals(HEARD_REPORTS)
             + Self::heartbeat_interval(self.heartbeat_intervals(1.0)).mul_f64(2.5);
-        let limit = self.heartbeat_intervals(self.set.operator.silent_reports).max(told);
+        let limit = self.heartbeat_intervals(self.config.operator.silent_reports).max(told);
         // After a grant the worker may still be waiting for its old controller, and
         // for others that do not hear it; nobody here knows its address yet.
         let first = (limit + self.secs(WORKER_MOVES_S)).max(self.round_of_all());
         let (lapse, long) = (self.secs(w.lease_s * DRIFT + w.heartbeat_interval_s), self.secs(w.lease_s * CUT_LEASES));
         let cancel = self.secs(w.cancel_s * DRIFT + w.heartbeat_interval_s);
-        let shard = self.machines.len() as f64;
+        let shard = self.agents.machines.len() as f64;
         let cap = (shard / 4.0).max(1.0);
-        let dt = now.saturating_sub(self.release_at).as_secs_f64();
-        self.release_tokens = (self.release_tokens + dt * cap / w.lease_s).min(cap);
-        self.release_at = now;
-        let known = self.start.fleet_known() && !self.deaf.is(&self.me, now);
+        let dt = now.saturating_sub(self.releases.refilled_at).as_secs_f64();
+        self.releases.tokens = (self.releases.tokens + dt * cap / w.lease_s).min(cap);
+        self.releases.refilled_at = now;
+        let known = self.startup.fleet_known() && !self.connectivity.deaf.is(&self.process.member, now);
         // One that hears nothing is as good as silent, though its reports come.
         let last = |m: &Machine| if m.hears_nothing() { m.reached_at } else { m.heard_at };
         let silent_for = |m: &Machine| now.saturating_sub(last(m).unwrap_or(m.owned_since));
-        let zone = |name: &str| self.view.machines.get(name).map_or("", |h| h.rec.zone.as_str());
+        let zone = |name: &str| self.state.machines.get(name).map_or("", |h| h.rec.zone.as_str());
         let recent = self.heartbeat_intervals(HEARD_REPORTS);
         let mut zones: BTreeMap<&str, Group> = BTreeMap::new();
-        for (name, m) in self.machines.iter().filter(|(_, m)| m.heard_at.is_some()) {
+        for (name, m) in self.agents.machines.iter().filter(|(_, m)| m.heard_at.is_some()) {
             let group = zones.entry(zone(name)).or_default();
             group.all += 1;
             group.heard += usize::from(silent_for(m) < recent);
@@ -481,19 +502,19 @@
         let shard = Group { heard: sum(|g| g.heard), all: sum(|g| g.all) };
         for (zone, group) in &zones {
             if group.silent() || shard.silent() {
-                self.cut_until.insert(zone.to_string(), back);
+                self.connectivity.cut_until.insert(zone.to_string(), back);
             }
         }
         let speaking = self.speaking();
         let account = |zone: &str| {
-            let cut = self.cut_until.get(zone).is_some_and(|t| *t > now);
+            let cut = self.connectivity.cut_until.get(zone).is_some_and(|t| *t > now);
             if cut { Silence::Cut } else { of_silence(shard, zones.get(zone).copied().unwrap_or_default(), speaking) }
         };
         let mut out: Vec<(String, &str, bool)> = Vec::new();
-        for (name, m) in self.machines.iter().filter(|(_, m)| !m.releasing) {
+        for (name, m) in self.agents.machines.iter().filter(|(_, m)| !m.releasing) {
             let silent = silent_for(m);
-            let placed = self.view.placed.contains_key(name);
-            let drained = self.view.machines.get(name).is_some_and(|h| h.rec.drain) && m.confirmed();
+            let placed = self.state.placed.contains_key(name);
+            let drained = self.state.machines.get(name).is_some_and(|h| h.rec.drain) && m.confirmed();
             if drained && m.tasks.is_empty() && !placed {
                 out.push((name.clone(), "drained", false));
                 continue;
@@ -534,13 +555,13 @@
                 break;
             }
             if limited {
-                if self.release_tokens < 1.0 {
+                if self.releases.tokens < 1.0 {
                     continue;
                 }
-                self.release_tokens -= 1.0;
+                self.releases.tokens -= 1.0;
             }
             tracing::info!(machine = %name, reason, "machine is returned");
-            if let Some(m) = self.machines.get_mut(&name) {
+            if let Some(m) = self.agents.machines.get_mut(&name) {
                 m.releasing = true;
             }
             names.push(name);
@@ -552,30 +573,30 @@
 
     /// After how long silence this machine is given up; `limit` at least.
     fn given_up_after(&self, name: &str, limit: Duration) -> Duration {
-        let (Some(load), Some(h)) = (self.view.loads.get(name), self.view.machines.get(name)) else {
+        let (Some(load), Some(h)) = (self.state.loads.get(name), self.state.machines.get(name)) else {
             return limit;
         };
         let pull = self.machine_type(&h.rec.machine_type).map_or(f64::INFINITY, |t| t.pull_gb_per_s);
         let largest = load.by_image.values().map(|b| b.image_gb).fold(0.0, f64::max);
-        let lease_s = self.set.settings.workers.lease_s;
+        let lease_s = self.config.settings.workers.lease_s;
         self.secs(given_up_after_s(limit.as_secs_f64(), largest / pull, lease_s))
     }
 
     fn peers_hear(&self, machine: &str) -> bool {
         let limit = self.round_of_all();
-        let reached = self.probed.get(machine).is_some_and(|t| self.now.saturating_sub(*t) < limit);
+        let reached = self.agents.probed.get(machine).is_some_and(|t| self.now.saturating_sub(*t) < limit);
         reached || self.reported_newer_elsewhere(machine, limit)
     }
 
     /// Whether a peer heard it within `limit` say more than the last that came here.
     pub(super) fn reported_newer_elsewhere(&self, machine: &str, limit: Duration) -> bool {
-        let known = self.machines.get(machine).map_or((0, 0), |m| m.at);
-        self.links.hears(machine, known, limit, self.now)
+        let known = self.agents.machines.get(machine).map_or((0, 0), |m| m.at);
+        self.connectivity.peers.hears(machine, known, limit, self.now)
     }
 
     pub(super) fn release(&mut self, machines: Vec<String>) {
-        self.cloud.charge(self.now, 1.0);
-        self.releasing.extend(machines.iter().cloned());
+        self.cloud.rate.charge(self.now, 1.0);
+        self.releases.in_flight.extend(machines.iter().cloned());
         let body = encode(&ReleaseRequest { machines: machines.as_slice().into() });
         let timeout = self.heartbeat_intervals(2.0);
         self.call(Target::Cloud, "POST", RELEASE.into(), Some(body), timeout, Purpose::Release { machines });
@@ -584,11 +605,11 @@
     pub(super) fn release_answer(&mut self, machines: Vec<String>, result: Result<Reply, NoAnswer>) {
         let gone = result.is_ok_and(|r| r.status == 200);
         for name in machines {
-            self.releasing.remove(&name);
+            self.releases.in_flight.remove(&name);
             if gone {
-                self.rented.remove(&name);
-                self.gone.insert(name);
-            } else if let Some(m) = self.machines.get_mut(&name) {
+                self.autoscaler.rented.remove(&name);
+                self.releases.gone.insert(name);
+            } else if let Some(m) = self.agents.machines.get_mut(&name) {
                 m.releasing = false;
             }
         }
@@ -598,11 +619,12 @@
     /// was released leaves the fleet with the last of them.
     fn clear_empty(&mut self) {
         let (now, [lease, cancel]) = (self.now, self.lapse_s());
-        let empty = |(name, m): &(&String, &Machine)| self.gone.contains(*name) || m.lapsed(now, lease, cancel);
-        let empty: Vec<String> = self.machines.iter().filter(empty).map(|(name, _)| name.clone()).collect();
+        let empty =
+            |(name, m): &(&String, &Machine)| self.releases.gone.contains(*name) || m.lapsed(now, lease, cancel);
+        let empty: Vec<String> = self.agents.machines.iter().filter(empty).map(|(name, _)| name.clone()).collect();
         let mut bare = Vec::new();
         for name in empty {
-            if !self.give_places_up(&name) && self.gone.contains(&name) {
+            if !self.give_places_up(&name) && self.releases.gone.contains(&name) {
                 bare.push(name);
             }
         }
@@ -612,13 +634,15 @@
     /// After how long a lease has lapsed, by drifting clocks: since an answer, and
     /// since a grant, before which others may have answered.
     fn lapse_s(&self) -> [Duration; 2] {
-        let w = &self.set.settings.workers;
+        let w = &self.config.settings.workers;
         [w.lease_s, w.cancel_s].map(|s| self.secs(s * DRIFT + w.heartbeat_interval_s / 2.0))
     }
 
     /// Whether anything is placed there that is not proved gone.
     fn holds_places(&self, name: &str) -> bool {
-        let (Some(placed), Some(m)) = (self.view.placed.get(name), self.machines.get(name)) else { return false };
+        let (Some(placed), Some(m)) = (self.state.placed.get(name), self.agents.machines.get(name)) else {
+            return false;
+        };
         placed.iter().any(|((job, index), attempt)| !m.gone.contains(&(job.clone(), *index, *attempt)))
     }
 
@@ -626,12 +650,14 @@
     /// there was any.
     fn give_places_up(&mut self, name: &str) -> bool {
         let now = self.now;
-        let (Some(placed), Some(m)) = (self.view.placed.get(name), self.machines.get_mut(name)) else { return false };
+        let (Some(placed), Some(m)) = (self.state.placed.get(name), self.agents.machines.get_mut(name)) else {
+            return false;
+        };
         for ((job, index), attempt) in placed {
             // The worker may report again before this is written: ordered again,
             // the task would run here after all.
             m.gone.insert((job.clone(), *index, *attempt));
-            let change = self.changes.entry(job.clone()).or_insert_with(|| Change::new(now));
+            let change = self.journal.exits.entry(job.clone()).or_insert_with(|| Change::new(now));
             change.clear.insert((*index, *attempt));
         }
         true
@@ -641,17 +667,17 @@
     pub(super) fn forget_machines(&mut self, names: Vec<String>) {
         let mut by_group: BTreeMap<String, Vec<String>> = BTreeMap::new();
         for name in names {
-            if let Some(h) = self.view.machines.get(&name) {
+            if let Some(h) = self.state.machines.get(&name) {
                 by_group.entry(h.rec.group.clone()).or_default().push(name);
             }
         }
         for (group, names) in by_group {
             let key = records::machine_group_key(&group);
-            let Some(p) = self.view.machine_groups.get(&group) else { continue };
-            if p.version > self.view.revision || self.busy.contains(&key) || !self.may_write(1.0) {
+            let Some(p) = self.state.machine_groups.get(&group) else { continue };
+            if p.version > self.state.revision || self.transactions.locked_keys.contains(&key) || !self.may_write(1.0) {
                 continue;
             }
-            let op = match self.view.in_force(p).without(&names) {
+            let op = match self.state.in_force(p).without(&names) {
                 Some(rec) => store::Op::Put { key: key.clone(), data: records::to_value(&rec), lease: None },
                 None => store::Op::Delete { key: key.clone() },
             };
@@ -663,25 +689,25 @@
 
     /// Holds while this incarnation's block is not granted to a later one.
     pub(super) fn shard_condition(&self) -> store::Condition {
-        self.shard_condition_of(&self.me)
+        self.shard_condition_of(&self.process.member)
     }
 
     /// Holds while a member's block is not granted anew: what writes a pack of its
     /// carries the grant in force, or one above it, and would come late after that.
     pub(super) fn shard_condition_of(&self, member: &str) -> store::Condition {
-        store::Condition { key: records::shard_grant_key(member), version: self.view.shard_grant_version(member) }
+        store::Condition { key: records::shard_grant_key(member), version: self.state.shard_grant_version(member) }
     }
 
     /// Whether the machine has come up, as far as is known here: it runs
     /// something, or some controller hears it.
     pub(super) fn is_up(&self, name: &str) -> bool {
-        self.view.loads.contains_key(name) || self.heard_by_any(name)
+        self.state.loads.contains_key(name) || self.heard_by_any(name)
     }
 
     /// Whether some controller hears it, or did of late.
     pub(super) fn heard_by_any(&self, name: &str) -> bool {
-        self.hearing.heard(name).is_some()
-            || self.machines.get(name).is_some_and(|m| m.heard_at.is_some())
-            || self.links.knows(name)
+        self.agents.hearing.heard(name).is_some()
+            || self.agents.machines.get(name).is_some_and(|m| m.heard_at.is_some())
+            || self.connectivity.peers.knows(name)
     }
 }
--- a/src/controller/api.rs
+++ b/src/controller/api.rs
@@ -10,6 +10,17 @@
 use crate::requests::{Answer, Asked, Event, Known, Request, Stage, Written};
 use crate::retry::Side;
 
+/// Requests of users that are under way, and what clients are told to do.
+#[derive(Debug, Default)]
+pub(super) struct Api {
+    /// Requests that were not answered yet.
+    pub(super) requests: Requests,
+    /// Spreads the times at which refused clients come back.
+    pub(super) retry_after: Returns,
+    /// What the last health check was told.
+    pub(super) was_healthy: Option<bool>,
+}
+
 /// Seconds after which a client is told to come back.
 const COME_BACK: u32 = 1;
 /// Users wait so long for an answer about a job (PROTOCOL). What cannot be given in
@@ -22,9 +33,9 @@
         match route(method, path.split('?').next().unwrap_or("")) {
             Route::Health => {
                 let ok = self.healthy();
-                if self.was_healthy.replace(ok) != Some(ok) {
-                    let stale_ms = self.ses.staleness(self.now).map(|s| s.as_millis() as u64);
-                    tracing::info!(ok, loaded = self.ses.following(), stale_ms, "health as users see it");
+                if self.api.was_healthy.replace(ok) != Some(ok) {
+                    let stale_ms = self.store.session.staleness(self.now).map(|s| s.as_millis() as u64);
+                    tracing::info!(ok, loaded = self.store.session.following(), stale_ms, "health as users see it");
                 }
                 self.respond(conn, if ok { 200 } else { 503 }, Vec::new());
             }
@@ -42,7 +53,7 @@
 
     pub(super) fn respond(&mut self, conn: ConnId, status: u16, body: Vec<u8>) {
         let retry_after = matches!(status, 429 | 503).then_some(COME_BACK);
-        self.out.push(Action::Respond { conn, status, body, retry_after });
+        self.outbox.actions.push(Action::Respond { conn, status, body, retry_after });
     }
 
     /// Refuses a change that may not be written now: the store is away, or writes are
@@ -51,9 +62,9 @@
         if self.retry.is_open(Side::State) {
             return self.refuse(conn, 503, "the state service does not answer");
         }
-        let retry_after = Some(self.returns.after(self.now, self.writes.rate));
+        let retry_after = Some(self.api.retry_after.after(self.now, self.transactions.rate.rate));
         let body = encode(&ErrorBody { error: error.into() });
-        self.out.push(Action::Respond { conn, status: 429, body, retry_after });
+        self.outbox.actions.push(Action::Respond { conn, status: 429, body, retry_after });
     }
 
     pub(super) fn refuse(&mut self, conn: ConnId, status: u16, error: &str) {
@@ -64,12 +75,12 @@
     fn healthy(&self) -> bool {
         let margin = self.heartbeat_intervals(1.0);
         let since = |p: &Peer| self.now.saturating_sub(p.at);
-        let recent = self.links.peers().map(|(_, p)| p).filter(|p| since(p) < margin);
+        let recent = self.connectivity.peers.peers().map(|(_, p)| p).filter(|p| since(p) < margin);
         healthy(&Facts {
             age: self.now,
-            loaded: self.ses.following(),
-            stale: self.ses.staleness(self.now),
-            has_others: !self.set.others.is_empty(),
+            loaded: self.store.session.following(),
+            stale: self.store.session.staleness(self.now),
+            has_others: !self.config.others.is_empty(),
             others: recent.map(|p| p.stale.saturating_add(since(p))).collect(),
             entitled: self.entitled(),
             store_away: self.retry.is_open(Side::State),
@@ -82,15 +93,15 @@
             Ok(s) if s.well_formed() => s,
             _ => return self.refuse(conn, 400, "malformed submission"),
         };
-        if self.view.ended.contains_key(spec.uid.as_str()) || self.view.jobs.contains_key(&spec.uid) {
+        if self.state.ended.contains_key(spec.uid.as_str()) || self.state.jobs.contains_key(&spec.uid) {
             let uid = spec.uid.clone();
             return self.poll(conn, &uid);
         }
-        if !self.ses.following() || self.types.is_empty() {
+        if !self.store.session.following() || self.cloud.types.is_empty() {
             return self.refuse(conn, 503, "not ready");
         }
         let key = records::job_key(&spec.uid);
-        if self.busy.contains(&key) {
+        if self.transactions.locked_keys.contains(&key) {
             // Ours is under way; its user may have been told more elsewhere than that
             // it is accepted.
             return self.ask(conn, &spec.uid, Asked::Submitted);
@@ -122,13 +133,13 @@
             ops: vec![Op::Put { key, data: records::to_value(&rec), lease: None }],
         };
         let until = self.now + self.answered_within();
-        self.asked.came(conn, &uid, Asked::Submitted, Stage::Writing, until);
+        self.api.requests.came(conn, &uid, Asked::Submitted, Stage::Writing, until);
         self.txn_within(txn, Why::Accept(uid), self.answered_within());
     }
 
     /// Unknown team, no machine type for a task, or more than the team's limit.
     fn never_runs(&self, spec: &JobSpec) -> bool {
-        let Some(team) = self.set.settings.teams.iter().find(|t| t.name == spec.team) else {
+        let Some(team) = self.config.settings.teams.iter().find(|t| t.name == spec.team) else {
             return true;
         };
         let at_once = if spec.kind == JobKind::Array { 1 } else { spec.task_count };
@@ -140,7 +151,7 @@
         if spec.zone_affinity && spec.zone_anti_affinity && spec.task_count > 1 {
             return true;
         }
-        !self.types.iter().any(|t| {
+        !self.cloud.types.iter().any(|t| {
             spec.machine_types.as_ref().is_none_or(|b| b.contains(&t.label))
                 && spec.zone.as_ref().is_none_or(|s| t.zones.contains(s))
                 && t.cores >= spec.cores
@@ -153,11 +164,11 @@
         if !valid_uid(uid) {
             return self.refuse(conn, 404, "no such job");
         }
-        let over = matches!(self.view.status(uid), Some((Status::Done | Status::Cancelled, ..)));
+        let over = matches!(self.state.status(uid), Some((Status::Done | Status::Cancelled, ..)));
         if over {
             return self.tell(conn, uid);
         }
-        if !self.ses.following() {
+        if !self.store.session.following() {
             return self.refuse(conn, 503, "not ready");
         }
         self.ask(conn, uid, Asked::State);
@@ -170,11 +181,11 @@
 
     fn ask(&mut self, conn: ConnId, uid: &str, asked: Asked) {
         let until = self.now + self.answered_within();
-        self.asked.came(conn, uid, asked, Stage::Queued, until);
+        self.api.requests.came(conn, uid, asked, Stage::Queued, until);
     }
 
     fn tell(&mut self, conn: ConnId, uid: &str) {
-        match self.view.status(uid) {
+        match self.state.status(uid) {
             Some((status, done, running)) => {
                 let body = encode(&JobState { uid: uid.into(), status, done, running });
                 self.respond(conn, 200, body);
@@ -185,8 +196,8 @@
 
     /// Something happened that requests may wait for.
     pub(super) fn answer_requests(&mut self, event: Event) {
-        let view = &self.view;
-        let told = self.asked.event(event, |uid| known(view, uid));
+        let view = &self.state;
+        let told = self.api.requests.event(event, |uid| known(view, uid));
         self.answer_and_cancel(told);
     }
 
@@ -198,11 +209,11 @@
             Ended::Refused(429) => Written::Limited,
             Ended::Refused(_) | Ended::Unknown => Written::Failed,
         };
-        let view = &self.view;
-        let told = self.asked.written(uid, asked, how, |uid| known(view, uid));
+        let view = &self.state;
+        let told = self.api.requests.written(uid, asked, how, |uid| known(view, uid));
         self.answer_with(told);
         let accepted = asked == Asked::Submitted && how == Written::Done;
-        if let Some(j) = self.view.jobs.get(uid).filter(|_| accepted) {
+        if let Some(j) = self.state.jobs.get(uid).filter(|_| accepted) {
             let to: Vec<&str> = j.rec.rec.task_ranges.iter().map(|s| s.member.as_str()).collect();
             tracing::debug!(job = %uid, class = %j.spec.class, tasks = j.spec.task_count, ?to, "accepted");
         }
@@ -226,15 +237,15 @@
     }
 
     pub(super) fn requests_tick(&mut self) {
-        let view = &self.view;
-        let told = self.asked.due(self.now, |uid| known(view, uid));
+        let view = &self.state;
+        let told = self.api.requests.due(self.now, |uid| known(view, uid));
         self.answer_and_cancel(told);
     }
 
     /// Answers, and takes up cancellations that may be written now.
     fn answer_and_cancel(&mut self, told: Vec<(Request, Answer)>) {
         self.answer_with(told);
-        for uid in self.asked.cancelling() {
+        for uid in self.api.requests.cancelling() {
             self.send_cancel(&uid);
         }
     }
@@ -243,36 +254,36 @@
         if !valid_uid(uid) {
             return self.refuse(conn, 404, "no such job");
         }
-        if !self.ses.following() {
+        if !self.store.session.following() {
             return self.refuse(conn, 503, "not ready");
         }
-        let over = matches!(self.view.status(uid), Some((Status::Done | Status::Cancelled, ..)));
+        let over = matches!(self.state.status(uid), Some((Status::Done | Status::Cancelled, ..)));
         if over {
             return self.tell(conn, uid);
         }
         if self.retry.is_open(Side::State) {
             return self.not_now(conn, "not stored");
         }
-        if !self.view.jobs.contains_key(uid) {
+        if !self.state.jobs.contains_key(uid) {
             // Accepted elsewhere a moment ago, perhaps: a fresh read decides.
             return self.ask(conn, uid, Asked::Cancelled);
         }
         let until = self.now + self.answered_within();
-        self.asked.came(conn, uid, Asked::Cancelled, Stage::Writing, until);
+        self.api.requests.came(conn, uid, Asked::Cancelled, Stage::Writing, until);
         self.send_cancel(uid);
     }
 
     fn send_cancel(&mut self, uid: &str) {
         let key = records::job_key(uid);
-        if self.busy.contains(&key) {
+        if self.transactions.locked_keys.contains(&key) {
             return; // taken up again by the next tick
         }
         if !self.may_write_as(WritePriority::First) {
-            let view = &self.view;
-            let told = self.asked.written(uid, Asked::Cancelled, Written::Limited, |uid| known(view, uid));
+            let view = &self.state;
+            let told = self.api.requests.written(uid, Asked::Cancelled, Written::Limited, |uid| known(view, uid));
             return self.answer_with(told);
         }
-        let Some(job) = self.view.jobs.get(uid) else { return };
+        let Some(job) = self.state.jobs.get(uid) else { return };
         let rec = records::JobRecord { end: Some(Status::Cancelled), ..job.rec.rec.clone() };
         let txn = Txn {
             conditions: vec![Condition { key: key.clone(), version: job.rec.version }],
--- a/src/controller/autoscaler.rs
+++ b/src/controller/autoscaler.rs
@@ -14,6 +14,101 @@
 use crate::scaling::{Demand, Offer, Rental, fits, take_up, wanted_rentals};
 use records::{MachineGroupRecord, MachineRecord};
 
+/// The cloud's catalog and list of machines, and this controller's part of its rate limit.
+#[derive(Debug)]
+pub(super) struct CloudAccess {
+    /// This controller's part of the cloud's request limit.
+    pub(super) rate: Account,
+    /// Machine types of the catalog.
+    pub(super) types: Vec<MachineType>,
+    /// When the catalog is read next.
+    pub(super) types_next: Instant,
+    /// A read of the catalog is under way.
+    pub(super) types_busy: bool,
+    /// Machines by the newest list.
+    pub(super) list: BTreeMap<String, ListedMachine>,
+    /// When each machine was first listed.
+    pub(super) listed_since: HashMap<String, Instant>,
+    /// Recorded machines that the cloud lists no more, or as failed.
+    pub(super) unlisted: BTreeSet<String>,
+    /// The list that is being read.
+    pub(super) list_new: BTreeMap<String, ListedMachine>,
+    /// When the cloud first refused a later page of the list that is being read, for its
+    /// rate: the pages before it are kept, and the list goes on there.
+    pub(super) list_stalled: Option<Instant>,
+    /// When the newest list was complete.
+    pub(super) list_at: Option<Instant>,
+    /// When the list is read next.
+    pub(super) list_next: Instant,
+    /// A page of the list is under way.
+    pub(super) list_busy: bool,
+}
+
+impl CloudAccess {
+    /// Nothing was read yet; `rate` is this controller's part of the requests a second.
+    pub(super) fn new(rate: f64) -> CloudAccess {
+        CloudAccess {
+            rate: Account::new(rate),
+            types: Vec::new(),
+            types_next: Duration::ZERO,
+            types_busy: false,
+            list: BTreeMap::new(),
+            listed_since: HashMap::new(),
+            unlisted: BTreeSet::new(),
+            list_new: BTreeMap::new(),
+            list_stalled: None,
+            list_at: None,
+            list_next: Duration::ZERO,
+            list_busy: false,
+        }
+    }
+}
+
+/// Scaling out and in, by the leader.
+#[derive(Debug, Default)]
+pub(super) struct Autoscaler {
+    /// Machines that were rented and are not known to be up.
+    pub(super) rented: BTreeMap<String, Rented>,
+    /// Machines that were rented while the cluster began, by us or by the leader's word.
+    pub(super) young: BTreeSet<String>,
+    /// When each recorded machine was last known to be up.
+    pub(super) up_at: HashMap<String, Instant>,
+    /// Rentals whose machines shall be recorded together.
+    pub(super) unrecorded: VecDeque<(crate::scaling::Offer, Vec<String>)>,
+    /// Recorded machines that nobody hears, and since when.
+    pub(super) unseen_since: HashMap<String, Instant>,
+    /// Rental requests under way.
+    pub(super) renting: u32,
+    /// Offers that the cloud had none of, and until when they are not asked for.
+    pub(super) refused: BTreeMap<crate::scaling::Offer, Instant>,
+    /// Free cores of late, for the least that stayed free.
+    pub(super) slack: VecDeque<(Instant, f64)>,
+    /// When array tasks last waited.
+    pub(super) pressed_at: Option<Instant>,
+    /// When the fleet is looked at next.
+    pub(super) check_next: Instant,
+}
+
+/// Machines that are given back to the cloud, and how many may be at a time.
+#[derive(Debug)]
+pub(super) struct Releases {
+    /// Releases without an answer.
+    pub(super) in_flight: BTreeSet<String>,
+    /// Machines whose release was confirmed: nothing is left there.
+    pub(super) gone: BTreeSet<String>,
+    /// Releases of silent machines that may go now.
+    pub(super) tokens: f64,
+    /// When `tokens` was last refilled.
+    pub(super) refilled_at: Instant,
+}
+
+impl Releases {
+    /// Nothing was released yet.
+    pub(super) fn new() -> Releases {
+        Releases { in_flight: BTreeSet::new(), gone: BTreeSet::new(), tokens: 1.0, refilled_at: Duration::ZERO }
+    }
+}
+
 /// A job that will be late gets machines for one in this many of its tasks.
 const LATE_SHARE: u32 = 4;
 /// Tasks that waited this many boot times ago still count as pressure; the
@@ -36,13 +131,13 @@
 
 impl Controller {
     pub(super) fn fetch_types(&mut self) {
-        let due = self.now >= self.types_next || self.types.is_empty();
-        if self.types_busy || !due || !self.may_ask(Retry::Catalog) {
+        let due = self.now >= self.cloud.types_next || self.cloud.types.is_empty();
+        if self.cloud.types_busy || !due || !self.may_ask(Retry::Catalog) {
             return;
         }
-        self.types_busy = true;
-        self.cloud.charge(self.now, 1.0);
-        self.types_next = self.now + self.secs(self.set.settings.workers.lease_s);
+        self.cloud.types_busy = true;
+        self.cloud.rate.charge(self.now, 1.0);
+        self.cloud.types_next = self.now + self.secs(self.config.settings.workers.lease_s);
         let timeout = self.heartbeat_intervals(2.0);
         self.call(Target::Cloud, "GET", CATALOG.into(), None, timeout, Purpose::Catalog);
     }
@@ -50,15 +145,19 @@
     /// Keeps the catalog in the store, so that whoever starts while the cloud does not
     /// answer knows what can run.
     fn store_catalog(&mut self) {
-        let stored = self.view.catalog.as_ref();
-        let most = (self.set.settings.state.value_kb * 1024.0) as usize / CATALOG_BYTES;
-        let told = self.types.is_empty() || self.types.len() > most || stored.is_some_and(|c| c.rec.has(&self.types));
-        if told || self.busy.contains(records::CATALOG_KEY) || !self.may_write(1.0 + self.writes.rate * ACCEPT_RESERVE)
+        let stored = self.state.catalog.as_ref();
+        let most = (self.config.settings.state.value_kb * 1024.0) as usize / CATALOG_BYTES;
+        let told = self.cloud.types.is_empty()
+            || self.cloud.types.len() > most
+            || stored.is_some_and(|c| c.rec.has(&self.cloud.types));
+        if told
+            || self.transactions.locked_keys.contains(records::CATALOG_KEY)
+            || !self.may_write(1.0 + self.transactions.rate.rate * ACCEPT_RESERVE)
         {
             return;
         }
         let key = records::CATALOG_KEY.to_string();
-        let rec = records::CatalogRecord { types: self.types.clone() };
+        let rec = records::CatalogRecord { types: self.cloud.types.clone() };
         let txn = Txn {
             conditions: vec![
                 self.leader_condition(),
@@ -71,46 +170,46 @@
 
     pub(super) fn fleet_tick(&mut self) {
         let now = self.now;
-        if now < self.fleet_next {
+        if now < self.autoscaler.check_next {
             return;
         }
-        let lag = self.secs(self.set.settings.cloud.list_lag_s * FLEET_LAG_SHARE);
-        self.fleet_next = now + self.heartbeat_intervals(0.25).min(lag);
-        if !self.list_busy && now >= self.list_next && self.may_ask(Retry::List) {
-            self.list_busy = true;
-            self.cloud.charge(self.now, 1.0);
+        let lag = self.secs(self.config.settings.cloud.list_lag_s * FLEET_LAG_SHARE);
+        self.autoscaler.check_next = now + self.heartbeat_intervals(0.25).min(lag);
+        if !self.cloud.list_busy && now >= self.cloud.list_next && self.may_ask(Retry::List) {
+            self.cloud.list_busy = true;
+            self.cloud.rate.charge(self.now, 1.0);
             let after = self.list_goes_on();
             self.list_page(&after);
         }
         self.store_catalog();
-        if self.list_at.is_none() || self.types.is_empty() {
+        if self.cloud.list_at.is_none() || self.cloud.types.is_empty() {
             return;
         }
-        self.refused.retain(|_, until| *until > now);
+        self.autoscaler.refused.retain(|_, until| *until > now);
         self.note_up();
         // A machine is a stray only once every worker had the time to come.
-        if self.start.all_came() {
+        if self.startup.all_came() {
             self.return_strays();
         }
         self.rent();
-        if self.start.fleet_known() {
+        if self.startup.fleet_known() {
             self.return_idle();
         }
     }
 
     /// Whether the cloud may be asked something now.
     pub(super) fn may_ask(&self, purpose: Retry) -> bool {
-        self.retry.may(purpose, self.now) && self.cloud.has(self.now, 1.0)
+        self.retry.may(purpose, self.now) && self.cloud.rate.has(self.now, 1.0)
     }
 
     /// After which machine the list is read: from the beginning, or on from where the
     /// cloud's rate limit cut it short. A list of more pages than the cloud takes in one
     /// burst would otherwise never come to its end.
     fn list_goes_on(&mut self) -> String {
-        if self.list_stalled.is_none() {
-            self.list_new.clear();
+        if self.cloud.list_stalled.is_none() {
+            self.cloud.list_new.clear();
         }
-        self.list_new.keys().next_back().cloned().unwrap_or_default()
+        self.cloud.list_new.keys().next_back().cloned().unwrap_or_default()
     }
 
     fn list_page(&mut self, after: &str) {
@@ -121,84 +220,86 @@
     pub(super) fn cloud_answer(&mut self, purpose: Purpose, result: Result<Reply, NoAnswer>) {
         match purpose {
             Purpose::Catalog => {
-                self.types_busy = false;
+                self.cloud.types_busy = false;
                 if let Ok(r) = result
                     && r.status == 200
                     && let Ok(c) = decode::<Catalog>(&r.body)
                 {
-                    self.types = c.machine_types;
-                    self.dirty = true;
+                    self.cloud.types = c.machine_types;
+                    self.scheduler.dirty = true;
                 } else {
-                    self.types_next = self.now; // as soon as the retry policy allows
+                    self.cloud.types_next = self.now; // as soon as the retry policy allows
                 }
             }
             Purpose::List => {
-                let lag = self.set.settings.cloud.list_lag_s;
-                self.list_busy = false;
-                self.list_next = self.now + self.secs(lag / 2.0);
+                let lag = self.config.settings.cloud.list_lag_s;
+                self.cloud.list_busy = false;
+                self.cloud.list_next = self.now + self.secs(lag / 2.0);
                 let limited = result.as_ref().is_ok_and(|r| r.status == TOO_MANY_REQUESTS);
-                if limited && !self.list_new.is_empty() {
-                    self.list_stalled.get_or_insert(self.now);
-                    self.list_next = self.now; // as soon as the retry policy allows
+                if limited && !self.cloud.list_new.is_empty() {
+                    self.cloud.list_stalled.get_or_insert(self.now);
+                    self.cloud.list_next = self.now; // as soon as the retry policy allows
                     return;
                 }
-                let stalled = self.list_stalled;
-                let Ok(r) = result.inspect_err(|_| self.list_stalled = None) else { return };
+                let stalled = self.cloud.list_stalled;
+                let Ok(r) = result.inspect_err(|_| self.cloud.list_stalled = None) else { return };
                 if r.status != 200 {
-                    self.list_stalled = None;
+                    self.cloud.list_stalled = None;
                     return;
                 }
                 let Ok(page) = decode::<Page>(&r.body) else { return };
                 let last = page.machines.last().map(|m| m.uid.clone());
                 for m in page.machines {
-                    self.list_new.insert(m.uid.clone(), m);
+                    self.cloud.list_new.insert(m.uid.clone(), m);
                 }
                 if let Some(last) = last
                     && page.truncated
                 {
-                    self.list_busy = true;
+                    self.cloud.list_busy = true;
                     self.list_page(&last);
                     return;
                 }
-                self.list = std::mem::take(&mut self.list_new);
-                self.list_at = Some(self.now);
-                self.list_stalled = None;
+                self.cloud.list = std::mem::take(&mut self.cloud.list_new);
+                self.cloud.list_at = Some(self.now);
+                self.cloud.list_stalled = None;
                 self.note_unlisted(stalled.unwrap_or(self.now));
                 // A later list may be an older one, so what was rented stays on
                 // our own books until it reports or is given up.
-                let mut rented = std::mem::take(&mut self.rented);
+                let mut rented = std::mem::take(&mut self.autoscaler.rented);
                 rented.retain(|name, r| {
                     !self.is_up(name)
                         && self.now.saturating_sub(r.at).as_secs_f64() < self.late_s(&r.offer.machine_type)
                 });
-                self.rented = rented;
+                self.autoscaler.rented = rented;
             }
             Purpose::Rent { offer, number } => {
-                self.renting = self.renting.saturating_sub(1);
+                self.autoscaler.renting = self.autoscaler.renting.saturating_sub(1);
                 match result {
                     Ok(r) if r.status == 200 => {
                         let names = decode::<RentResponse>(&r.body).map(|b| b.machines).unwrap_or_default();
                         if (names.len() as u32) < number {
                             // Filled in part: there are no more for now.
-                            self.refused.insert(offer.clone(), self.now + self.secs(self.set.settings.workers.lease_s));
+                            self.autoscaler
+                                .refused
+                                .insert(offer.clone(), self.now + self.secs(self.config.settings.workers.lease_s));
                         }
                         tracing::info!(machine_type = %offer.machine_type, zone = %offer.zone, spot = offer.spot, machines = names.len(), "machines rented");
-                        if names.len() as f64 >= self.writes.rate * GROUP_FROM {
-                            self.unrecorded.push_back((offer.clone(), names.clone()));
+                        if names.len() as f64 >= self.transactions.rate.rate * GROUP_FROM {
+                            self.autoscaler.unrecorded.push_back((offer.clone(), names.clone()));
                             self.enrol_rentals();
                         }
                         if self.beginning() {
                             // The others hear of it before one of them is up.
                             self.note_young(&names);
-                            self.heartbeat_next = self.now;
+                            self.connectivity.heartbeat_next = self.now;
                         }
                         for n in names {
-                            self.rented.insert(n, Rented { offer: offer.clone(), at: self.now });
+                            self.autoscaler.rented.insert(n, Rented { offer: offer.clone(), at: self.now });
                         }
                     }
                     Ok(r) if r.status == 503 => {
-                        let pause = self.secs(self.set.settings.workers.lease_s);
-                        self.refused.insert(offer, self.now + pause);
+                        let pause = self.secs(self.config.settings.workers.lease_s);
+                        self.autoscaler.refused.insert(offer, self.now + pause);
                     }
                     _ => {}
                 }
@@ -214,52 +315,52 @@
     /// when the first pages of the list had been read.
     fn note_unlisted(&mut self, read_at: Instant) {
         let now = self.now;
-        let sure = self.secs(self.set.settings.cloud.list_lag_s * SURE_LAGS);
-        for name in self.list.keys() {
-            self.listed_since.entry(name.clone()).or_insert(now);
+        let sure = self.secs(self.config.settings.cloud.list_lag_s * SURE_LAGS);
+        for name in self.cloud.list.keys() {
+            self.cloud.listed_since.entry(name.clone()).or_insert(now);
         }
-        let (list, machines) = (&self.list, &self.view.machines);
-        self.listed_since.retain(|name, _| list.contains_key(name) || machines.contains_key(name));
+        let (list, machines) = (&self.cloud.list, &self.state.machines);
+        self.cloud.listed_since.retain(|name, _| list.contains_key(name) || machines.contains_key(name));
         let gone = |name: &String| match list.get(name) {
             Some(l) => l.phase == Phase::Failed,
-            None => self.listed_since.get(name).is_some_and(|t| read_at.saturating_sub(*t) > sure),
+            None => self.cloud.listed_since.get(name).is_some_and(|t| read_at.saturating_sub(*t) > sure),
         };
         let unlisted: BTreeSet<String> = machines.keys().filter(|name| gone(name)).cloned().collect();
-        if !unlisted.is_subset(&self.unlisted) {
-            self.heartbeat_next = now; // their owners can prove it, and start their tasks elsewhere
+        if !unlisted.is_subset(&self.cloud.unlisted) {
+            self.connectivity.heartbeat_next = now; // their owners can prove it, and start their tasks elsewhere
         }
-        self.unlisted = unlisted;
-        for name in &self.unlisted {
-            if let Some(m) = self.machines.get_mut(name) {
+        self.cloud.unlisted = unlisted;
+        for name in &self.cloud.unlisted {
+            if let Some(m) = self.agents.machines.get_mut(name) {
                 m.unlisted = true;
             }
         }
     }
 
     fn late_s(&self, machine_type: &str) -> f64 {
-        self.machine_type(machine_type).map_or(f64::MAX, |t| t.startup_s * self.set.operator.late_boots)
+        self.machine_type(machine_type).map_or(f64::MAX, |t| t.startup_s * self.config.operator.late_boots)
     }
 
     /// Which machines are up, or were before they fell silent.
     fn note_up(&mut self) {
         let now = self.now;
-        let mut up_at = std::mem::take(&mut self.up_at);
-        up_at.retain(|name, _| self.view.machines.contains_key(name));
-        for name in self.view.machines.keys().filter(|name| self.is_up(name)) {
+        let mut up_at = std::mem::take(&mut self.autoscaler.up_at);
+        up_at.retain(|name, _| self.state.machines.contains_key(name));
+        for name in self.state.machines.keys().filter(|name| self.is_up(name)) {
             match up_at.get_mut(name) {
                 Some(at) => *at = now,
                 None => _ = up_at.insert(name.clone(), now),
             }
         }
-        self.up_at = up_at;
+        self.autoscaler.up_at = up_at;
     }
 
     /// Whether the machine was up before it fell silent, not long ago: it is not coming,
     /// and its owner, which knows what fell silent with it, decides what becomes of it.
     fn fell_silent(&self, name: &str) -> bool {
-        let long = self.secs(self.set.settings.workers.lease_s * agents::CUT_LEASES);
-        let listed = !self.unlisted.contains(name);
-        listed && self.up_at.get(name).is_some_and(|t| self.now.saturating_sub(*t) < long)
+        let long = self.secs(self.config.settings.workers.lease_s * agents::CUT_LEASES);
+        let listed = !self.cloud.unlisted.contains(name);
+        listed && self.autoscaler.up_at.get(name).is_some_and(|t| self.now.saturating_sub(*t) < long)
     }
 
     /// Machines that failed, or were rented and never came up, are returned.
@@ -267,30 +368,30 @@
         let mut names = Vec::new();
         // Recorded, but neither listed nor heard: it never comes up either.
         let now = self.now;
-        let before = std::mem::take(&mut self.unseen_since);
+        let before = std::mem::take(&mut self.autoscaler.unseen_since);
         let mut left = Vec::new();
         let mut unseen = HashMap::new();
-        for (name, h) in self.view.machines.iter().filter(|(name, _)| !self.is_up(name)) {
+        for (name, h) in self.state.machines.iter().filter(|(name, _)| !self.is_up(name)) {
             let since = before.get(name).copied().unwrap_or(now);
             unseen.insert(name.clone(), since);
-            if self.gone.contains(name) {
+            if self.releases.gone.contains(name) {
                 left.push(name.clone());
             } else if now.saturating_sub(since).as_secs_f64() > self.late_s(&h.rec.machine_type)
-                && !self.releasing.contains(name)
+                && !self.releases.in_flight.contains(name)
                 && !self.fell_silent(name)
             {
                 names.push(name.clone());
             }
         }
-        self.unseen_since = unseen;
+        self.autoscaler.unseen_since = unseen;
         self.forget_machines(left);
-        for (name, l) in &self.list {
+        for (name, l) in &self.cloud.list {
             let known = self.is_up(name) || names.contains(name) || self.fell_silent(name);
             let late = l.phase != Phase::Failed && l.rented_s > self.late_s(&l.machine_type);
             if !known
                 && (late || l.phase == Phase::Failed)
-                && !self.gone.contains(name)
-                && !self.releasing.contains(name)
+                && !self.releases.gone.contains(name)
+                && !self.releases.in_flight.contains(name)
             {
                 names.push(name.clone());
             }
@@ -306,8 +407,8 @@
     pub(super) fn expected_capacities(&self, counted: Counted) -> Vec<MachineCapacity> {
         let mut capacities: Vec<MachineCapacity> =
             self.capacities_counting(true, counted).into_iter().map(|(_, r)| r).collect();
-        let coming = |name: &str| !self.is_up(name) && !self.gone.contains(name) && !self.fell_silent(name);
-        for (name, l) in &self.list {
+        let coming = |name: &str| !self.is_up(name) && !self.releases.gone.contains(name) && !self.fell_silent(name);
+        for (name, l) in &self.cloud.list {
             if matches!(l.phase, Phase::Booting | Phase::Running)
                 && coming(name)
                 && let Some(t) = self.machine_type(&l.machine_type)
@@ -315,11 +416,11 @@
                 capacities.push(MachineCapacity::empty(name, t, &l.zone, l.spot));
             }
         }
-        for (name, r) in &self.rented {
+        for (name, r) in &self.autoscaler.rented {
             let young = self.now.saturating_sub(r.at) < self.secs(self.late_s(&r.offer.machine_type).min(1e6));
             if young
                 && coming(name)
-                && !self.list.contains_key(name)
+                && !self.cloud.list.contains_key(name)
                 && let Some(t) = self.machine_type(&r.offer.machine_type)
             {
                 capacities.push(MachineCapacity::empty(name, t, &r.offer.zone, r.offer.spot));
@@ -346,7 +447,7 @@
     /// Up to that, machines for late work are a small part of the cost and are
     /// rented freely; beyond it they are most of it.
     fn saves_cost(&self, capacities: &[MachineCapacity]) -> bool {
-        let base = |r: &MachineCapacity| self.view.machines.get(&r.machine).is_some_and(|h| h.rec.base);
+        let base = |r: &MachineCapacity| self.state.machines.get(&r.machine).is_some_and(|h| h.rec.base);
         let stands: f64 = capacities.iter().filter(|r| base(r)).map(|r| r.total_cores).sum();
         capacities.iter().map(|r| r.total_cores).sum::<f64>() > stands * 2.0
     }
@@ -358,14 +459,16 @@
         let cores: f64 = capacities.iter().map(|r| r.total_cores).sum();
         let saves_cost = self.saves_cost(capacities);
         let growing = saves_cost && self.growing(capacities);
-        let all_saved = !saves_cost && self.aims.behind();
-        let boot = self.types.iter().map(|t| t.startup_s).fold(f64::MAX, f64::min);
+        let all_saved = !saves_cost && self.service_levels.objectives.behind();
+        let boot = self.cloud.types.iter().map(|t| t.startup_s).fold(f64::MAX, f64::min);
         let (mut services, mut arrays) = (Vec::new(), Vec::new());
         let leaving = self.leaving();
         let mut run = (0.0, 0.0);
         let mut spare: BTreeMap<&str, (&JobSpec, u32)> = BTreeMap::new();
-        let soon = |spec: &JobSpec| spec.kind == JobKind::Service && self.aims.start_within(spec).is_some();
-        for j in self.view.jobs.values().filter(|j| !j.cancelled()) {
+        let soon = |spec: &JobSpec| {
+            spec.kind == JobKind::Service && self.service_levels.objectives.start_within(spec).is_some()
+        };
+        for j in self.state.jobs.values().filter(|j| !j.cancelled()) {
             let mut n = j.waiting_count();
             if j.spec.kind == JobKind::Service {
                 n += leaving.get(j.spec.uid.as_str()).copied().unwrap_or(0);
@@ -374,14 +477,14 @@
             // the same: it makes do with less, unless aims are missed and
             // machines are cheap beside what stands there.
             let age_s = self.wall_ms().saturating_sub(j.rec.rec.at_ms) as f64 / 1000.0;
-            let aim_s = self.aims.end_from(&j.spec, age_s, boot + j.spec.estimated_run_s * HOPE);
+            let aim_s = self.service_levels.objectives.end_from(&j.spec, age_s, boot + j.spec.estimated_run_s * HOPE);
             let lost = aim_s.is_some_and(|a| a - age_s < boot + j.spec.estimated_run_s * HOPE);
             let lost = lost && !all_saved;
             if lost {
                 n = n.div_ceil(LATE_SHARE);
             }
             if n > 0 {
-                let zones = self.view.zones_of(j);
+                let zones = self.state.zones_of(j);
                 let d = Demand {
                     spec: &j.spec,
                     tasks: n,
@@ -408,12 +511,12 @@
         }
         // The services of any one machine must find room elsewhere at once.
         let mut zone_affinity: BTreeMap<&str, u32> = BTreeMap::new();
-        for (class, n) in self.view.loads.values().flat_map(|l| &l.standing) {
+        for (class, n) in self.state.loads.values().flat_map(|l| &l.standing) {
             let most = zone_affinity.entry(class).or_default();
             *most = (*n).max(*most);
         }
         for (class, (spec, n)) in spare {
-            let share = (f64::from(n) * self.set.operator.spare_share).ceil() as u32 + 1;
+            let share = (f64::from(n) * self.config.operator.spare_share).ceil() as u32 + 1;
             let tasks = share.max(zone_affinity.get(class).copied().unwrap_or(0));
             services.push(Demand::spare(spec, tasks));
         }
@@ -443,20 +546,20 @@
     }
 
     fn rent(&mut self) {
-        if self.renting > 0 || !self.may_ask(Retry::Rent) {
+        if self.autoscaler.renting > 0 || !self.may_ask(Retry::Rent) {
             return;
         }
-        let refused: BTreeSet<Offer> = self.refused.keys().cloned().collect();
+        let refused: BTreeSet<Offer> = self.autoscaler.refused.keys().cloned().collect();
         let mut all = self.expected_capacities(Counted::All);
         let (services, arrays) = self.demand(&all);
-        let most = RENT_LIMIT * (self.cloud.level(self.now) as u32).max(1);
+        let most = RENT_LIMIT * (self.cloud.rate.level(self.now) as u32).max(1);
         let mut rentals =
-            wanted_rentals(&services, self.expected_capacities(Counted::Lasting), &self.types, &refused, most);
+            wanted_rentals(&services, self.expected_capacities(Counted::Lasting), &self.cloud.types, &refused, most);
         // What stands free for arrays is not known before the fleet is.
-        let arrays = if self.start.fleet_known() { arrays } else { Vec::new() };
+        let arrays = if self.startup.fleet_known() { arrays } else { Vec::new() };
         let left = most - rentals.iter().map(|r| r.number).sum::<u32>().min(most);
         take_up(&services, &mut all);
-        rentals.extend(wanted_rentals(&arrays, all, &self.types, &refused, left));
+        rentals.extend(wanted_rentals(&arrays, all, &self.cloud.types, &refused, left));
         // One request asks for so many at most.
         let parts = |r: Rental| {
             let n = r.number.div_ceil(RENT_LIMIT);
@@ -478,10 +581,10 @@
             if !self.may_ask(Retry::Rent) {
                 return;
             }
-            self.cloud.charge(self.now, 1.0);
-            self.renting += 1;
-            self.request_id += 1;
-            let request_id = format!("fq-{}-{}", self.term(), self.request_id);
+            self.cloud.rate.charge(self.now, 1.0);
+            self.autoscaler.renting += 1;
+            self.leadership.request_count += 1;
+            let request_id = format!("fq-{}-{}", self.term(), self.leadership.request_count);
             let body = encode(&RentRequest {
                 request_id: request_id.as_str().into(),
                 machine_type: r.offer.machine_type.as_str().into(),
@@ -502,41 +605,45 @@
     fn return_idle(&mut self) {
         let now = self.now;
         let capacities = self.capacities(true);
-        let boot = self.types.iter().map(|t| t.startup_s).fold(0.0, f64::max);
-        let waits = self.view.jobs.values().any(|j| j.waiting_count() > 0 && j.spec.kind != JobKind::Service);
+        let boot = self.cloud.types.iter().map(|t| t.startup_s).fold(0.0, f64::max);
+        let waits = self.state.jobs.values().any(|j| j.waiting_count() > 0 && j.spec.kind != JobKind::Service);
         if waits {
-            self.pressed_at = Some(now);
+            self.autoscaler.pressed_at = Some(now);
         }
         let plain: Vec<MachineCapacity> = capacities.iter().map(|(_, r)| r.clone()).collect();
         let saves_cost = usize::from(self.saves_cost(&plain));
         // Missed aims are a reason to keep machines only where tasks waited of late.
-        let pressed =
-            self.pressed_at.is_some_and(|t| now.saturating_sub(t) < self.secs(boot * PRESSED_BOOTS[saves_cost]));
-        let keeps = if pressed && self.aims.behind() { BEHIND_KEEPS[saves_cost] } else { 1.0 };
+        let pressed = self
+            .autoscaler
+            .pressed_at
+            .is_some_and(|t| now.saturating_sub(t) < self.secs(boot * PRESSED_BOOTS[saves_cost]));
+        let keeps = if pressed && self.service_levels.objectives.behind() { BEHIND_KEEPS[saves_cost] } else { 1.0 };
         let free: f64 = capacities.iter().map(|(_, r)| r.free_cores()).sum();
-        self.slack.push_back((now, free));
+        self.autoscaler.slack.push_back((now, free));
         // Whoever comes after a machine has to wait for a boot and an image.
-        let pull = self.types.iter().map(|t| t.pull_gb_per_s).fold(f64::MIN_POSITIVE, f64::max);
-        let images = self.view.jobs.values().map(|j| j.spec.image_gb / pull);
-        let again = boot + images.sum::<f64>() / (self.view.jobs.len() as f64).max(1.0);
-        let window = |times: f64| self.secs(again * self.set.operator.idle_boots * times);
+        let pull = self.cloud.types.iter().map(|t| t.pull_gb_per_s).fold(f64::MIN_POSITIVE, f64::max);
+        let images = self.state.jobs.values().map(|j| j.spec.image_gb / pull);
+        let again = boot + images.sum::<f64>() / (self.state.jobs.len() as f64).max(1.0);
+        let window = |times: f64| self.secs(again * self.config.operator.idle_boots * times);
         let (short, long) = (window(1.0), window(keeps));
         let longest = window(BEHIND_KEEPS[0]);
-        while self.slack.front().is_some_and(|(t, _)| now.saturating_sub(*t) > longest) {
-            self.slack.pop_front();
+        while self.autoscaler.slack.front().is_some_and(|(t, _)| now.saturating_sub(*t) > longest) {
+            self.autoscaler.slack.pop_front();
         }
         // The least that was free over a whole window; nothing before that.
         let least = |window: Duration| {
             let whole = self
+                .autoscaler
                 .slack
                 .front()
                 .is_some_and(|(t, _)| now.saturating_sub(*t) + self.heartbeat_intervals(1.0) > window);
-            let within = self.slack.iter().rev().take_while(|(t, _)| now.saturating_sub(*t) <= window);
+            let within = self.autoscaler.slack.iter().rev().take_while(|(t, _)| now.saturating_sub(*t) <= window);
             if whole { within.map(|s| s.1).fold(f64::INFINITY, f64::min) } else { 0.0 }
         };
         let (least_short, least_long) = (least(short), least(long));
-        let standing = |name: &str| self.view.loads.get(name).is_some_and(|l| !l.standing.is_empty());
-        let group_busy = |h: &MachineRecord| self.busy.contains(&records::machine_group_key(&h.group));
+        let standing = |name: &str| self.state.loads.get(name).is_some_and(|l| !l.standing.is_empty());
+        let group_busy =
+            |h: &MachineRecord| self.transactions.locked_keys.contains(&records::machine_group_key(&h.group));
         // Services are not moved for this; of the rest, the dearer kind goes
         // first, and then the least used.
         let mut able: Vec<&MachineCapacity> = capacities
@@ -546,13 +653,13 @@
                 r.total_cores <= if r.spot || saves_cost == 0 { least_long } else { least_short }
                     && !standing(&r.machine)
             })
-            .filter(|r| self.view.machines.get(&r.machine).is_some_and(|h| !h.rec.base && !group_busy(&h.rec)))
+            .filter(|r| self.state.machines.get(&r.machine).is_some_and(|h| !h.rec.base && !group_busy(&h.rec)))
             .collect();
         able.sort_by(|a, b| {
             let used = |r: &MachineCapacity| r.total_cores - r.free_cores();
             a.spot.cmp(&b.spot).then(used(a).total_cmp(&used(b))).then_with(|| b.machine.cmp(&a.machine))
         });
-        let spare = self.writes.level(now) - self.writes.rate * SPARE_WRITES;
+        let spare = self.transactions.rate.level(now) - self.transactions.rate.rate * SPARE_WRITES;
         let most = if self.may_write(0.0) { spare.max(0.0) as usize } else { 0 };
         // Machines beside a standing fleet go one by one: room that several
         // free at once may be wanted again before new ones are up.
@@ -561,7 +668,7 @@
         let mut chosen: Vec<(String, f64)> = Vec::new();
         let mut machine_groups: BTreeMap<String, Vec<String>> = BTreeMap::new();
         for r in able {
-            let Some(h) = self.view.machines.get(&r.machine) else { continue };
+            let Some(h) = self.state.machines.get(&r.machine) else { continue };
             if chosen.len() >= most_machines {
                 break;
             }
@@ -587,7 +694,7 @@
         for (group, names) in machine_groups {
             if self.mark_drain(&group, &names, true) {
                 let cores: f64 = chosen.iter().filter(|c| names.contains(&c.0)).map(|c| c.1).sum();
-                for s in &mut self.slack {
+                for s in &mut self.autoscaler.slack {
                     s.1 -= cores;
                 }
             }
@@ -607,8 +714,8 @@
     /// The change that marks machines of one pack; none while another is under way.
     pub(super) fn marked_group(&self, group: &str, names: &[String], drain: bool) -> Option<([Condition; 2], Op)> {
         let key = records::machine_group_key(group);
-        let p = self.view.machine_groups.get(group).filter(|_| !self.busy.contains(&key))?;
-        let mut rec = self.view.in_force(p);
+        let p = self.state.machine_groups.get(group).filter(|_| !self.transactions.locked_keys.contains(&key))?;
+        let mut rec = self.state.in_force(p);
         rec.drain.retain(|m| !names.contains(m));
         if drain {
             rec.drain.extend_from_slice(names);
@@ -619,19 +726,19 @@
 
     /// Machines of a kind, in one pack, that are being drained and not released yet.
     fn draining(&self, offer: &Offer) -> Option<(String, Vec<String>)> {
-        let campaign = |m: &String| self.view.maintenance.as_ref().is_some_and(|u| u.rec.wave.contains(m));
+        let campaign = |m: &String| self.state.maintenance.as_ref().is_some_and(|u| u.rec.wave.contains(m));
         let same = |p: &MachineGroupRecord| {
             p.machine_type == offer.machine_type && p.zone == offer.zone && p.spot == offer.spot
         };
         let mut machine_groups = self
-            .view
+            .state
             .machine_groups
             .iter()
-            .filter(|(_, p)| !p.rec.drain.is_empty() && same(&p.rec) && self.view.held(p));
+            .filter(|(_, p)| !p.rec.drain.is_empty() && same(&p.rec) && self.state.held(p));
         machine_groups.find_map(|(group, p)| {
             let kept: Vec<String> =
-                p.rec.drain.iter().filter(|m| self.view.placed.contains_key(*m) && !campaign(m)).cloned().collect();
-            let free = !self.busy.contains(&records::machine_group_key(group));
+                p.rec.drain.iter().filter(|m| self.state.placed.contains_key(*m) && !campaign(m)).cloned().collect();
+            let free = !self.transactions.locked_keys.contains(&records::machine_group_key(group));
             (free && !kept.is_empty()).then(|| (group.clone(), kept))
         })
     }
--- a/src/controller/capacity.rs
+++ b/src/controller/capacity.rs
@@ -19,15 +19,15 @@
         let silent = self.heartbeat_intervals(2.5);
         let now = self.now;
         let mut capacities = Vec::new();
-        for (name, h) in &self.view.machines {
+        for (name, h) in &self.state.machines {
             let mine = self.owns(h);
             let Some(t) = self.machine_type(&h.rec.machine_type) else { continue };
-            if h.rec.drain || (!mine && !everyone) || !self.view.owned(&h.rec) || !self.is_up(name) {
+            if h.rec.drain || (!mine && !everyone) || !self.state.owned(&h.rec) || !self.is_up(name) {
                 continue;
             }
             let mut capacity = MachineCapacity::empty(name, t, &h.rec.zone, h.rec.spot);
             if mine {
-                let Some(m) = self.machines.get(name) else { continue };
+                let Some(m) = self.agents.machines.get(name) else { continue };
                 let quiet = self.now.saturating_sub(m.heard_at.unwrap_or(m.owned_since));
                 let ready = m.heard_at.is_some() && quiet < silent && m.fencing_token == m.token();
                 // One that has just joined cannot take tasks yet, but it is
@@ -37,17 +37,17 @@
                     continue;
                 }
                 // What runs there though it should not takes room as well.
-                let placed = self.view.placed.get(name);
+                let placed = self.state.placed.get(name);
                 for s in m.tasks.iter().filter(|s| s.state != crate::protocol::worker::TaskState::Exited) {
                     if placed.is_none_or(|p| !p.contains_key(&(s.task.job.clone(), s.task.index))) {
-                        match self.view.jobs.get(&s.task.job) {
+                        match self.state.jobs.get(&s.task.job) {
                             Some(j) => capacity.take(&j.spec, 1),
                             None => capacity.cores = 0.0,
                         }
                     }
                 }
             }
-            if let Some(load) = self.view.loads.get(name) {
+            if let Some(load) = self.state.loads.get(name) {
                 let mut takes = load.all;
                 if counted == Counted::Lasting {
                     takes.cores -= load.arrays.cores;
@@ -60,12 +60,12 @@
                 capacity.mem_gb -= takes.mem_gb;
                 capacity.images[0] = load.images.clone();
             }
-            if !mine && let Some(images) = self.images.get(name) {
+            if !mine && let Some(images) = self.agents.images.get(name) {
                 capacity.images[1] = images.clone();
             }
-            if let Some(m) = self.machines.get(name).filter(|_| mine) {
+            if let Some(m) = self.agents.machines.get(name).filter(|_| mine) {
                 capacity.images[1] = m.images.clone();
-                if let Some(load) = self.view.loads.get(name) {
+                if let Some(load) = self.state.loads.get(name) {
                     let coming = load.by_image.iter().filter(|(i, _)| !m.images.contains(*i));
                     capacity.fetching_gb = coming
                         .map(|(i, b)| {
@@ -76,9 +76,9 @@
                         .sum();
                 }
                 // Freed room counts at once, not only when the exit is stored.
-                let placed = self.view.placed.get(name);
+                let placed = self.state.placed.get(name);
                 for (job, index, attempt) in m.over() {
-                    if let Some(j) = self.view.jobs.get(job)
+                    if let Some(j) = self.state.jobs.get(job)
                         && placed.is_some_and(|p| p.get(&(job.clone(), *index)) == Some(attempt))
                         && (counted == Counted::All || j.spec.kind != JobKind::Array)
                     {
@@ -93,7 +93,7 @@
 
     /// A service goes where its image is, even if arrays must make room there.
     pub(super) fn counted(&self, spec: &JobSpec) -> Counted {
-        let soon = spec.kind == JobKind::Service && self.aims.start_within(spec).is_some();
+        let soon = spec.kind == JobKind::Service && self.service_levels.objectives.start_within(spec).is_some();
         if soon { Counted::Lasting } else { Counted::All }
     }
 }
--- a/src/controller/connectivity.rs
+++ b/src/controller/connectivity.rs
@@ -7,6 +7,49 @@
 use crate::connectivity::fit::{self, Turns};
 use crate::protocol::peer::{FRAME_LIMIT, Heard, Revocations};
 
+/// Which controllers and machines reach each other, as far as is known here.
+#[derive(Debug)]
+pub(super) struct Connectivity {
+    /// The other controllers, by their heartbeats.
+    pub(super) peers: Links,
+    /// Heartbeats came since the connections were last looked at.
+    pub(super) changed: bool,
+    /// Controllers that do not hear their machines.
+    pub(super) deaf: Deaf,
+    /// Zones of which most of our machines were silent, until when they count as cut off.
+    pub(super) cut_until: HashMap<String, Instant>,
+    /// Machines that came here though others own them, and when first.
+    pub(super) strays: HashMap<String, Instant>,
+    /// The grant of each machine, as it became known here.
+    pub(super) owned: HashMap<String, Owned>,
+    /// The state of the replica's machine records that `owned` follows.
+    pub(super) owners_seen: Option<u64>,
+    /// Machines that do not reach their owner, and since when that is known.
+    pub(super) unreached_since: HashMap<String, Instant>,
+    /// Heartbeats sent.
+    pub(super) heartbeats: usize,
+    /// When the next heartbeat goes out.
+    pub(super) heartbeat_next: Instant,
+}
+
+impl Connectivity {
+    /// Nothing is known of the other controllers yet.
+    pub(super) fn new(peers: Links) -> Connectivity {
+        Connectivity {
+            peers,
+            changed: false,
+            deaf: Deaf::default(),
+            cut_until: HashMap::new(),
+            strays: HashMap::new(),
+            owned: HashMap::new(),
+            owners_seen: None,
+            unreached_since: HashMap::new(),
+            heartbeats: 0,
+            heartbeat_next: Duration::ZERO,
+        }
+    }
+}
+
 /// So many beats tell of the images of all machines.
 const BEATS_PER_ROUND: usize = 4;
 /// So many silent machines are asked after in one beat.
@@ -25,32 +68,33 @@
     pub(super) fn heartbeat(&mut self) {
         let keep = self.round_of_all() + self.heartbeat_intervals(1.0);
         let now = self.now;
-        let view = &self.view;
-        self.hearing.prune(now, keep, |m| view.machines.contains_key(m));
-        if self.ses.following() {
-            self.images.retain(|m, _| view.machines.contains_key(m));
+        let view = &self.state;
+        self.agents.hearing.prune(now, keep, |m| view.machines.contains_key(m));
+        if self.store.session.following() {
+            self.agents.images.retain(|m, _| view.machines.contains_key(m));
         }
         let millis = |d: Duration| d.as_millis() as u64;
-        let (seq, acknowledgements) = self.links.send(now);
-        self.probed.retain(|_, t| now.saturating_sub(*t) < keep);
+        let (seq, acknowledgements) = self.connectivity.peers.send(now);
+        self.agents.probed.retain(|_, t| now.saturating_sub(*t) < keep);
         let silent = self.silent_machines();
         self.probe(&silent);
         let mut heartbeat = PeerHeartbeat {
             silent,
-            reached: self.probed.iter().map(|(m, t)| (m.clone(), millis(now.saturating_sub(*t)))).collect(),
-            incarnation: self.incarnation,
+            reached: self.agents.probed.iter().map(|(m, t)| (m.clone(), millis(now.saturating_sub(*t)))).collect(),
+            incarnation: self.process.incarnation,
             seq,
             acknowledgements,
-            members: if self.ses.following() && self.fresh() { self.live_members() } else { Vec::new() },
-            revision: self.ses.following().then_some(self.view.revision),
-            known_revision: self.view.known_revision(),
+            members: if self.store.session.following() && self.fresh() { self.live_members() } else { Vec::new() },
+            revision: self.store.session.following().then_some(self.state.revision),
+            known_revision: self.state.known_revision(),
             revocations: self.revocations(),
-            rented: if self.am_leader() { self.young.iter().cloned().collect() } else { Vec::new() },
-            unlisted: if self.am_leader() { self.unlisted.iter().cloned().collect() } else { Vec::new() },
+            rented: if self.am_leader() { self.autoscaler.young.iter().cloned().collect() } else { Vec::new() },
+            unlisted: if self.am_leader() { self.cloud.unlisted.iter().cloned().collect() } else { Vec::new() },
             held: Vec::new(),
             images: Vec::new(),
-            stale_ms: self.ses.staleness(now).map_or(u64::MAX, millis),
+            stale_ms: self.store.session.staleness(now).map_or(u64::MAX, millis),
             heard: self
+                .agents
                 .hearing
                 .all()
                 .map(|(m, t, (agent_epoch, heartbeat_seq))| {
@@ -59,39 +103,40 @@
                 })
                 .collect(),
         };
-        self.heartbeats = self.heartbeats.wrapping_add(1);
-        for (n, name) in self.view.machines.keys().enumerate() {
-            if (n + self.heartbeats).is_multiple_of(BEATS_PER_ROUND)
+        self.connectivity.heartbeats = self.connectivity.heartbeats.wrapping_add(1);
+        for (n, name) in self.state.machines.keys().enumerate() {
+            if (n + self.connectivity.heartbeats).is_multiple_of(BEATS_PER_ROUND)
                 && let Some(images) = self.held_images(name).filter(|i| !i.is_empty())
             {
                 heartbeat.note_images(name, images.iter());
             }
         }
-        let turns = Turns { heartbeats: self.heartbeats, held: self.heartbeats / BEATS_PER_ROUND };
+        let turns =
+            Turns { heartbeats: self.connectivity.heartbeats, held: self.connectivity.heartbeats / BEATS_PER_ROUND };
         fit::fit(&mut heartbeat, turns, |machine| self.told_first(machine));
-        for other in &self.set.others {
+        for other in &self.config.others {
             let frame = Frame::PeerHeartbeat(Box::new(heartbeat.clone()));
-            self.out.push(Action::Send { member: other.member.clone(), frame });
+            self.outbox.actions.push(Action::Send { member: other.member.clone(), frame });
         }
     }
 
     /// Whether a beat that leaves hearing out must have this machine's: another controller
     /// owns or hears it, or it has no task by which the others know that it is up.
     fn told_first(&self, machine: &str) -> bool {
-        let ours = self.owner_of(machine).is_some_and(|owner| *owner == self.me);
-        !ours || self.links.knows(machine) || !self.view.loads.contains_key(machine)
+        let ours = self.owner_of(machine).is_some_and(|owner| *owner == self.process.member);
+        !ours || self.connectivity.peers.knows(machine) || !self.state.loads.contains_key(machine)
     }
 
     /// What others must know of that they have not seen, as far as they said.
     fn revocations(&self) -> Option<Revocations> {
-        if !self.ses.following() || !self.view.has_all_known() {
+        if !self.store.session.following() || !self.state.has_all_known() {
             return None;
         }
-        let spoke = self.secs(self.set.settings.workers.lease_s);
-        let since = self.links.seen_by_all(self.now, spoke).unwrap_or(self.view.revision);
+        let spoke = self.secs(self.config.settings.workers.lease_s);
+        let since = self.connectivity.peers.seen_by_all(self.now, spoke).unwrap_or(self.state.revision);
         let named = |(name, at): (&String, u64)| (name.clone(), at);
-        let cancelled: Vec<(String, u64)> = self.view.cancelled_since(since).map(named).collect();
-        let granted: Vec<(String, u64)> = self.view.granted_since(since).map(named).collect();
+        let cancelled: Vec<(String, u64)> = self.state.cancelled_since(since).map(named).collect();
+        let granted: Vec<(String, u64)> = self.state.granted_since(since).map(named).collect();
         let bytes = |list: &[(String, u64)]| -> usize {
             list.iter().map(|(name, _)| name.len() + size_of::<(u32, u64)>()).sum()
         };
@@ -101,19 +146,19 @@
 
     /// Lets go of jobs that another controller knows to be cancelled.
     pub(super) fn apply_revocations(&mut self, revocations: &Revocations) {
-        if !self.ses.following() {
+        if !self.store.session.following() {
             return;
         }
-        let revision = self.view.revision;
+        let revision = self.state.revision;
         let (mut let_go, mut newest) = (0, 0);
         for (uid, at) in revocations.cancelled.iter().filter(|(_, at)| *at > revision) {
-            if !self.view.lets_go(uid) {
-                self.view.cancelled_elsewhere(uid, *at);
+            if !self.state.lets_go(uid) {
+                self.state.cancelled_elsewhere(uid, *at);
                 (let_go, newest) = (let_go + 1, (*at).max(newest));
             }
         }
         if let_go > 0 {
-            self.dirty = true;
+            self.scheduler.dirty = true;
             tracing::info!(jobs = let_go, revision, newest, "withdrawn by word of another controller");
         }
     }
@@ -121,27 +166,27 @@
     /// Whether all that is owed is heeded: the jobs are let go, and no machine of ours
     /// was granted since.
     fn has_applied(&self, revocations: &Revocations) -> bool {
-        let revision = self.view.revision;
-        let ours = |m: &str, at: u64| self.view.machines.get(m).is_some_and(|h| self.owns(h) && h.rec.granted < at);
-        revocations.cancelled.iter().all(|(uid, at)| *at <= revision || self.view.lets_go(uid))
+        let revision = self.state.revision;
+        let ours = |m: &str, at: u64| self.state.machines.get(m).is_some_and(|h| self.owns(h) && h.rec.granted < at);
+        revocations.cancelled.iter().all(|(uid, at)| *at <= revision || self.state.lets_go(uid))
             && !revocations.granted.iter().any(|(m, at)| *at > revision && ours(m, *at))
     }
 
     /// The images that a machine of any block is known to hold.
     pub(super) fn held_images(&self, machine: &str) -> Option<&Images> {
-        self.machines.get(machine).map(|m| &m.images).or_else(|| self.images.get(machine))
+        self.agents.machines.get(machine).map(|m| &m.images).or_else(|| self.agents.images.get(machine))
     }
 
     /// Takes in what another controller knows of images: of its machines, and
     /// of ours from before we started.
     pub(super) fn note_images(&mut self, heartbeat: &PeerHeartbeat) {
         for (machine, images) in heartbeat.images() {
-            if !self.view.machines.contains_key(machine) {
+            if !self.state.machines.contains_key(machine) {
                 continue;
             }
-            let known = match self.machines.get_mut(machine) {
+            let known = match self.agents.machines.get_mut(machine) {
                 Some(m) => &mut m.images,
-                None => self.images.entry(machine.to_string()).or_default(),
+                None => self.agents.images.entry(machine.to_string()).or_default(),
             };
             for image in images {
                 if !known.contains(image) {
@@ -158,7 +203,7 @@
             (self.heartbeat_intervals(agents::HEARD_REPORTS), self.round_of_all() + self.heartbeat_intervals(2.0));
         let silent = |m: &Machine| m.heard_at.map_or(Duration::MAX, |t| self.now.saturating_sub(t));
         let fell = |m: &Machine| !m.releasing && !m.addr.is_empty() && silent(m) >= from && silent(m) < to;
-        let mut out: Vec<(&String, &Machine)> = self.machines.iter().filter(|(_, m)| fell(m)).collect();
+        let mut out: Vec<(&String, &Machine)> = self.agents.machines.iter().filter(|(_, m)| fell(m)).collect();
         out.sort_by_key(|(_, m)| silent(m));
         out.into_iter().take(ASKS).map(|(name, m)| (name.clone(), m.addr.clone())).collect()
     }
@@ -168,7 +213,7 @@
     pub(super) fn probe(&mut self, silent: &[(String, String)]) {
         for (machine, addr) in silent.iter().take(ASKS) {
             let Ok(addr) = addr.parse() else { continue };
-            let purpose = Purpose::Probe { machine: machine.clone(), known: self.hearing.newest(machine) };
+            let purpose = Purpose::Probe { machine: machine.clone(), known: self.agents.hearing.newest(machine) };
             self.call(Target::Worker(addr), "GET", "/show".into(), None, self.heartbeat_intervals(1.0), purpose);
         }
     }
@@ -176,7 +221,7 @@
     /// Calls a machine whose report may be a copy: of one that nobody knows, or that
     /// says less than is known.
     pub(super) fn call_back(&mut self, report: &Heartbeat) {
-        if self.hearing.may_call(&report.machine, self.now, self.heartbeat_intervals(1.0)) {
+        if self.agents.hearing.may_call(&report.machine, self.now, self.heartbeat_intervals(1.0)) {
             self.probe(&[(report.machine.clone(), report.addr.clone())]);
         }
     }
@@ -186,25 +231,26 @@
         let report = report.and_then(|r| crate::protocol::decode::<Heartbeat>(&r.body).ok());
         let Some(report) = report.filter(|r| r.machine == machine) else { return };
         // Its owner may be about to return it.
-        self.heartbeat_next = self.heartbeat_next.min(self.now + self.heartbeat_intervals(STRAY_BEAT));
-        self.probed.insert(machine.clone(), self.now);
+        self.connectivity.heartbeat_next =
+            self.connectivity.heartbeat_next.min(self.now + self.heartbeat_intervals(STRAY_BEAT));
+        self.agents.probed.insert(machine.clone(), self.now);
         let at = (report.agent_epoch, report.heartbeat_seq);
-        let belied = self.machines.get(&machine).is_some_and(|m| at > m.at && m.belies(report.fencing_token));
+        let belied = self.agents.machines.get(&machine).is_some_and(|m| at > m.at && m.belies(report.fencing_token));
         if at < known || belied {
             // It said this after we called, so its counters or its token went back: it ended.
             tracing::info!(%machine, agent_epoch = at.0, heartbeat_seq = at.1, "machine began anew");
-            self.hearing.begins_anew(&machine, at, self.now);
-            if let Some(m) = self.machines.get_mut(&machine) {
+            self.agents.hearing.begins_anew(&machine, at, self.now);
+            if let Some(m) = self.agents.machines.get_mut(&machine) {
                 m.begin_anew(&report);
                 m.heard_at = Some(self.now);
-                self.dirty = true;
+                self.scheduler.dirty = true;
             }
         }
         self.retry_held();
     }
 
     fn live_members(&self) -> Vec<(String, u64)> {
-        self.view.members.iter().map(|(m, r)| (m.clone(), r.rec.incarnation)).collect()
+        self.state.members.iter().map(|(m, r)| (m.clone(), r.rec.incarnation)).collect()
     }
 
     /// Whom a worker should go to while we may not act or should not: somebody
@@ -213,16 +259,17 @@
         if self.fresh() {
             return None;
         }
-        let expelled = self.links.expelled_by(self.now);
-        let served = || self.links.served(self.now, self.heartbeat_intervals(1.0)).filter(|_| !self.entitled());
+        let expelled = self.connectivity.peers.expelled_by(self.now);
+        let served =
+            || self.connectivity.peers.served(self.now, self.heartbeat_intervals(1.0)).filter(|_| !self.entitled());
         expelled.or_else(served).map(Into::into)
     }
 
     /// How long a worker that can reach few of the controllers may take to come
     /// round to one of them.
     pub(super) fn round_of_all(&self) -> Duration {
-        let w = &self.set.settings.workers;
-        let round = agents::WORKER_MOVES_S * self.set.controllers() as f64;
+        let w = &self.config.settings.workers;
+        let round = agents::WORKER_MOVES_S * self.config.controllers() as f64;
         self.secs(round.min(w.lease_s)).max(self.heartbeat_intervals(3.0))
     }
 
@@ -234,11 +281,15 @@
     /// A worker that should have reported to its owner came here: the others
     /// hear of it sooner than by the next beat.
     pub(super) fn note_stray(&mut self, machine: &str) {
-        let known =
-            self.strays.get(machine).is_some_and(|t| self.now.saturating_sub(*t) < self.heartbeat_intervals(2.0));
+        let known = self
+            .connectivity
+            .strays
+            .get(machine)
+            .is_some_and(|t| self.now.saturating_sub(*t) < self.heartbeat_intervals(2.0));
         if !known {
-            self.strays.insert(machine.to_string(), self.now);
-            self.heartbeat_next = self.heartbeat_next.min(self.now + self.heartbeat_intervals(STRAY_BEAT));
+            self.connectivity.strays.insert(machine.to_string(), self.now);
+            self.connectivity.heartbeat_next =
+                self.connectivity.heartbeat_next.min(self.now + self.heartbeat_intervals(STRAY_BEAT));
         }
     }
 
@@ -248,71 +299,71 @@
         let now = self.now;
         self.note_owners();
         let strays_since = self.round_of_all();
-        self.avoid.retain(|_, t| *t > now);
-        self.strays.retain(|_, t| now.saturating_sub(*t) < strays_since);
-        if !std::mem::take(&mut self.links_dirty) && self.strays.is_empty() {
+        self.sharding.avoid.retain(|_, t| *t > now);
+        self.connectivity.strays.retain(|_, t| now.saturating_sub(*t) < strays_since);
+        if !std::mem::take(&mut self.connectivity.changed) && self.connectivity.strays.is_empty() {
             return;
         }
         let leads = self.am_leader();
         // Machines that reported to somebody else than their owner, and when.
         let mut others: HashMap<&str, Instant> = HashMap::new();
         let mut note = |machine: &'_ str, by: &str, at: Instant| {
-            let Some((name, h)) = self.view.machines.get_key_value(machine) else { return };
-            let ours = h.rec.owner == self.me;
-            if h.rec.owner != by && (leads || ours) && self.view.owned(&h.rec) {
+            let Some((name, h)) = self.state.machines.get_key_value(machine) else { return };
+            let ours = h.rec.owner == self.process.member;
+            if h.rec.owner != by && (leads || ours) && self.state.owned(&h.rec) {
                 let last = others.entry(name).or_default();
                 *last = (*last).max(at);
             }
         };
-        for (machine, at, _) in self.hearing.all() {
-            note(machine, &self.me, at);
+        for (machine, at, _) in self.agents.hearing.all() {
+            note(machine, &self.process.member, at);
         }
-        for (member, p) in self.links.peers() {
-            if self.links.news(member).is_some() {
+        for (member, p) in self.connectivity.peers.peers() {
+            if self.connectivity.peers.news(member).is_some() {
                 p.heard().for_each(|(machine, age, _)| note(machine, member, p.at.saturating_sub(age)));
             }
         }
         let mut unreached: BTreeMap<&str, Vec<&str>> = BTreeMap::new();
         for (name, at) in &others {
-            let Some(h) = self.view.machines.get(*name) else { continue };
+            let Some(h) = self.state.machines.get(*name) else { continue };
             if self.sight(name, &h.rec.owner, Some(*at)).unreached().is_some() {
                 unreached.entry(&h.rec.owner).or_default().push(name);
             }
         }
         let mut found: Vec<(String, Account, usize)> = Vec::new();
         for (owner, machines) in &unreached {
-            let shard = self.view.machines.iter().filter(|(_, h)| h.rec.owner == **owner);
+            let shard = self.state.machines.iter().filter(|(_, h)| h.rec.owner == **owner);
             let sights: Vec<Sight> =
                 shard.map(|(name, _)| self.sight(name, owner, others.get(name.as_str()).copied())).collect();
             found.push((owner.to_string(), of_owner(&sights), machines.len()));
         }
         let mut unreached_since = HashMap::new();
         for name in unreached.values().flatten() {
-            let since = self.unreached_since.get(*name).copied().unwrap_or(now);
+            let since = self.connectivity.unreached_since.get(*name).copied().unwrap_or(now);
             unreached_since.insert(name.to_string(), since);
         }
-        self.unreached_since = unreached_since;
-        let pause = self.secs(self.set.settings.workers.lease_s);
+        self.connectivity.unreached_since = unreached_since;
+        let pause = self.secs(self.config.settings.workers.lease_s);
         for (owner, account, machines) in found {
-            if self.deaf.note(&owner, account, now, pause) {
+            if self.connectivity.deaf.note(&owner, account, now, pause) {
                 tracing::info!(member = %owner, machines, "does not hear its machines, others do");
                 // Whoever can act on it hears of it at once.
-                self.lead_next = now;
+                self.leadership.check_next = now;
             }
         }
     }
 
     /// Since when each machine belongs to its owner, as far as is known here.
     fn note_owners(&mut self) {
-        if self.owners_seen == Some(self.view.machines_changed) {
+        if self.connectivity.owners_seen == Some(self.state.machines_changed) {
             return;
         }
-        self.owners_seen = Some(self.view.machines_changed);
-        let (now, view) = (self.now, &self.view);
-        self.owned.retain(|name, _| view.machines.contains_key(name));
+        self.connectivity.owners_seen = Some(self.state.machines_changed);
+        let (now, view) = (self.now, &self.state);
+        self.connectivity.owned.retain(|name, _| view.machines.contains_key(name));
         for (name, h) in &view.machines {
             let (grant, owner) = (h.rec.granted, &h.rec.owner);
-            match self.owned.get_mut(name) {
+            match self.connectivity.owned.get_mut(name) {
                 Some(known) if known.grant == grant => {}
                 Some(known) => {
                     (known.grant, known.since) = (grant, now);
@@ -320,7 +371,7 @@
                 }
                 None => {
                     let owned = Owned { grant, since: now, owner: owner.clone(), from: None };
-                    self.owned.insert(name.clone(), owned);
+                    self.connectivity.owned.insert(name.clone(), owned);
                 }
             }
         }
@@ -329,18 +380,18 @@
     /// Whether a machine that never reported to us may still be answered by its
     /// owner before us, which is not known to have seen that it is ours.
     pub(super) fn may_be_answered(&self, machine: &str) -> bool {
-        self.owned
-            .get(machine)
-            .is_some_and(|o| o.from.as_ref().is_some_and(|m| *m != self.me && !self.links.has_seen(m, o.grant)))
+        self.connectivity.owned.get(machine).is_some_and(|o| {
+            o.from.as_ref().is_some_and(|m| *m != self.process.member && !self.connectivity.peers.has_seen(m, o.grant))
+        })
     }
 
     fn sight(&self, machine: &str, owner: &str, by_other: Option<Instant>) -> Sight {
-        let (by_owner, owner_says_at) = if owner == self.me {
-            (self.hearing.heard(machine), Some(self.now))
+        let (by_owner, owner_says_at) = if owner == self.process.member {
+            (self.agents.hearing.heard(machine), Some(self.now))
         } else {
-            (self.links.heard_at(owner, machine), self.links.news(owner).map(|p| p.at))
+            (self.connectivity.peers.heard_at(owner, machine), self.connectivity.peers.news(owner).map(|p| p.at))
         };
-        let owned_since = self.owned.get(machine).map_or(self.now, |o| o.since);
+        let owned_since = self.connectivity.owned.get(machine).map_or(self.now, |o| o.since);
         Sight { by_owner, owner_says_at, by_other, owned_since }
     }
 
@@ -351,30 +402,30 @@
         let lasting = self.heartbeat_intervals(UNREACHED_REPORTS);
         let long = |t: &Instant| self.now.saturating_sub(*t) >= lasting;
         let mut names: BTreeSet<&str> =
-            self.unreached_since.iter().filter(|(_, t)| long(t)).map(|(name, _)| name.as_str()).collect();
-        for member in self.view.members.keys() {
-            names.extend(self.links.misses(member).filter(|name| self.owner_of(name) == Some(member)));
+            self.connectivity.unreached_since.iter().filter(|(_, t)| long(t)).map(|(name, _)| name.as_str()).collect();
+        for member in self.state.members.keys() {
+            names.extend(self.connectivity.peers.misses(member).filter(|name| self.owner_of(name) == Some(member)));
         }
         let own = self.silent_machines();
-        names.extend(own.iter().map(|(name, _)| name.as_str()).filter(|name| !self.probed.contains_key(*name)));
+        names.extend(own.iter().map(|(name, _)| name.as_str()).filter(|name| !self.agents.probed.contains_key(*name)));
         let known = |name: &str, member: &str| {
-            if member == self.me {
-                return self.hearing.heard(name).max(self.probed.get(name).copied());
+            if member == self.process.member {
+                return self.agents.hearing.heard(name).max(self.agents.probed.get(name).copied());
             }
-            self.links.heard_at(member, name).max(self.links.reached_at(member, name))
+            self.connectivity.peers.heard_at(member, name).max(self.connectivity.peers.reached_at(member, name))
         };
         let near = self.heartbeat_intervals(2.0);
         // One that hears nothing comes round to all in turn. Moved once, it is moved
         // again only if it does not come to its new owner either.
         let (now, round) = (self.now, self.round_of_all());
-        let moved: BTreeSet<&str> = self.avoid.keys().map(|(machine, _)| machine.as_str()).collect();
+        let moved: BTreeSet<&str> = self.sharding.avoid.keys().map(|(machine, _)| machine.as_str()).collect();
         let settled = |name: &str, owner: &str| {
-            let since = self.owned.get(name).map_or(now, |o| o.since);
+            let since = self.connectivity.owned.get(name).map_or(now, |o| o.since);
             !moved.contains(name) || now.saturating_sub(since) > round && known(name, owner).is_none_or(|t| t < since)
         };
         let by_whom = |name: &str| {
             let owner = self.owner_of(name).filter(|owner| settled(name, owner))?;
-            let able = self.view.members.keys().filter(|m| *m != owner && !self.deaf.is(m, self.now));
+            let able = self.state.members.keys().filter(|m| *m != owner && !self.connectivity.deaf.is(m, self.now));
             let hears = able.filter_map(|m| Some((known(name, m)?, m))).max()?;
             (self.now.saturating_sub(hears.0) < near).then(|| (name.to_string(), hears.1.clone()))
         };
@@ -382,26 +433,29 @@
     }
 
     fn owner_of(&self, machine: &str) -> Option<&String> {
-        self.view.machines.get(machine).map(|h| &h.rec.owner)
+        self.state.machines.get(machine).map(|h| &h.rec.owner)
     }
 
     /// Whether a machine reaches a controller, as far as is known.
     pub(super) fn reaches(&self, machine: &str, member: &str) -> bool {
-        self.avoid.get(&(machine.to_string(), member.to_string())).is_none_or(|t| *t <= self.now)
+        self.sharding.avoid.get(&(machine.to_string(), member.to_string())).is_none_or(|t| *t <= self.now)
     }
 
     /// The other live controllers, and how many of them are heard both ways.
     pub(super) fn speaking(&self) -> Group {
-        let others = || self.view.members.keys().filter(|m| **m != self.me);
-        Group { heard: others().filter(|m| self.links.both_ways(m, self.now)).count(), all: others().count() }
+        let others = || self.state.members.keys().filter(|m| **m != self.process.member);
+        Group {
+            heard: others().filter(|m| self.connectivity.peers.both_ways(m, self.now)).count(),
+            all: others().count(),
+        }
     }
 
     /// When this controller's view was last known to be the newest there is: by
     /// its own read of the store, or by the word of all others.
     pub(super) fn surely_fresh_at(&self) -> Option<Instant> {
-        let others = self.set.others.iter().map(|o| &o.member);
-        self.ses
-            .fresh_at
-            .max(self.links.attested(others, self.view.revision, |revocations| self.has_applied(revocations)))
+        let others = self.config.others.iter().map(|o| &o.member);
+        self.store.session.fresh_at.max(
+            self.connectivity.peers.attested(others, self.state.revision, |revocations| self.has_applied(revocations)),
+        )
     }
 }
--- a/src/controller/journal.rs
+++ b/src/controller/journal.rs
@@ -15,6 +15,19 @@
 use crate::state::log_segment::{Facts, LogSegmentRecord, RING, bytes};
 use crate::state::records::{Placement, TaskRangeCheckpoint};
 
+/// This controller's log: what is written next, and what is being compacted.
+#[derive(Debug, Default)]
+pub(super) struct Journal {
+    /// Exits of tasks that are not stored yet, by job.
+    pub(super) exits: BTreeMap<String, Change>,
+    /// When the next segment goes, and what is in doubt of the last ones.
+    pub(super) writer: Writer,
+    /// Checkpoints are under way.
+    pub(super) compacting: bool,
+    /// Jobs that are complete, and whose record this controller has to end.
+    pub(super) ending: BTreeSet<String>,
+}
+
 /// Facts that can wait go this often, in report intervals.
 const PACE_REPORTS: f64 = 1.0 / 16.0;
 /// A segment's answer is waited for so long, in report intervals; what comes later
@@ -47,24 +60,24 @@
 
 impl Controller {
     fn log_slot(&self) -> (u64, String, u64) {
-        let log = self.view.logs.get(&self.me);
+        let log = self.state.logs.get(&self.process.member);
         let seq = log.map_or(0, |l| l.seq) + 1;
         let version = log.and_then(|l| l.slots.get(&(seq % RING))).map_or(0, |s| s.version);
-        (seq, records::log_key(&self.me, seq), version)
+        (seq, records::log_key(&self.process.member, seq), version)
     }
 
     /// Whether a segment may be put together now.
     pub(super) fn log_ready(&self) -> bool {
-        !self.log.busy && !self.outdated.contains_key(&self.log_slot().1)
+        !self.journal.writer.busy && !self.transactions.outdated.contains_key(&self.log_slot().1)
     }
 
     /// Puts the next segment together and sends it. `order` are the jobs with
     /// something to write down, what matters most first.
     pub(super) fn write_segment(&mut self, order: &[String], mut starts: BTreeMap<String, Vec<Start>>) {
-        let st = self.set.settings.state.clone();
+        let st = self.config.settings.state.clone();
         let (seq, key, version) = self.log_slot();
         let Ok(mut folds) = self.folds_of_slot(seq) else {
-            self.dirty = true;
+            self.scheduler.dirty = true;
             return;
         };
         let capacity = st.txn_ops.saturating_sub(2).max(1);
@@ -82,7 +95,7 @@
             let full = !self.draft_exits(&mut draft, uid)
                 || !self.draft_starts(&mut draft, uid, &starts, &mut taken, &mut near);
             if full {
-                self.dirty = true;
+                self.scheduler.dirty = true;
                 break;
             }
         }
@@ -107,7 +120,7 @@
                     keys.push(key);
                 }
                 None => {
-                    self.parts.entry(team.clone()).or_default().sent(t.amounts);
+                    self.quota.by_team.entry(team.clone()).or_default().sent(t.amounts);
                     parts.push((team, t.amounts));
                 }
             }
@@ -117,7 +130,7 @@
             txn.conditions.push(cond);
             txn.ops.push(op);
         }
-        self.log.sent(self.now, self.heartbeat_intervals(PACE_REPORTS));
+        self.journal.writer.sent(self.now, self.heartbeat_intervals(PACE_REPORTS));
         let timeout = self.heartbeat_intervals(ANSWER_REPORTS);
         self.send_txn_within(txn, Why::Segment { facts: draft.facts, parts }, keys, timeout);
     }
@@ -125,20 +138,20 @@
     /// Whether the machine is ours by a grant that the view has reached, and that
     /// no refusal has put in doubt: then what conditions writes about it need.
     fn grant_conds(&self, machine: &str) -> Option<Vec<(String, u64)>> {
-        let h = self.view.machines.get(machine).filter(|h| self.owns(h) && h.rec.granted <= self.view.revision)?;
+        let h = self.state.machines.get(machine).filter(|h| self.owns(h) && h.rec.granted <= self.state.revision)?;
         let group = records::machine_group_key(&h.rec.group);
         // What an earlier incarnation sent late must not take back a place that
         // its successor relies on.
         let shard = self.shard_condition();
-        let known = |key: &str| !self.outdated.contains_key(key);
+        let known = |key: &str| !self.transactions.outdated.contains_key(key);
         (known(&group) && known(&shard.key)).then(|| vec![(group, h.version), (shard.key, shard.version)])
     }
 
     /// Takes the job's exits into the draft; false if it is full.
     fn draft_exits(&mut self, draft: &mut Draft, uid: &str) -> bool {
-        let Some(mut change) = self.changes.remove(uid) else { return true };
-        let Some(job) = self.view.jobs.get(uid) else { return true };
-        let size = self.view.chunk_size;
+        let Some(mut change) = self.journal.exits.remove(uid) else { return true };
+        let Some(job) = self.state.jobs.get(uid) else { return true };
+        let size = self.state.chunk_size;
         let mut full = false;
         let done = Need { bytes: bytes::DONE, ..Need::default() };
         change.done.retain(|index| {
@@ -165,7 +178,7 @@
             full
         });
         if full {
-            self.changes.insert(uid.to_string(), change);
+            self.journal.exits.insert(uid.to_string(), change);
         }
         !full
     }
@@ -173,7 +186,9 @@
     /// Whether the attempt was proved gone under the grant in force. A machine that went to
     /// another controller and came back may have run it on: what was proved before is none.
     fn proved_gone(&self, machine: &str, uid: &str, index: u32, attempt: u64) -> bool {
-        let (Some(m), Some(h)) = (self.machines.get(machine), self.view.machines.get(machine)) else { return false };
+        let (Some(m), Some(h)) = (self.agents.machines.get(machine), self.state.machines.get(machine)) else {
+            return false;
+        };
         m.is_under(h.rec.term, h.rec.epoch) && m.gone.contains(&(uid.to_string(), index, attempt))
     }
 
@@ -186,15 +201,15 @@
         taken: &mut BTreeMap<String, Taken>,
         near: &mut Option<(String, u64)>,
     ) -> bool {
-        let Some(job) = self.view.jobs.get(uid).filter(|j| !j.cancelled() && !starts.is_empty()) else { return true };
+        let Some(job) = self.state.jobs.get(uid).filter(|j| !j.cancelled() && !starts.is_empty()) else { return true };
         let key = records::job_key(uid);
         // Whoever could start its tasks before us did so before the job's record
         // was what it is: the view has to have come that far.
-        let known = job.rec.version <= self.view.revision;
-        if !known || self.busy.contains(&key) || self.outdated.contains_key(&key) {
+        let known = job.rec.version <= self.state.revision;
+        if !known || self.transactions.locked_keys.contains(&key) || self.transactions.outdated.contains_key(&key) {
             return true;
         }
-        let size = self.view.chunk_size;
+        let size = self.state.chunk_size;
         let highest_attempt = job.chunks.values().map(|c| c.rec.highest_attempt).max().unwrap_or(0);
         // A gang that lost a task before it started is completed under the
         // same attempt: its tasks find each other by that. So is a wide one, whose
@@ -249,7 +264,7 @@
 
     /// Whether the job is a gang whose places may not fit into one segment.
     pub(super) fn is_wide(&self, spec: &crate::protocol::user::JobSpec) -> bool {
-        let st = &self.set.settings.state;
+        let st = &self.config.settings.state;
         spec.kind == JobKind::Gang && wide(spec.task_count, st.txn_ops, (st.value_kb * 1024.0) as usize)
     }
 
@@ -262,22 +277,22 @@
         taken: &BTreeMap<String, Taken>,
         near: &mut Option<(String, u64)>,
     ) -> Option<Option<Quota>> {
-        let Some(team) = self.set.settings.teams.iter().find(|t| t.name == spec.team && limited(t)) else {
+        let Some(team) = self.config.settings.teams.iter().find(|t| t.name == spec.team && limited(t)) else {
             return Some(None);
         };
         let key = records::team_key(&team.name);
-        if self.outdated.contains_key(&key) {
+        if self.transactions.outdated.contains_key(&key) {
             return None;
         }
         let (cpus, gpus) = self.used(team);
         let before = taken.get(&team.name).map(|t| t.amounts).unwrap_or_default();
         let mut need = Resources::of(spec, tasks as f64);
         need.plus(before, 1.0);
-        let (n, age) = (self.set.controllers(), self.heartbeat_intervals(1.0));
+        let (n, age) = (self.config.controllers(), self.heartbeat_intervals(1.0));
         let name = team.name.clone();
-        let rec = self.view.teams.get(&name);
+        let rec = self.state.teams.get(&name);
         let (strict, version) = rec.map_or((false, 0), |r| (r.rec.strict, r.version));
-        let parts = self.parts.entry(name.clone()).or_default();
+        let parts = self.quota.by_team.entry(name.clone()).or_default();
         let allowed = parts.allow(need, cpus, gpus, n, self.now, age);
         if !allowed && !strict {
             // Nothing is started until all see that starts exclude each other now.
@@ -290,11 +305,11 @@
             return Some(Some(Quota { team: name, cond: (key, version), strict: None }));
         }
         // The view must show what was started before the record was.
-        if self.busy.contains(&key) || self.view.revision < version {
+        if self.transactions.locked_keys.contains(&key) || self.state.revision < version {
             return None;
         }
         let far = |l: Limit| l.max <= 0.0 || l.used <= l.max * FAR_FROM_LIMIT;
-        let rec = records::TeamRecord { strict: !(far(cpus) && far(gpus)), count: self.next_call };
+        let rec = records::TeamRecord { strict: !(far(cpus) && far(gpus)), count: self.outbox.next_call };
         Some(Some(Quota { team: name, cond: (key, version), strict: Some(rec) }))
     }
 
@@ -302,13 +317,16 @@
     /// be written over, if it needs one. It holds all that the ledger has up to
     /// the view's revision, so nothing of ours may be ahead of that in it.
     fn fold(&self, uid: &str, n: u32, slot_version: u64) -> Result<Option<Fold>, NotYet> {
-        let chunk = self.view.jobs.get(uid).and_then(|j: &Job| j.chunks.get(&n));
+        let chunk = self.state.jobs.get(uid).and_then(|j: &Job| j.chunks.get(&n));
         let Some(chunk) = chunk.filter(|c| c.rec.as_of_revision < slot_version) else { return Ok(None) };
         let key = records::chunk_key(uid, n);
-        if chunk.last > self.view.revision || self.busy.contains(&key) || self.outdated.contains_key(&key) {
+        if chunk.last > self.state.revision
+            || self.transactions.locked_keys.contains(&key)
+            || self.transactions.outdated.contains_key(&key)
+        {
             return Err(NotYet);
         }
-        let rec = TaskRangeCheckpoint { as_of_revision: self.view.revision, ..chunk.rec.clone() };
+        let rec = TaskRangeCheckpoint { as_of_revision: self.state.revision, ..chunk.rec.clone() };
         let size = encode(&rec).len();
         let data = records::to_value(&rec);
         let cond = Condition { key: key.clone(), version: chunk.version };
@@ -317,7 +335,7 @@
 
     /// All that has to be in checkpoints before segment `seq` takes its slot.
     fn folds_of_slot(&self, seq: u64) -> Result<Vec<Fold>, NotYet> {
-        let slot = self.view.logs.get(&self.me).and_then(|l| l.slots.get(&(seq % RING)));
+        let slot = self.state.logs.get(&self.process.member).and_then(|l| l.slots.get(&(seq % RING)));
         let Some(slot) = slot else { return Ok(Vec::new()) };
         let mut folds = Vec::new();
         for (uid, n) in &slot.touched {
@@ -328,12 +346,12 @@
 
     /// Frees slots ahead of need while there are writes to spare.
     pub(super) fn fold_tick(&mut self) {
-        let spare = self.writes.level(self.now) - self.writes.rate * SPARE_WRITES;
-        if self.folding || spare < 1.0 || !self.may_write(1.0) {
+        let spare = self.transactions.rate.level(self.now) - self.transactions.rate.rate * SPARE_WRITES;
+        if self.journal.compacting || spare < 1.0 || !self.may_write(1.0) {
             return;
         }
-        let Some(log) = self.view.logs.get(&self.me) else { return };
-        let most = FOLDS_AHEAD.min(spare as usize).min(self.set.settings.state.txn_ops);
+        let Some(log) = self.state.logs.get(&self.process.member) else { return };
+        let most = FOLDS_AHEAD.min(spare as usize).min(self.config.settings.state.txn_ops);
         let oldest = (log.seq + 1).saturating_sub(RING);
         let newest = log.seq.saturating_sub((RING as f64 * AHEAD) as u64);
         let mut folds: Vec<Fold> = Vec::new();
@@ -354,11 +372,11 @@
     }
 
     fn send_folds(&mut self, mut folds: Vec<Fold>) {
-        if self.folding {
+        if self.journal.compacting {
             return;
         }
         folds.truncate(fitting(folds.iter().map(|f| f.2)));
-        self.folding = true;
+        self.journal.compacting = true;
         let mut txn = Txn::default();
         for (cond, op, _) in folds {
             txn.conditions.push(cond);
@@ -376,23 +394,23 @@
         parts: Vec<(String, Resources)>,
         ended: &Ended,
     ) {
-        self.log.busy = false;
-        self.dirty = true;
+        self.journal.writer.busy = false;
+        self.scheduler.dirty = true;
         let now = self.now;
         let carried_out = matches!(ended, Ended::Done(_));
         if matches!(ended, Ended::Unknown) {
             // Not known, until the slot is written.
-            self.log.doubt.extend(parts);
+            self.journal.writer.doubt.extend(parts);
         } else {
             for (team, amounts) in parts {
-                self.parts.entry(team).or_default().answered(amounts, Some(carried_out), now);
+                self.quota.by_team.entry(team).or_default().answered(amounts, Some(carried_out), now);
             }
         }
         let slot_lost = self.note_outdated(txn, ended);
         if carried_out || slot_lost {
             // Ours took the slot, and voids what was in doubt; or that did.
-            for (team, amounts) in std::mem::take(&mut self.log.doubt) {
-                self.parts.entry(team).or_default().answered(amounts, Some(slot_lost), now);
+            for (team, amounts) in std::mem::take(&mut self.journal.writer.doubt) {
+                self.quota.by_team.entry(team).or_default().answered(amounts, Some(slot_lost), now);
             }
         }
         if carried_out {
@@ -404,8 +422,8 @@
             return;
         }
         for (uid, f) in facts {
-            if self.view.jobs.contains_key(&uid) {
-                let change = self.changes.entry(uid).or_insert_with(|| Change::new(now));
+            if self.state.jobs.contains_key(&uid) {
+                let change = self.journal.exits.entry(uid).or_insert_with(|| Change::new(now));
                 change.done.extend(f.done);
                 change.clear.extend(f.gone);
             }
@@ -420,8 +438,8 @@
         let mut slot = false;
         for key in failed.iter().chain(all) {
             slot |= key.starts_with(LOG);
-            if *revision > self.view.revision {
-                self.outdated.insert(key.clone(), *revision);
+            if *revision > self.state.revision {
+                self.transactions.outdated.insert(key.clone(), *revision);
             }
         }
         slot
--- a/src/controller/leadership.rs
+++ b/src/controller/leadership.rs
@@ -6,15 +6,32 @@
 use crate::protocol::store::{Condition, Op};
 use records::{LeaderRecord, TermRecord};
 
+/// The election as this process sees it, and the counters of its own term.
+#[derive(Debug, Default)]
+pub(super) struct Leadership {
+    /// When a leader was first seen.
+    pub(super) led_since: Option<Instant>,
+    /// The last term in which this process led.
+    pub(super) led_term: u64,
+    /// When the election is looked at next.
+    pub(super) check_next: Instant,
+    /// The state of the replica's members at the last look.
+    pub(super) members_seen: u64,
+    /// Grants made in this term.
+    pub(super) epoch: u64,
+    /// Rental requests made in this term.
+    pub(super) request_count: u64,
+}
+
 impl Controller {
     pub(super) fn lead_tick(&mut self) {
         let now = self.now;
         // A lead that fell vacant, or a controller that came, waits for no interval.
-        if now < self.lead_next && self.lead_seen == self.view.members_changed {
+        if now < self.leadership.check_next && self.leadership.members_seen == self.state.members_changed {
             return;
         }
-        self.lead_seen = self.view.members_changed;
-        self.lead_next = now + self.heartbeat_intervals(0.1);
+        self.leadership.members_seen = self.state.members_changed;
+        self.leadership.check_next = now + self.heartbeat_intervals(0.1);
         if !self.am_leader() {
             self.claim();
             return;
@@ -25,8 +42,8 @@
         }
         self.grant_shards();
         self.enrol_rentals();
-        if now >= self.reassign_next {
-            self.reassign_next = now + self.heartbeat_intervals(0.25);
+        if now >= self.sharding.reassign_next {
+            self.sharding.reassign_next = now + self.heartbeat_intervals(0.25);
             self.reassign_tasks();
             self.advance_maintenance();
         }
@@ -37,23 +54,25 @@
     /// the watch shows that it was carried out.
     fn begin_term(&mut self) {
         let term = self.term();
-        if std::mem::replace(&mut self.led_term, term) != term {
-            self.epoch = 0;
-            self.request_id = 0;
-            self.list_at = None;
-            self.list_stalled = None;
-            tracing::info!(term, member = %self.me, "took the lead");
+        if std::mem::replace(&mut self.leadership.led_term, term) != term {
+            self.leadership.epoch = 0;
+            self.leadership.request_count = 0;
+            self.cloud.list_at = None;
+            self.cloud.list_stalled = None;
+            tracing::info!(term, member = %self.process.member, "took the lead");
         }
     }
 
     /// Takes the lead where nobody alive holds it.
     fn claim(&mut self) {
-        let Some(lease) = self.ses.lease else { return };
-        if !self.view.is_live(&self.me, self.incarnation) || self.busy.contains(records::TERM_KEY) {
+        let Some(lease) = self.store.session.lease else { return };
+        if !self.state.is_live(&self.process.member, self.process.incarnation)
+            || self.transactions.locked_keys.contains(records::TERM_KEY)
+        {
             return;
         }
-        let leader = self.view.leader.as_ref();
-        if leader.is_some_and(|l| self.view.is_live(&l.rec.member, l.rec.incarnation)) {
+        let leader = self.state.leader.as_ref();
+        if leader.is_some_and(|l| self.state.is_live(&l.rec.member, l.rec.incarnation)) {
             return;
         }
         // No limit holds this back but the pause after a refusal: without a leader
@@ -61,12 +80,12 @@
         if !self.retry.may(Retry::Write, self.now) {
             return;
         }
-        let term = self.view.term.as_ref().map_or(0, |t| t.rec.term) + 1;
-        let rec = LeaderRecord { member: self.me.clone(), incarnation: self.incarnation, term };
+        let term = self.state.term.as_ref().map_or(0, |t| t.rec.term) + 1;
+        let rec = LeaderRecord { member: self.process.member.clone(), incarnation: self.process.incarnation, term };
         let txn = Txn {
             conditions: vec![
                 Condition { key: records::LEADER_KEY.into(), version: leader.map_or(0, |l| l.version) },
-                Condition { key: records::TERM_KEY.into(), version: self.view.term.as_ref().map_or(0, |t| t.version) },
+                Condition { key: records::TERM_KEY.into(), version: self.state.term.as_ref().map_or(0, |t| t.version) },
             ],
             ops: vec![
                 Op::Put { key: records::LEADER_KEY.into(), data: records::to_value(&rec), lease: Some(lease) },
@@ -81,11 +100,11 @@
     }
 
     pub(super) fn leader_condition(&self) -> Condition {
-        let version = self.view.leader.as_ref().map_or(0, |l| l.version);
+        let version = self.state.leader.as_ref().map_or(0, |l| l.version);
         Condition { key: records::LEADER_KEY.into(), version }
     }
 
     pub(super) fn term(&self) -> u64 {
-        self.view.leader.as_ref().map_or(0, |l| l.rec.term)
+        self.state.leader.as_ref().map_or(0, |l| l.rec.term)
     }
 }
--- a/src/controller/maintenance.rs
+++ b/src/controller/maintenance.rs
@@ -3,12 +3,23 @@
 
 use super::*;
 use crate::maintenance::budget::TeamReplicas;
-use crate::maintenance::campaign::{Campaign, Candidate, MaintenanceRecord, Step, Ticket, next};
+use crate::maintenance::campaign::{Campaign, Candidate, MaintenanceRecord, Step, Ticket, Wait, next};
 use crate::placement::{MachineCapacity, zone_capacity};
 use crate::protocol::store::{Condition, Op};
 use crate::protocol::user::JobKind;
 use crate::state::Job;
 
+/// What this process knows of the campaign beyond its record.
+#[derive(Debug, Default)]
+pub(super) struct Maintenance {
+    /// Tickets whose replica was placed elsewhere, and since when.
+    pub(super) settling: BTreeMap<Ticket, Instant>,
+    /// Tickets for machines of ours, and since when they are known.
+    pub(super) ticketed: BTreeMap<Ticket, Instant>,
+    /// What the campaign waited for when it was last logged.
+    pub(super) wait: Option<Wait>,
+}
+
 /// A replica that was placed elsewhere, with its image there, runs after so many report
 /// intervals: its order goes with the next report at the latest. As long is waited for
 /// room where the image is.
@@ -20,20 +31,20 @@
     /// The campaign that is under way, or the next one; one that comes into the file with
     /// an earlier name waits for it.
     fn campaign(&self, rec: &MaintenanceRecord) -> Option<(&String, &Campaign)> {
-        let all = &self.set.operator.campaign;
+        let all = &self.config.operator.campaign;
         let open = || all.iter().find(|(name, _)| !rec.finished.contains(name));
         all.get_key_value(&rec.name).or_else(open)
     }
 
     /// By the leader: begins campaigns, waves and moves as budgets allow.
     pub(super) fn advance_maintenance(&mut self) {
-        let stored = self.view.maintenance.as_ref().map(|u| u.rec.clone()).unwrap_or_default();
+        let stored = self.state.maintenance.as_ref().map(|u| u.rec.clone()).unwrap_or_default();
         let campaign = self.campaign(&stored).map(|(name, c)| (name.clone(), c.clone()));
         let idle = stored.name.is_empty() && stored.wave.is_empty();
         if idle && campaign.is_none()
-            || !self.start.fleet_known()
-            || self.busy.contains(records::MAINTENANCE_KEY)
-            || !self.may_write(1.0 + self.writes.rate * ACCEPT_RESERVE)
+            || !self.startup.fleet_known()
+            || self.transactions.locked_keys.contains(records::MAINTENANCE_KEY)
+            || !self.may_write(1.0 + self.transactions.rate.rate * ACCEPT_RESERVE)
         {
             return;
         }
@@ -47,21 +58,21 @@
             return;
         };
         if stored.name != name {
-            let upto = self.view.machines.keys().next_back().cloned().unwrap_or_default();
+            let upto = self.state.machines.keys().next_back().cloned().unwrap_or_default();
             let finished = std::mem::take(&mut rec.finished);
             rec = MaintenanceRecord { name: name.clone(), upto, finished, ..MaintenanceRecord::default() };
         }
-        rec.wave.retain(|m| self.view.machines.contains_key(m));
+        rec.wave.retain(|m| self.state.machines.contains_key(m));
         rec.gone += (stored.wave.len() - rec.wave.len().min(stored.wave.len())) as u32;
         rec.waves += u32::from(rec.wave.is_empty() && !stored.wave.is_empty());
         self.return_tickets(&mut rec);
         let left = self.candidates(&campaign, &rec.upto);
         let teams = self.standing_of_teams(&rec);
-        let budget = |team: &str| self.set.operator.budget.get(team).copied().unwrap_or_default();
+        let budget = |team: &str| self.config.operator.budget.get(team).copied().unwrap_or_default();
         let Step { wave, tickets, over, wait } = next(&rec, &campaign, &left, &teams, budget, TICKETS);
-        if self.maintenance_wait != wait {
+        if self.maintenance.wait != wait {
             tracing::info!(campaign = %name, waves = rec.waves, gone = rec.gone, left = left.len(), ?wait, "campaign");
-            self.maintenance_wait = wait;
+            self.maintenance.wait = wait;
         }
         if over {
             tracing::info!(campaign = %name, waves = rec.waves, gone = rec.gone, "campaign is over");
@@ -77,7 +88,7 @@
 
     /// Whether the ticket's replica still has its place.
     fn stands(&self, t: &Ticket) -> bool {
-        let on = self.view.placed.get(&t.machine);
+        let on = self.state.placed.get(&t.machine);
         on.and_then(|p| p.get(&(t.job.clone(), t.index))) == Some(&t.attempt)
     }
 
@@ -85,15 +96,15 @@
     /// wanted no more, go back to the budget.
     fn return_tickets(&mut self, rec: &mut MaintenanceRecord) {
         let settle = self.heartbeat_intervals(SETTLE_REPORTS);
-        let pull = self.types.iter().map(|t| t.pull_gb_per_s).fold(f64::INFINITY, f64::min);
+        let pull = self.cloud.types.iter().map(|t| t.pull_gb_per_s).fold(f64::INFINITY, f64::min);
         let now = self.now;
-        let mut moved = std::mem::take(&mut self.settling);
+        let mut moved = std::mem::take(&mut self.maintenance.settling);
         moved.retain(|t, _| rec.tickets.contains(t));
         rec.tickets.retain(|t| {
             if self.stands(t) {
                 return true;
             }
-            let Some(job) = self.view.jobs.get(&t.job).filter(|j| !j.cancelled()) else { return false };
+            let Some(job) = self.state.jobs.get(&t.job).filter(|j| !j.cancelled()) else { return false };
             if job.placed < job.spec.task_count {
                 moved.remove(t);
                 return true;
@@ -102,22 +113,22 @@
             let fetch = self.secs(job.spec.image_gb / pull);
             now.saturating_sub(*moved.entry(t.clone()).or_insert(now)) < settle + fetch
         });
-        self.settling = moved;
+        self.maintenance.settling = moved;
     }
 
     /// Machines that the campaign takes and that are there.
     fn candidates(&self, campaign: &Campaign, upto: &str) -> Vec<Candidate> {
         let takes =
             |n: &str, h: &records::MachineRecord| n <= upto && campaign.takes(n, &h.machine_type, &h.zone, h.spot);
-        let machines = self.view.machines.iter().filter(|(n, h)| takes(n, &h.rec));
+        let machines = self.state.machines.iter().filter(|(n, h)| takes(n, &h.rec));
         machines.map(|(name, _)| self.candidate(name)).collect()
     }
 
     fn candidate(&self, name: &str) -> Candidate {
         let heard = self.heard_now(name);
         let mut c = Candidate { name: name.to_string(), heard, ..Candidate::default() };
-        for ((uid, index), attempt) in self.view.placed.get(name).into_iter().flatten() {
-            let Some(j) = self.view.jobs.get(uid) else { continue };
+        for ((uid, index), attempt) in self.state.placed.get(name).into_iter().flatten() {
+            let Some(j) = self.state.jobs.get(uid) else { continue };
             match j.spec.kind {
                 JobKind::Service => {
                     let machine = name.to_string();
@@ -133,7 +144,7 @@
 
     fn heard_now(&self, name: &str) -> bool {
         let limit = self.heartbeat_intervals(agents::HEARD_REPORTS);
-        let ours = self.machines.get(name).and_then(|m| m.heard_at);
+        let ours = self.agents.machines.get(name).and_then(|m| m.heard_at);
         ours.is_some_and(|t| self.now.saturating_sub(t) < limit) || self.reported_newer_elsewhere(name, limit * 2)
     }
 
@@ -141,18 +152,19 @@
     /// hears the machine, or under a ticket.
     fn standing_of_teams(&self, rec: &MaintenanceRecord) -> BTreeMap<String, TeamReplicas> {
         let mut teams: BTreeMap<String, TeamReplicas> = BTreeMap::new();
-        for j in self.view.jobs.values().filter(|j| j.spec.kind == JobKind::Service && !j.cancelled()) {
+        for j in self.state.jobs.values().filter(|j| j.spec.kind == JobKind::Service && !j.cancelled()) {
             let s = teams.entry(j.spec.team.clone()).or_default();
             s.wanted += j.spec.task_count;
             s.away += j.spec.task_count - j.placed.min(j.spec.task_count);
         }
-        let silent = self.view.placed.iter().filter(|(name, _)| !self.heard_now(name));
+        let silent = self.state.placed.iter().filter(|(name, _)| !self.heard_now(name));
         let unheard = silent.flat_map(|(_, on)| on.keys()).map(|(uid, _)| uid);
         // Those on silent machines are counted there; moved ones are placed again, but
         // not known to run.
-        let ticket = |t: &&Ticket| self.settling.contains_key(*t) || self.stands(t) && self.heard_now(&t.machine);
+        let ticket =
+            |t: &&Ticket| self.maintenance.settling.contains_key(*t) || self.stands(t) && self.heard_now(&t.machine);
         let ticketed = rec.tickets.iter().filter(ticket).map(|t| &t.job);
-        let away = unheard.chain(ticketed).filter_map(|uid| self.view.jobs.get(uid));
+        let away = unheard.chain(ticketed).filter_map(|uid| self.state.jobs.get(uid));
         for j in away.filter(|j| j.spec.kind == JobKind::Service) {
             teams.entry(j.spec.team.clone()).or_default().away += 1;
         }
@@ -161,17 +173,17 @@
 
     /// Writes the record down with the marks of machines, in one transaction.
     fn write_maintenance(&mut self, mut rec: MaintenanceRecord, marked: &[String], drain: bool) {
-        let stored = self.view.maintenance.as_ref();
+        let stored = self.state.maintenance.as_ref();
         let version = stored.map_or(0, |u| u.version);
         let key = records::MAINTENANCE_KEY.to_string();
         let mut txn = Txn { conditions: vec![self.leader_condition()], ops: Vec::new() };
         let mut machine_groups: BTreeMap<String, Vec<String>> = BTreeMap::new();
         for m in marked {
-            if let Some(h) = self.view.machines.get(m) {
+            if let Some(h) = self.state.machines.get(m) {
                 machine_groups.entry(h.rec.group.clone()).or_default().push(m.clone());
             }
         }
-        let most = self.set.settings.state.txn_ops - 1;
+        let most = self.config.settings.state.txn_ops - 1;
         for (n, (group, names)) in machine_groups.iter().enumerate() {
             let marks = (n < most).then(|| self.marked_group(group, names, drain)).flatten();
             match marks {
@@ -198,16 +210,16 @@
     /// By the owner of a machine: replicas that have a ticket are stopped once they can
     /// start elsewhere at once.
     pub(super) fn move_ticketed(&mut self) {
-        let Some(maintenance) = self.view.maintenance.as_ref().filter(|u| !u.rec.tickets.is_empty()) else { return };
+        let Some(maintenance) = self.state.maintenance.as_ref().filter(|u| !u.rec.tickets.is_empty()) else { return };
         let patience = self.heartbeat_intervals(SETTLE_REPORTS);
         let (mut ours, mut all): (Option<Vec<MachineCapacity>>, Option<Vec<MachineCapacity>>) = (None, None);
         let mut stops: Vec<(String, (String, u32, u64))> = Vec::new();
-        let mut since = std::mem::take(&mut self.ticketed);
+        let mut since = std::mem::take(&mut self.maintenance.ticketed);
         since.retain(|t, _| maintenance.rec.tickets.contains(t));
         for t in &maintenance.rec.tickets {
-            let Some(m) = self.machines.get(&t.machine) else { continue };
+            let Some(m) = self.agents.machines.get(&t.machine) else { continue };
             let key = (t.job.clone(), t.index, t.attempt);
-            let Some(j) = self.view.jobs.get(&t.job).filter(|j| !j.cancelled()) else { continue };
+            let Some(j) = self.state.jobs.get(&t.job).filter(|j| !j.cancelled()) else { continue };
             if !self.stands(t) || m.preempted.contains_key(&key) || m.is_over(&key) {
                 continue;
             }
@@ -226,10 +238,10 @@
                 stops.push((t.machine.clone(), key));
             }
         }
-        self.ticketed = since;
+        self.maintenance.ticketed = since;
         for (machine, key) in stops {
             tracing::debug!(job = %key.0, index = key.1, %machine, "moved for a campaign");
-            if let Some(m) = self.machines.get_mut(&machine) {
+            if let Some(m) = self.agents.machines.get_mut(&machine) {
                 m.preempted.insert(key, 0.0);
             }
             self.push(&machine);
@@ -245,8 +257,8 @@
         j: &Job,
         image: bool,
     ) -> bool {
-        let zone = self.view.machines.get(machine).map(|h| h.rec.zone.as_str());
-        let mut zones = self.view.zones_of(j);
+        let zone = self.state.machines.get(machine).map(|h| h.rec.zone.as_str());
+        let mut zones = self.state.zones_of(j);
         if let Some(n) = zone.and_then(|s| zones.get_mut(s)) {
             *n -= 1;
         }
@@ -266,8 +278,8 @@
     /// Replicas on machines of the wave, by job: they will want room.
     pub(super) fn leaving(&self) -> BTreeMap<&str, u32> {
         let mut leaving: BTreeMap<&str, u32> = BTreeMap::new();
-        let wave = self.view.maintenance.iter().flat_map(|u| &u.rec.wave);
-        for ((uid, _), _) in wave.filter_map(|m| self.view.placed.get(m)).flatten() {
+        let wave = self.state.maintenance.iter().flat_map(|u| &u.rec.wave);
+        for ((uid, _), _) in wave.filter_map(|m| self.state.placed.get(m)).flatten() {
             *leaving.entry(uid).or_default() += 1;
         }
         leaving
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -10,9 +10,12 @@
 mod journal;
 mod leadership;
 mod maintenance;
+mod outbox;
+mod process;
 mod quota;
 mod registration;
 mod scheduler;
+mod service_levels;
 mod sharding;
 mod startup;
 mod store_sync;
@@ -30,7 +33,6 @@
 use crate::coordination::session::Session;
 use crate::coordination::writes::Writes as OpenWrites;
 use crate::effects::{Action, CallId, ConnId, Event, Instant, NoAnswer, Reply, Target};
-use crate::maintenance::campaign::{Ticket, Wait};
 use crate::placement::knapsack::Knapsack;
 use crate::protocol::cloud::{ListedMachine, MachineType};
 use crate::protocol::peer::{Frame, PeerHeartbeat};
@@ -42,12 +44,26 @@
 use crate::settings::Settings;
 use crate::state::objectives::Aims;
 use crate::state::records::{self, Versioned};
-use crate::state::service_levels::{self, Served};
 use crate::state::{ClusterState, Images, Resources};
+use agents::Agents;
+use api::Api;
+use autoscaler::{Autoscaler, CloudAccess, Releases};
+use connectivity::Connectivity;
 use hdrhistogram::Histogram;
+use journal::Journal;
+use leadership::Leadership;
+use maintenance::Maintenance;
+use outbox::Outbox;
+use process::Process;
+use quota::QuotaReservations;
+use scheduler::Scheduler;
+use service_levels::ServiceLevels;
+use sharding::Sharding;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::time::Duration;
-use transactions::{Why, Writes};
+use store_sync::StoreAccess;
+use transactions::Transactions;
+use transactions::Why;
 
 /// Why a call was made; decides what its answer means.
 #[derive(Debug)]
@@ -201,144 +217,30 @@
     parts_since: Option<Instant>,
 }
 
+/// One controller: a component for each duty, and what they share.
 pub struct Controller {
-    set: Settings,
-    me: String,
-    incarnation: u64,
-    wall: Duration,
+    config: Settings,
+    process: Process,
     now: Instant,
-    out: Vec<Action>,
-    next_call: CallId,
-    calls: HashMap<CallId, Purpose>,
-    ses: Session,
-    start: Start,
-    /// When the last tick was.
-    ticked_at: Instant,
-    view: ClusterState,
-    scan: ClusterState,
-    types: Vec<MachineType>,
-    types_next: Instant,
-    types_busy: bool,
-    asked: Requests,
-    held: Vec<HeldHeartbeat>,
-    machines: BTreeMap<String, Machine>,
-    /// The state of the view's machine records that `machines` follows.
-    adopted: Option<u64>,
-    hearing: Hearing,
-    /// Images on machines of other blocks.
-    images: HashMap<String, Images>,
-    heartbeats: usize,
-    changes: BTreeMap<String, Change>,
-    /// Transactions under way, and what settles them.
-    open_writes: OpenWrites,
-    busy: BTreeSet<String>,
-    log: Writer,
-    /// Checkpoints are under way.
-    folding: bool,
-    /// Jobs that are complete, and that we have to end.
-    ending: BTreeSet<String>,
-    /// Records that a refused write had outdated: it would be refused again until
-    /// the view has come to this revision.
-    outdated: BTreeMap<String, u64>,
-    /// What was taken of each team's limit without changing its record.
-    parts: BTreeMap<String, Parts>,
-    patience: HashMap<String, Patience>,
-    writes: Account,
-    /// When the store answered again after the last outage.
-    store_back_at: Option<Instant>,
-    /// What was written since the last summary, by kind.
-    written: BTreeMap<&'static str, Writes>,
-    /// How long the state service took over transactions, in milliseconds.
-    txn_ms: Histogram<u64>,
-    cloud: Account,
-    links: Links,
-    /// Beats came since the links were last looked at.
-    links_dirty: bool,
-    deaf: Deaf,
-    /// Machines that did not reach a controller, and until when they are not given to it.
-    avoid: HashMap<(String, String), Instant>,
-    /// Zones of which most of our machines were silent, until when they count as cut.
-    cut_until: HashMap<String, Instant>,
-    /// Silent machines that answered a call of ours, and when.
-    probed: BTreeMap<String, Instant>,
-    /// Machines that came here though others own them, and when first.
-    strays: HashMap<String, Instant>,
-    /// The grant of each machine, as it became known here.
-    owned: HashMap<String, Owned>,
-    /// The state of the view's machine records that `owned` follows.
-    owners_seen: Option<u64>,
-    knapsack: Knapsack,
-    aims: Aims,
-    served: Served,
-    /// When the first machine was seen, by the time of day.
-    fleet_since_ms: Option<u64>,
-    /// It was seen only after a boot time: the fleet began with nothing.
-    fleet_cold: bool,
-    /// When a leader was first seen.
-    led_since: Option<Instant>,
-    /// The last term in which this process led.
-    led_term: u64,
-    /// Live jobs whose aim has passed.
-    missed: BTreeSet<String>,
-    dirty: bool,
-    schedule_next: Instant,
-    heartbeat_next: Instant,
-    summary_next: Instant,
-    agents_next: Instant,
-    fleet_next: Instant,
+    outbox: Outbox,
     retry: Retries,
-    returns: Returns,
-    /// What the last health check was told.
-    was_healthy: Option<bool>,
-    lead_next: Instant,
-    /// The state of the view's members that the lead was last looked at in.
-    lead_seen: u64,
-    reassign_next: Instant,
-    level_next: Instant,
-    /// Not before then are blocks levelled: machines were brought together.
-    gather_next: Instant,
-    epoch: u64,
-    request_id: u64,
-    list: BTreeMap<String, ListedMachine>,
-    /// When each machine was first listed.
-    listed_since: HashMap<String, Instant>,
-    /// Recorded machines that the cloud lists no more, or as failed.
-    unlisted: BTreeSet<String>,
-    list_new: BTreeMap<String, ListedMachine>,
-    /// When the cloud first refused a later page of the list that is being read, for its
-    /// rate: the pages before it are kept, and the list goes on there.
-    list_stalled: Option<Instant>,
-    list_at: Option<Instant>,
-    list_next: Instant,
-    list_busy: bool,
-    rented: BTreeMap<String, Rented>,
-    /// Machines that were rented while the cluster began, by us or by the leader's word.
-    young: BTreeSet<String>,
-    /// When each recorded machine was last known to be up, by the leader.
-    up_at: HashMap<String, Instant>,
-    /// Rentals whose machines shall be recorded together.
-    unrecorded: VecDeque<(crate::scaling::Offer, Vec<String>)>,
-    /// Recorded machines that nobody hears, and since when.
-    unseen_since: HashMap<String, Instant>,
-    /// Machines that do not reach their owner, and since when that is known.
-    unreached_since: HashMap<String, Instant>,
-    renting: u32,
-    refused: BTreeMap<crate::scaling::Offer, Instant>,
-    /// Free cores of late, for the least that stayed free.
-    slack: VecDeque<(Instant, f64)>,
-    /// Array tasks waited at this time.
-    pressed_at: Option<Instant>,
-    /// Releases that got no answer yet, and those that did: nothing is left there.
-    releasing: BTreeSet<String>,
-    /// Tickets whose replica was placed elsewhere, and since when.
-    settling: BTreeMap<Ticket, Instant>,
-    /// Tickets for machines of ours, and since when they are known.
-    ticketed: BTreeMap<Ticket, Instant>,
-    /// What the campaign waited for when it was last told.
-    maintenance_wait: Option<Wait>,
-    gone: BTreeSet<String>,
-    release_tokens: f64,
-    release_at: Instant,
+    state: ClusterState,
+    store: StoreAccess,
+    transactions: Transactions,
+    startup: Start,
+    leadership: Leadership,
+    sharding: Sharding,
+    connectivity: Connectivity,
+    agents: Agents,
+    scheduler: Scheduler,
+    quota: QuotaReservations,
+    journal: Journal,
+    cloud: CloudAccess,
+    autoscaler: Autoscaler,
+    releases: Releases,
+    maintenance: Maintenance,
+    service_levels: ServiceLevels,
+    api: Api,
 }
 
 impl Patience {
@@ -365,106 +267,36 @@
         let heartbeat_interval = Self::heartbeat_interval(Duration::from_secs_f64(p.workers.heartbeat_interval_s));
         let chunk = records::chunk_size(p.state.value_kb, p.state.write_rps / n);
         Controller {
-            me: set.member.clone(),
-            incarnation: incarnation >> 1,
-            wall,
+            process: Process::new(set.member.clone(), incarnation >> 1, wall),
             now: Duration::ZERO,
-            out: Vec::new(),
-            next_call: 1,
-            calls: HashMap::new(),
-            ses: Session::new(ttl, gap, p.state.rps * LOAD_BURST / n),
-            start: Start::new(
+            outbox: Outbox::new(),
+            retry: Retries::new(incarnation, pauses(&set, ttl, gap)),
+            state: ClusterState::new(chunk),
+            store: StoreAccess {
+                session: Session::new(ttl, gap, p.state.rps * LOAD_BURST / n),
+                snapshot: ClusterState::new(chunk),
+            },
+            transactions: Transactions::new(p.state.write_rps / n * WRITE_SHARE),
+            startup: Start::new(
                 Duration::from_secs_f64(p.workers.lease_s),
                 Duration::from_secs_f64(
                     p.workers.heartbeat_interval_s * startup::LONGEST_REPORT + agents::WORKER_MOVES_S,
                 ),
             ),
-            ticked_at: Duration::ZERO,
-            view: ClusterState::new(chunk),
-            scan: ClusterState::new(chunk),
-            types: Vec::new(),
-            types_next: Duration::ZERO,
-            types_busy: false,
-            asked: Requests::default(),
-            held: Vec::new(),
-            machines: BTreeMap::new(),
-            adopted: None,
-            hearing: Hearing::default(),
-            images: HashMap::new(),
-            heartbeats: 0,
-            changes: BTreeMap::new(),
-            open_writes: OpenWrites::default(),
-            busy: BTreeSet::new(),
-            log: Writer::default(),
-            folding: false,
-            ending: BTreeSet::new(),
-            outdated: BTreeMap::new(),
-            parts: BTreeMap::new(),
-            patience: HashMap::new(),
-            writes: Account::new(p.state.write_rps / n * WRITE_SHARE),
-            store_back_at: None,
-            written: BTreeMap::new(),
-            txn_ms: Histogram::new_with_max(LONGEST_TXN_MS, 2).expect("bounds are good"),
-            cloud: Account::new(p.cloud.rps / n),
-            links: Links::new(&set.member, incarnation >> 1, heartbeat_interval),
-            links_dirty: false,
-            deaf: Deaf::default(),
-            avoid: HashMap::new(),
-            cut_until: HashMap::new(),
-            probed: BTreeMap::new(),
-            strays: HashMap::new(),
-            owned: HashMap::new(),
-            owners_seen: None,
-            knapsack: Knapsack::default(),
-            aims: Aims::new(p.objectives.clone()),
-            served: Served::default(),
-            fleet_since_ms: None,
-            fleet_cold: false,
-            led_since: None,
-            led_term: 0,
-            missed: BTreeSet::new(),
-            dirty: false,
-            schedule_next: Duration::ZERO,
-            heartbeat_next: Duration::ZERO,
-            summary_next: Duration::ZERO,
-            agents_next: Duration::ZERO,
-            fleet_next: Duration::ZERO,
-            returns: Returns::default(),
-            was_healthy: None,
-            retry: Retries::new(incarnation, pauses(&set, ttl, gap)),
-            lead_next: Duration::ZERO,
-            lead_seen: 0,
-            reassign_next: Duration::ZERO,
-            level_next: Duration::ZERO,
-            gather_next: Duration::ZERO,
-            epoch: 0,
-            request_id: 0,
-            list: BTreeMap::new(),
-            listed_since: HashMap::new(),
-            unlisted: BTreeSet::new(),
-            list_new: BTreeMap::new(),
-            list_stalled: None,
-            list_at: None,
-            list_next: Duration::ZERO,
-            list_busy: false,
-            rented: BTreeMap::new(),
-            young: BTreeSet::new(),
-            up_at: HashMap::new(),
-            unrecorded: VecDeque::new(),
-            unseen_since: HashMap::new(),
-            unreached_since: HashMap::new(),
-            renting: 0,
-            refused: BTreeMap::new(),
-            slack: VecDeque::new(),
-            pressed_at: None,
-            releasing: BTreeSet::new(),
-            settling: BTreeMap::new(),
-            ticketed: BTreeMap::new(),
-            maintenance_wait: None,
-            gone: BTreeSet::new(),
-            release_tokens: 1.0,
-            release_at: Duration::ZERO,
-            set,
+            leadership: Leadership::default(),
+            sharding: Sharding::default(),
+            connectivity: Connectivity::new(Links::new(&set.member, incarnation >> 1, heartbeat_interval)),
+            agents: Agents::default(),
+            scheduler: Scheduler::default(),
+            quota: QuotaReservations::default(),
+            journal: Journal::default(),
+            cloud: CloudAccess::new(p.cloud.rps / n),
+            autoscaler: Autoscaler::default(),
+            releases: Releases::new(),
+            maintenance: Maintenance::default(),
+            service_levels: ServiceLevels::new(Aims::new(p.objectives.clone())),
+            api: Api::default(),
+            config: set,
         }
     }
 
@@ -473,7 +305,7 @@
         match event {
             Event::Request { conn, method, path, body } => self.request(conn, &method, &path, &body),
             Event::Answer { id, result } => {
-                if let Some(purpose) = self.calls.remove(&id) {
+                if let Some(purpose) = self.outbox.calls.remove(&id) {
                     self.answer(id, purpose, result);
                 }
             }
@@ -481,20 +313,20 @@
                 self.note_images(&heartbeat);
                 self.note_young(&heartbeat.rented);
                 for name in &heartbeat.unlisted {
-                    if let Some(m) = self.machines.get_mut(name) {
+                    if let Some(m) = self.agents.machines.get_mut(name) {
                         m.unlisted = true;
                     }
                 }
-                self.links.receive(&member, &heartbeat, now);
+                self.connectivity.peers.receive(&member, &heartbeat, now);
                 // True whenever it was said, and however late it comes.
                 if let Some(revocations) = &heartbeat.revocations {
                     self.apply_revocations(revocations);
                 }
                 for h in &heartbeat.heard {
                     let when = now.saturating_sub(Duration::from_millis(h.ago_ms));
-                    self.hearing.told(&h.machine, (h.agent_epoch, h.heartbeat_seq), when);
+                    self.agents.hearing.told(&h.machine, (h.agent_epoch, h.heartbeat_seq), when);
                 }
-                self.links_dirty = true;
+                self.connectivity.changed = true;
                 self.probe(&heartbeat.silent);
             }
             Event::Peer { frame: Frame::Hello { .. }, .. } => {}
@@ -504,35 +336,35 @@
                     campaigns = operator.campaign.len(),
                     "operator's file is taken over"
                 );
-                self.set.operator = *operator;
+                self.config.operator = *operator;
             }
             Event::Tick => self.tick(),
         }
-        if self.dirty && self.now >= self.schedule_next {
-            self.dirty = false;
-            self.schedule_next = self.now + self.ses.gap;
+        if self.scheduler.dirty && self.now >= self.scheduler.next {
+            self.scheduler.dirty = false;
+            self.scheduler.next = self.now + self.store.session.gap;
             self.schedule();
         }
-        actions.append(&mut self.out);
+        actions.append(&mut self.outbox.actions);
     }
 
     fn tick(&mut self) {
         self.pause_tick();
         self.sync_tick();
         self.requests_tick();
-        if self.types.is_empty() || self.now >= self.types_next {
+        if self.cloud.types.is_empty() || self.now >= self.cloud.types_next {
             self.fetch_types();
         }
-        if self.now >= self.heartbeat_next {
-            self.heartbeat_next = self.now + Self::heartbeat_interval(self.heartbeat_intervals(1.0));
+        if self.now >= self.connectivity.heartbeat_next {
+            self.connectivity.heartbeat_next = self.now + Self::heartbeat_interval(self.heartbeat_intervals(1.0));
             self.heartbeat();
         }
-        if !self.ses.following() {
+        if !self.store.session.following() {
             return;
         }
         self.share_limits();
-        if self.now >= self.agents_next {
-            self.agents_next = self.now + self.heartbeat_intervals(0.1);
+        if self.now >= self.agents.check_next {
+            self.agents.check_next = self.now + self.heartbeat_intervals(0.1);
             self.start_tick();
             self.links_tick();
             self.check_agents();
@@ -541,8 +373,8 @@
         }
         self.close_tick();
         self.lead_tick();
-        if self.now >= self.summary_next {
-            self.summary_next = self.now + self.heartbeat_intervals(4.0);
+        if self.now >= self.service_levels.summary_next {
+            self.service_levels.summary_next = self.now + self.heartbeat_intervals(4.0);
             self.summary();
         }
     }
@@ -552,71 +384,17 @@
     /// the time after an outage, when users crowd at all alike; it alone rents, and so
     /// has most of the second.
     fn share_limits(&mut self) {
-        let p = &self.set.settings;
-        let others = (self.set.controllers() as f64 - 1.0).max(1.0);
-        let live = (self.view.members.len() as f64).max(1.0);
+        let p = &self.config.settings;
+        let others = (self.config.controllers() as f64 - 1.0).max(1.0);
+        let live = (self.state.members.len() as f64).max(1.0);
         let (parts, cloud) = if self.am_leader() { (2.0, RENTER_SHARE) } else { (1.0, (1.0 - RENTER_SHARE) / others) };
-        let alike =
-            self.store_back_at.is_some_and(|t| self.now.saturating_sub(t) < self.heartbeat_intervals(CROWD_REPORTS));
+        let alike = self
+            .transactions
+            .store_recovered_at
+            .is_some_and(|t| self.now.saturating_sub(t) < self.heartbeat_intervals(CROWD_REPORTS));
         let (parts, of) = if alike { (1.0, live) } else { (parts, live + 1.0) };
-        self.writes.rate = p.state.write_rps * WRITE_SHARE * parts / of;
-        self.cloud.rate = p.cloud.rps * cloud;
-    }
-
-    /// What was written, and from the leader the state of the whole cluster,
-    /// at a steady interval.
-    fn summary(&mut self) {
-        for (kind, w) in std::mem::take(&mut self.written) {
-            tracing::debug!(kind, sent = w.sent, changes = w.changes, failed = w.failed, "written");
-        }
-        let (p50, p99) = (self.txn_ms.value_at_quantile(0.5), self.txn_ms.value_at_quantile(0.99));
-        tracing::debug!(count = self.txn_ms.len(), p50, p99, "transactions took, in ms");
-        self.txn_ms.reset();
-        let failed = self.retry.take_counts();
-        if !failed.is_empty() {
-            tracing::debug!(?failed, "calls that failed");
-        }
-        if !self.am_leader() {
-            return;
-        }
-        let capacities = self.capacities(true);
-        let sum = |f: fn(&crate::placement::MachineCapacity) -> f64| capacities.iter().map(|(_, r)| f(r)).sum::<f64>();
-        let mut waiting: BTreeMap<&str, u32> = BTreeMap::new();
-        for j in self.view.jobs.values() {
-            let n = j.waiting_count();
-            if n > 0 {
-                *waiting.entry(&j.spec.class).or_default() += n;
-            }
-        }
-        let booting = self.expected_capacities(Counted::All).len() - capacities.len();
-        tracing::debug!(
-            jobs = self.view.jobs.len(),
-            ?waiting,
-            machines = capacities.len(),
-            booting,
-            cores = sum(|r| r.total_cores),
-            free_cores = sum(crate::placement::MachineCapacity::free_cores),
-            behind = self.aims.behind(),
-            "cluster"
-        );
-        for (who, t) in self.served.tallies(self.view.jobs.values(), self.wall_ms()) {
-            let service_levels::ServiceTally { judged, in_time, live, untouched, waits_s, replicas, placed } = t;
-            tracing::debug!(?who, judged, in_time, live, untouched, waits_s, replicas, placed, "served");
-            if let Some(share) = t.least_share().filter(|s| *s < service_levels::HALF) {
-                tracing::warn!(
-                    ?who,
-                    share,
-                    judged,
-                    in_time,
-                    live,
-                    untouched,
-                    waits_s,
-                    replicas,
-                    placed,
-                    "hardly served"
-                );
-            }
-        }
+        self.transactions.rate.rate = p.state.write_rps * WRITE_SHARE * parts / of;
+        self.cloud.rate.rate = p.cloud.rps * cloud;
     }
 
     fn secs(&self, s: f64) -> Duration {
@@ -624,40 +402,43 @@
     }
 
     fn heartbeat_intervals(&self, times: f64) -> Duration {
-        self.secs(self.set.settings.workers.heartbeat_interval_s * times)
+        self.secs(self.config.settings.workers.heartbeat_interval_s * times)
     }
 
     fn wall_ms(&self) -> u64 {
-        (self.wall + self.now).as_millis() as u64
+        (self.process.wall + self.now).as_millis() as u64
     }
 
     /// Whether this controller may act for all of them: its view is so recent
     /// that a cancellation it has not seen still meets its deadline. A worker
     /// that is answered now loses its tasks `lease_s` later at the latest.
     fn entitled(&self) -> bool {
-        let w = &self.set.settings.workers;
+        let w = &self.config.settings.workers;
         let margin = w.heartbeat_interval_s;
         let limit = self.secs((w.cancel_s - w.lease_s - margin) / DRIFT);
         let known = |at: Instant| self.now.saturating_sub(at) < limit;
         // A view read anew may lack what was told by the one before.
-        let whole = self.ses.following() && self.view.has_all_known();
-        whole && (self.ses.fresh_at.is_some_and(known) || self.surely_fresh_at().is_some_and(known))
+        let whole = self.store.session.following() && self.state.has_all_known();
+        whole && (self.store.session.fresh_at.is_some_and(known) || self.surely_fresh_at().is_some_and(known))
     }
 
     fn fresh(&self) -> bool {
-        self.ses.staleness(self.now).is_some_and(|s| s < self.heartbeat_intervals(1.0))
+        self.store.session.staleness(self.now).is_some_and(|s| s < self.heartbeat_intervals(1.0))
     }
 
     fn am_leader(&self) -> bool {
-        self.view.leader.as_ref().is_some_and(|l| l.rec.member == self.me && l.rec.incarnation == self.incarnation)
+        self.state
+            .leader
+            .as_ref()
+            .is_some_and(|l| l.rec.member == self.process.member && l.rec.incarnation == self.process.incarnation)
     }
 
     fn owns(&self, host: &Versioned<records::MachineRecord>) -> bool {
-        host.rec.owner == self.me && host.rec.incarnation == self.incarnation
+        host.rec.owner == self.process.member && host.rec.incarnation == self.process.incarnation
     }
 
     fn machine_type(&self, machine_type: &str) -> Option<&MachineType> {
-        self.types.iter().find(|t| t.label == machine_type)
+        self.cloud.types.iter().find(|t| t.label == machine_type)
     }
 
     fn call(
@@ -669,10 +450,10 @@
         timeout: Duration,
         purpose: Purpose,
     ) -> CallId {
-        let id = self.next_call;
-        self.next_call += 1;
-        self.calls.insert(id, purpose);
-        self.out.push(Action::Call { id, target, method, path, body, timeout });
+        let id = self.outbox.next_call;
+        self.outbox.next_call += 1;
+        self.outbox.calls.insert(id, purpose);
+        self.outbox.actions.push(Action::Call { id, target, method, path, body, timeout });
         id
     }
 
@@ -681,8 +462,8 @@
             let was_away = self.retry.is_open(Side::State);
             self.retry.ended(retry, outcome(retry, &result), self.now);
             if was_away && !self.retry.is_open(Side::State) {
-                self.writes.store_is_back(self.now);
-                self.store_back_at = Some(self.now);
+                self.transactions.rate.store_is_back(self.now);
+                self.transactions.store_recovered_at = Some(self.now);
             }
         }
         match purpose {
@@ -696,78 +477,45 @@
             Purpose::Push { machine, grant } => self.push_answer(id, &machine, grant, result),
             Purpose::Probe { machine, known } => self.probe_answer(machine, known, result),
             Purpose::Txn { txn, why, keys, charge, sent } => {
-                self.open_writes.ended(id);
+                self.transactions.in_flight.ended(id);
                 if result.as_ref().is_ok_and(|r| r.status == 503) {
-                    self.writes.give_back(self.now, charge);
+                    self.transactions.rate.give_back(self.now, charge);
                 }
                 self.txn_answer(txn, why, &keys, sent, &result);
             }
         }
     }
 
-    fn note_end(&mut self, spec: &crate::protocol::user::JobSpec, at_ms: u64) {
-        let took_s = self.wall_ms().saturating_sub(at_ms) as f64 / 1000.0;
-        if let Some(aim_s) = self.aims.end_within(spec) {
-            self.served.note(spec, took_s <= aim_s);
-        }
-        // What came while the first machines were still to boot says nothing
-        // of their number.
-        let boot_ms = self.types.iter().map(|t| t.startup_s * 1000.0).fold(0.0, f64::max) as u64;
-        let boot_ms = if self.fleet_cold { boot_ms } else { 0 };
-        if self.fleet_since_ms.is_some_and(|t| at_ms >= t + boot_ms) {
-            self.aims.note_end(spec, took_s);
-        }
-    }
-
-    /// A job whose aim has passed is a miss now: in an overload the late ones
-    /// wait longest, and counting ends alone would see only the good ones.
-    fn note_overdue(&mut self) {
-        let now_ms = self.wall_ms();
-        let mut late = Vec::new();
-        for (uid, j) in self.view.jobs.iter().filter(|(uid, j)| !j.cancelled() && !self.missed.contains(*uid)) {
-            let age_s = now_ms.saturating_sub(j.rec.rec.at_ms) as f64 / 1000.0;
-            if self.aims.end_within(&j.spec).is_some_and(|a| age_s > a) {
-                late.push((uid.clone(), j.spec.clone(), j.rec.rec.at_ms));
-            }
-        }
-        for (uid, spec, at_ms) in late {
-            self.missed.insert(uid);
-            self.note_end(&spec, at_ms);
-        }
-        let view = &self.view;
-        self.missed.retain(|uid| view.jobs.contains_key(uid));
-    }
-
     /// What waits for the view to move is looked at again.
     fn view_changed(&mut self) {
-        if self.led_since.is_none() && self.view.leader.is_some() {
-            self.led_since = Some(self.now);
+        if self.leadership.led_since.is_none() && self.state.leader.is_some() {
+            self.leadership.led_since = Some(self.now);
         }
-        if self.fleet_since_ms.is_none() && self.view.machines.keys().any(|h| self.is_up(h)) {
-            self.fleet_since_ms = Some(self.wall_ms());
-            let boot = self.types.iter().map(|t| t.startup_s).fold(f64::INFINITY, f64::min);
-            self.fleet_cold = self.now.as_secs_f64() > boot / 2.0;
+        if self.service_levels.fleet_since_ms.is_none() && self.state.machines.keys().any(|h| self.is_up(h)) {
+            self.service_levels.fleet_since_ms = Some(self.wall_ms());
+            let boot = self.cloud.types.iter().map(|t| t.startup_s).fold(f64::INFINITY, f64::min);
+            self.service_levels.fleet_cold = self.now.as_secs_f64() > boot / 2.0;
         }
-        for uid in std::mem::take(&mut self.view.complete) {
+        for uid in std::mem::take(&mut self.state.complete) {
             if self.ends(&uid) {
-                self.ending.insert(uid);
+                self.journal.ending.insert(uid);
             }
         }
-        for (spec, at_ms) in std::mem::take(&mut self.view.finished) {
+        for (spec, at_ms) in std::mem::take(&mut self.state.finished) {
             if self.am_leader() {
                 let took_s = self.wall_ms().saturating_sub(at_ms) as f64 / 1000.0;
-                let aim_s = self.aims.end_within(&spec);
+                let aim_s = self.service_levels.objectives.end_within(&spec);
                 tracing::debug!(job = %spec.uid, class = %spec.class, took_s, aim_s, "done");
             }
-            if !self.missed.remove(&spec.uid) {
+            if !self.service_levels.missed.remove(&spec.uid) {
                 self.note_end(&spec, at_ms);
             }
         }
-        for uid in std::mem::take(&mut self.view.let_go) {
+        for uid in std::mem::take(&mut self.state.let_go) {
             self.stop(&uid);
         }
         self.retry_held();
-        self.answer_requests(RequestEvent::ClusterState(self.view.revision));
+        self.answer_requests(RequestEvent::ClusterState(self.state.revision));
     }
 }
 
--- a/src/controller/quota.rs
+++ b/src/controller/quota.rs
@@ -6,6 +6,13 @@
 use crate::protocol::user::JobSpec;
 use crate::settings::Team;
 
+/// What this controller took of each team's limit without changing the team's record.
+#[derive(Debug, Default)]
+pub(super) struct QuotaReservations {
+    /// By team.
+    pub(super) by_team: BTreeMap<String, Parts>,
+}
+
 /// Below this part of its limit a team's starts need not exclude each other.
 pub(super) const FAR_FROM_LIMIT: f64 = 0.25;
 
@@ -14,7 +21,7 @@
     /// it is proved that the task is gone, on unreachable machines too.
     pub(super) fn used(&self, team: &Team) -> (Limit, Limit) {
         let mut used = Resources::default();
-        for j in self.view.jobs.values().filter(|j| j.spec.team == team.name) {
+        for j in self.state.jobs.values().filter(|j| j.spec.team == team.name) {
             used.add(&j.spec, f64::from(j.placed));
         }
         (Limit { used: used.cores, max: team.cpus_max }, Limit { used: used.gpus, max: team.gpus_max })
@@ -30,10 +37,10 @@
     /// From here on every start of the team changes its record. The view that
     /// shows this change shows all starts that did not.
     pub(super) fn near_limit(&mut self, key: String, version: u64) {
-        if self.busy.contains(&key) || !self.may_write_as(WritePriority::First) {
+        if self.transactions.locked_keys.contains(&key) || !self.may_write_as(WritePriority::First) {
             return;
         }
-        let rec = records::TeamRecord { strict: true, count: self.next_call };
+        let rec = records::TeamRecord { strict: true, count: self.outbox.next_call };
         let txn = Txn {
             conditions: vec![Condition { key: key.clone(), version }],
             ops: vec![Op::Put { key, data: records::to_value(&rec), lease: None }],
@@ -46,7 +53,7 @@
         for op in &txn.ops {
             if let Op::Put { key, .. } = op
                 && let Some(team) = key.strip_prefix(records::TEAMS)
-                && let Some(parts) = self.parts.get_mut(team)
+                && let Some(parts) = self.quota.by_team.get_mut(team)
             {
                 parts.record_changed();
             }
--- a/src/controller/registration.rs
+++ b/src/controller/registration.rs
@@ -17,25 +17,29 @@
     /// A copy of a report of long ago brought machines back that had been returned,
     /// and places on them that nobody heard of: so it must answer a call first.
     pub(super) fn enrol(&mut self, report: &Heartbeat) {
-        if !self.probed.contains_key(&report.machine) {
+        if !self.agents.probed.contains_key(&report.machine) {
             return self.call_back(report);
         }
         let key = records::machine_group_key(&report.machine);
-        let led = self.leader_name().is_some() && self.view.is_live(&self.me, self.incarnation);
+        let led = self.leader_name().is_some() && self.state.is_live(&self.process.member, self.process.incarnation);
         // What can be started on machines that are known already comes first.
-        let need = 1.0 + self.writes.rate * ACCEPT_RESERVE;
-        if !led || self.busy.contains(&key) || self.gone.contains(&report.machine) || !self.may_write(need) {
+        let need = 1.0 + self.transactions.rate.rate * ACCEPT_RESERVE;
+        if !led
+            || self.transactions.locked_keys.contains(&key)
+            || self.releases.gone.contains(&report.machine)
+            || !self.may_write(need)
+        {
             return;
         }
         let rec = MachineGroupRecord {
             machine_type: report.machine_type.clone(),
             zone: report.zone.clone(),
             spot: report.spot,
-            owner: self.me.clone(),
-            incarnation: self.incarnation,
+            owner: self.process.member.clone(),
+            incarnation: self.process.incarnation,
             term: self.term(),
             epoch: 0,
-            base: self.beginning() && !self.young.contains(&report.machine),
+            base: self.beginning() && !self.autoscaler.young.contains(&report.machine),
             machines: vec![report.machine.clone()],
             drain: Vec::new(),
         };
@@ -52,7 +56,7 @@
 
     /// Holds while no pack was written that this view does not know.
     fn machine_groups_condition(&self) -> Condition {
-        Condition { key: records::MACHINE_GROUPS_KEY.into(), version: self.view.machine_groups_version }
+        Condition { key: records::MACHINE_GROUPS_KEY.into(), version: self.state.machine_groups_version }
     }
 
     /// Records the machines of a large rental before they are up, in packs for
@@ -61,31 +65,34 @@
     /// conditional on none having a record of its own, and such records on no
     /// pack having been written meanwhile.
     pub(super) fn enrol_rentals(&mut self) {
-        if self.busy.contains(records::MACHINE_GROUPS_KEY) || !self.am_leader() || self.unrecorded.is_empty() {
+        if self.transactions.locked_keys.contains(records::MACHINE_GROUPS_KEY)
+            || !self.am_leader()
+            || self.autoscaler.unrecorded.is_empty()
+        {
             return;
         }
         if !self.may_write_as(WritePriority::First) {
             return;
         }
-        let Some((offer, mut names)) = self.unrecorded.pop_front() else { return };
-        let st = &self.set.settings.state;
-        let members = self.view.members.len().max(1);
+        let Some((offer, mut names)) = self.autoscaler.unrecorded.pop_front() else { return };
+        let st = &self.config.settings.state;
+        let members = self.state.members.len().max(1);
         // Records and conditions of one transaction are limited.
         names.truncate((st.txn_ops * 4).saturating_sub(2));
-        names.retain(|n| !self.view.machines.contains_key(n));
+        names.retain(|n| !self.state.machines.contains_key(n));
         if names.is_empty() {
             return;
         }
         let size = names.len().div_ceil(members.min(st.txn_ops.saturating_sub(1).max(1)));
-        let deaf = self.deaf.names(self.now).collect();
-        let owners = shards::spread(&self.view, &deaf, &offer.machine_type, names.len(), size);
+        let deaf = self.connectivity.deaf.names(self.now).collect();
+        let owners = shards::spread(&self.state, &deaf, &offer.machine_type, names.len(), size);
         let mut txn =
             Txn { conditions: vec![self.leader_condition(), self.machine_groups_condition()], ops: Vec::new() };
         txn.conditions.extend(names.iter().map(|n| Condition { key: records::machine_group_key(n), version: 0 }));
-        let count = records::to_value(&self.request_id);
+        let count = records::to_value(&self.leadership.request_count);
         txn.ops.push(Op::Put { key: records::MACHINE_GROUPS_KEY.into(), data: count, lease: None });
         for (machines, owner) in names.chunks(size).zip(owners) {
-            let Some(to) = self.view.members.get(owner) else { continue };
+            let Some(to) = self.state.members.get(owner) else { continue };
             let rec = MachineGroupRecord {
                 machine_type: offer.machine_type.clone(),
                 zone: offer.zone.clone(),
@@ -108,16 +115,16 @@
     /// begun, and are not of those that stood there.
     pub(super) fn note_young(&mut self, names: &[String]) {
         if self.beginning() {
-            self.young.extend(names.iter().cloned());
+            self.autoscaler.young.extend(names.iter().cloned());
         } else {
-            self.young.clear();
+            self.autoscaler.young.clear();
         }
     }
 
     /// Whether this is the first report interval of the cluster's first term: what
     /// reports and was not rented by us stood there before.
     pub(super) fn beginning(&self) -> bool {
-        let since = self.led_since.map(|t| self.now.saturating_sub(t));
+        let since = self.leadership.led_since.map(|t| self.now.saturating_sub(t));
         self.term() == 1 && since.is_some_and(|s| s < self.heartbeat_intervals(1.5))
     }
 }
