--- a/src/controller/scheduler.rs
+++ b/src/controller/scheduler.rs
@@ -9,6 +9,19 @@
 use crate::state::Job;
 use crate::state::records::Placement;
 
+/// The queue of jobs with tasks to place, and when the next placement round is due.
+#[derive(Debug, Default)]
+pub(super) struct Scheduler {
+    /// How long each job has waited, and how it failed.
+    pub(super) queue: HashMap<String, Patience>,
+    /// Tables of the knapsack, kept between rounds.
+    pub(super) knapsack: Knapsack,
+    /// Something changed since the last round.
+    pub(super) dirty: bool,
+    /// No round before this time.
+    pub(super) next: Instant,
+}
+
 /// Estimates are often wrong by half: a job counts as late once its aim would
 /// be missed by a run of this part of the estimate.
 pub(super) const HOPE: f64 = 0.7;
@@ -20,31 +33,31 @@
 
 impl Controller {
     pub(super) fn work_tick(&mut self) {
-        if !self.changes.is_empty() {
-            self.dirty = true;
+        if !self.journal.exits.is_empty() {
+            self.scheduler.dirty = true;
         }
-        let view = &self.view;
-        self.patience.retain(|uid, _| view.jobs.contains_key(uid));
+        let view = &self.state;
+        self.scheduler.queue.retain(|uid, _| view.jobs.contains_key(uid));
         self.close_jobs();
         self.fold_tick();
     }
 
     /// Writes exits down and starts what fits.
     pub(super) fn schedule(&mut self) {
-        if !self.ses.following() || !self.entitled() {
+        if !self.store.session.following() || !self.entitled() {
             return;
         }
         self.adopt();
-        let revision = self.view.revision;
-        self.outdated.retain(|_, need| *need > revision);
-        let due = self.log.due(self.now);
+        let revision = self.state.revision;
+        self.transactions.outdated.retain(|_, need| *need > revision);
+        let due = self.journal.writer.due(self.now);
         if !self.log_ready() || !due && !self.starts_soon() {
-            self.dirty = true;
+            self.scheduler.dirty = true;
             return;
         }
         let starts = if self.fresh() { self.plan_starts() } else { Vec::new() };
         // Machines that are not heard yet may have the room that is missed.
-        if self.fresh() && self.start.fleet_known() {
+        if self.fresh() && self.startup.fleet_known() {
             self.make_capacity(&starts);
         }
         let mut by_job: BTreeMap<String, Vec<Start>> = BTreeMap::new();
@@ -57,7 +70,7 @@
             return;
         }
         if !due && !urgent || !self.may_write_as(first) {
-            self.dirty = true; // what can wait gathers
+            self.scheduler.dirty = true; // what can wait gathers
             return;
         }
         self.write_segment(&order, by_job);
@@ -65,9 +78,9 @@
 
     /// Whether tasks wait here that must start soon.
     fn starts_soon(&self) -> bool {
-        let here = |j: &Job| j.rec.rec.task_ranges.iter().any(|s| s.member == self.me);
+        let here = |j: &Job| j.rec.rec.task_ranges.iter().any(|s| s.member == self.process.member);
         let soon = |j: &&Job| j.waiting_count() > 0 && here(j) && self.counted(&j.spec) == Counted::Lasting;
-        self.view.jobs.values().any(|j| soon(&j))
+        self.state.jobs.values().any(|j| soon(&j))
     }
 
     /// Jobs with something to write down, what matters most first, whether any of
@@ -75,20 +88,20 @@
     /// by waiting, since workers report them until they are stored; the last ones of
     /// a job are waited for by its user.
     fn write_order(&self, by_job: &BTreeMap<String, Vec<Start>>) -> (Vec<String>, bool, WritePriority) {
-        let uids: BTreeSet<&String> = by_job.keys().chain(self.changes.keys()).collect();
+        let uids: BTreeSet<&String> = by_job.keys().chain(self.journal.exits.keys()).collect();
         let mut order: Vec<(u8, f64, &String)> = Vec::new();
         let mut urgent = false;
         for uid in uids {
-            let Some(job) = self.view.jobs.get(uid) else {
+            let Some(job) = self.state.jobs.get(uid) else {
                 order.push((0, 0.0, uid)); // over: its changes are dropped
                 continue;
             };
             let starts = by_job.get(uid).map_or(0, Vec::len);
-            let change = self.changes.get(uid);
+            let change = self.journal.exits.get(uid);
             let exits = change.map_or(0, |c| c.done.len());
             let gone = change.map_or(0, |c| c.clear.len());
             let since = change.map_or(self.now, |c| c.since);
-            let waited = self.patience.get(uid).and_then(|p| p.waited(self.now)).unwrap_or_default();
+            let waited = self.scheduler.queue.get(uid).and_then(|p| p.waited(self.now)).unwrap_or_default();
             let waited = waited.max(self.now.saturating_sub(since));
             let size = (starts + exits + gone) as f64;
             let weight = size * (waited + self.heartbeat_intervals(1.0)).as_secs_f64();
@@ -116,31 +129,31 @@
             && job.chunks.values().flat_map(|c| &c.rec.on).all(|p| {
                 change.done.contains(&p.index)
                     || change.clear.contains(&(p.index, p.attempt))
-                    || !self.machines.contains_key(&p.machine)
+                    || !self.agents.machines.contains_key(&p.machine)
             })
     }
 
     fn plan_starts(&mut self) -> Vec<Start> {
         let now = self.now;
-        let size = self.view.chunk_size;
+        let size = self.state.chunk_size;
         let mut allowances: BTreeMap<&str, (f64, f64)> = BTreeMap::new();
-        for t in self.set.settings.teams.iter().filter(|t| limited(t)) {
+        for t in self.config.settings.teams.iter().filter(|t| limited(t)) {
             allowances.insert(&t.name, self.allowance(t));
         }
         let mut capacities: Vec<MachineCapacity> = self.capacities(false).into_iter().map(|(_, r)| r).collect();
         // Tasks of arrays per image, which leave their places to the next.
         let mut turning: HashMap<&str, f64> = HashMap::new();
-        for load in self.machines.keys().filter_map(|name| self.view.loads.get(name)) {
+        for load in self.agents.machines.keys().filter_map(|name| self.state.loads.get(name)) {
             for (image, b) in load.by_image.iter().filter(|b| b.1.arrays > 0) {
                 *turning.entry(image).or_default() += f64::from(b.arrays);
             }
         }
-        let pull = self.types.iter().map(|t| t.pull_gb_per_s).fold(f64::INFINITY, f64::min);
+        let pull = self.cloud.types.iter().map(|t| t.pull_gb_per_s).fold(f64::INFINITY, f64::min);
         let most = capacities.iter().filter(|r| r.free_share() > 0.0).map(|r| r.cores).fold(0.0, f64::max);
         let mut waiting: Vec<Waiting> = Vec::new();
-        for (uid, job) in &self.view.jobs {
+        for (uid, job) in &self.state.jobs {
             if job.waiting_count() == 0 {
-                if let Some(p) = self.patience.get_mut(uid) {
+                if let Some(p) = self.scheduler.queue.get_mut(uid) {
                     p.waiting_since = None;
                     p.before = Duration::ZERO;
                     p.parts_since = None;
@@ -148,7 +161,7 @@
                 continue;
             }
             let age_s = self.wall_ms().saturating_sub(job.rec.rec.at_ms) as f64 / 1000.0;
-            let patience = self.patience.entry(uid.clone()).or_insert_with(|| {
+            let patience = self.scheduler.queue.entry(uid.clone()).or_insert_with(|| {
                 // Nothing of it has started: it has waited since it came.
                 let age_s = if job.done + job.placed == 0 { age_s } else { 0.0 };
                 Patience { before: Duration::from_secs_f64(age_s), ..Patience::default() }
@@ -162,7 +175,10 @@
             let waited_s = patience.waited(now).unwrap_or_default().as_secs_f64();
             let failing = patience.fails_everywhere(job.done);
             let key = records::job_key(uid);
-            if patience.not_before > now || self.busy.contains(&key) || self.outdated.contains_key(&key) {
+            if patience.not_before > now
+                || self.transactions.locked_keys.contains(&key)
+                || self.transactions.outdated.contains_key(&key)
+            {
                 continue;
             }
             // Most of the time under load nothing fits anywhere: be quick then.
@@ -171,7 +187,7 @@
             }
             let task_ranges = &job.rec.rec.task_ranges;
             let ranges: Vec<(u32, u32)> =
-                task_ranges.iter().filter(|s| s.member == self.me).map(|s| (s.from, s.to)).collect();
+                task_ranges.iter().filter(|s| s.member == self.process.member).map(|s| (s.from, s.to)).collect();
             let mine = |i: u32| ranges.iter().any(|(from, to)| (*from..=*to).contains(&i));
             let all = job.waiting(size);
             let whole = all.len() as u32 == job.spec.task_count;
@@ -184,7 +200,7 @@
                 tasks.truncate(1);
             }
             // Exits that are not written yet must not be started over.
-            if let Some(c) = self.changes.get(uid) {
+            if let Some(c) = self.journal.exits.get(uid) {
                 tasks.retain(|i| !c.done.contains(i));
             }
             if let Some((cpus, gpus)) = allowances.get_mut(job.spec.team.as_str()) {
@@ -199,12 +215,12 @@
             if tasks.is_empty() {
                 continue;
             }
-            let zones = self.view.zones_of(job);
-            let aim_s = self.aims.end_from(&job.spec, age_s, job.spec.estimated_run_s * HOPE);
+            let zones = self.state.zones_of(job);
+            let aim_s = self.service_levels.objectives.end_from(&job.spec, age_s, job.spec.estimated_run_s * HOPE);
             let slack_s = aim_s.map_or(f64::INFINITY, |a| a - age_s - job.spec.estimated_run_s * HOPE);
             let left = f64::from(job.spec.task_count - job.done);
             let work = left * job.spec.cores * job.spec.estimated_run_s;
-            let start_within_s = self.aims.start_within(&job.spec);
+            let start_within_s = self.service_levels.objectives.start_within(&job.spec);
             let mut stay = 0;
             if job.spec.kind == JobKind::Array
                 && let Some(n) = turning.get_mut(job.spec.image.as_str())
@@ -239,11 +255,11 @@
             let spot = b.spot.cmp(&a.spot);
             spot.then(a.free_cores().total_cmp(&b.free_cores())).then_with(|| a.machine.cmp(&b.machine))
         });
-        let op = &self.set.operator;
-        let gangs = self.view.jobs.values().filter(|j| j.spec.kind == JobKind::Gang && !j.spec.spot_allowed);
+        let op = &self.config.operator;
+        let gangs = self.state.jobs.values().filter(|j| j.spec.kind == JobKind::Gang && !j.spec.spot_allowed);
         let keep = gangs.map(Job::waiting_count).sum::<u32>() as usize;
         let rules = Rules { window: op.window, step_gb: op.step_mb / 1024.0, wait_limit_s: op.wait_limit_s, keep };
-        plan(&mut capacities, &mut waiting, &rules, &mut self.knapsack)
+        plan(&mut capacities, &mut waiting, &rules, &mut self.scheduler.knapsack)
     }
 
     /// Whether a gang lost tasks before it started, and all others are seen on
@@ -253,7 +269,8 @@
         let recent = self.heartbeat_intervals(1.5);
         let all = |fit: &dyn Fn(&Machine, &Placement) -> bool| {
             job.chunks.values().flat_map(|c| &c.rec.on).all(|p| {
-                self.machines
+                self.agents
+                    .machines
                     .get(&p.machine)
                     .is_some_and(|m| m.heard_at.is_some_and(|t| self.now.saturating_sub(t) < recent) && fit(m, p))
             })
@@ -272,8 +289,8 @@
     /// They have been for a lease: whoever should have stored the rest does not, or has
     /// no room any more. Each owner takes its own back, by proof, and it begins anew.
     pub(super) fn taken_back(&self, job: &Job) -> bool {
-        let lease = self.secs(self.set.settings.workers.lease_s);
-        let since = self.patience.get(&job.spec.uid).and_then(|p| p.parts_since);
+        let lease = self.secs(self.config.settings.workers.lease_s);
+        let since = self.scheduler.queue.get(&job.spec.uid).and_then(|p| p.parts_since);
         self.in_parts(job) && since.is_some_and(|t| self.now.saturating_sub(t) > lease)
     }
 
@@ -283,10 +300,10 @@
     fn presses(&self, job: &Job) -> bool {
         match job.spec.kind {
             JobKind::Gang => false,
-            JobKind::Service => self.aims.start_within(&job.spec).is_some(),
+            JobKind::Service => self.service_levels.objectives.start_within(&job.spec).is_some(),
             JobKind::Array => {
-                let aimed = self.aims.end_within(&job.spec).is_some() && self.can_be_saved(job);
-                aimed || self.aims.start_within(&job.spec).is_some()
+                let aimed = self.service_levels.objectives.end_within(&job.spec).is_some() && self.can_be_saved(job);
+                aimed || self.service_levels.objectives.start_within(&job.spec).is_some()
             }
         }
     }
@@ -296,7 +313,7 @@
     fn would_miss(&self, job: &Job, ran_s: f64) -> bool {
         let age_s = self.wall_ms().saturating_sub(job.rec.rec.at_ms) as f64 / 1000.0;
         let needs_s = job.spec.estimated_run_s;
-        let aim_s = self.aims.end_within(&job.spec);
+        let aim_s = self.service_levels.objectives.end_within(&job.spec);
         aim_s.is_some_and(|a| a >= age_s + (needs_s - ran_s).max(0.0) && a < age_s + needs_s * 2.0)
     }
 
@@ -304,20 +321,20 @@
     fn make_capacity(&mut self, starts: &[Start]) {
         let now = self.now;
         let mut pressed: Vec<(&str, u32)> = Vec::new();
-        let running = self.view.jobs.values().filter(|j| j.placed > 0 && !j.cancelled());
+        let running = self.state.jobs.values().filter(|j| j.placed > 0 && !j.cancelled());
         let Some(lowest) = running.map(|j| j.spec.priority).min() else { return };
-        for (uid, job) in &self.view.jobs {
+        for (uid, job) in &self.state.jobs {
             if job.waiting_count() == 0 || job.spec.priority <= lowest || !self.presses(job) {
                 continue;
             }
-            let task_ranges = job.rec.rec.task_ranges.iter().filter(|s| s.member == self.me);
+            let task_ranges = job.rec.rec.task_ranges.iter().filter(|s| s.member == self.process.member);
             let mine = task_ranges
-                .map(|s| (s.from..=s.to).filter(|i| job.place(*i, self.view.chunk_size).is_none()).count() as u32)
+                .map(|s| (s.from..=s.to).filter(|i| job.place(*i, self.state.chunk_size).is_none()).count() as u32)
                 .sum::<u32>();
             let found = starts.iter().filter(|s| s.uid == *uid).count() as u32;
             // One that was written down a moment ago may not be in the view.
-            let known = self.patience.get(uid).is_some_and(|p| p.waiting_since.is_some() && p.not_before <= now);
-            if mine > found && known && !self.busy.contains(&records::job_key(uid)) {
+            let known = self.scheduler.queue.get(uid).is_some_and(|p| p.waiting_since.is_some() && p.not_before <= now);
+            if mine > found && known && !self.transactions.locked_keys.contains(&records::job_key(uid)) {
                 pressed.push((uid, mine - found));
             }
         }
@@ -325,7 +342,7 @@
             return;
         }
         // Services first; of arrays the oldest, a few tasks a round.
-        let array = |uid: &str| self.view.jobs.get(uid).filter(|j| j.spec.kind == JobKind::Array);
+        let array = |uid: &str| self.state.jobs.get(uid).filter(|j| j.spec.kind == JobKind::Array);
         pressed.sort_by_key(|(uid, _)| array(uid).map(|j| j.rec.rec.at_ms));
         let mut left = ARRAY_ROOMS;
         for (uid, n) in pressed.iter_mut() {
@@ -339,15 +356,15 @@
         for (_, mut capacity) in self.capacities(false) {
             let name = capacity.machine.clone();
             for s in starts.iter().filter(|s| s.machine == name) {
-                if let Some(j) = self.view.jobs.get(&s.uid) {
+                if let Some(j) = self.state.jobs.get(&s.uid) {
                     capacity.take(&j.spec, 1);
                 }
             }
-            let Some(m) = self.machines.get(&capacity.machine) else { continue };
+            let Some(m) = self.agents.machines.get(&capacity.machine) else { continue };
             // Room that is being made already counts as free, once.
             let mut victims = Vec::new();
-            for ((uid, index), attempt) in self.view.placed.get(&capacity.machine).into_iter().flatten() {
-                let Some(j) = self.view.jobs.get(uid) else { continue };
+            for ((uid, index), attempt) in self.state.placed.get(&capacity.machine).into_iter().flatten() {
+                let Some(j) = self.state.jobs.get(uid) else { continue };
                 let key = (uid.clone(), *index, *attempt);
                 if m.is_over(&key) {
                     continue;
@@ -371,14 +388,14 @@
         }
         let mut stops: Vec<(String, (String, u32, u64))> = Vec::new();
         for (uid, n) in pressed {
-            let Some(job) = self.view.jobs.get(uid) else { continue };
-            let mut within = self.aims.start_within(&job.spec).unwrap_or(f64::INFINITY);
+            let Some(job) = self.state.jobs.get(uid) else { continue };
+            let mut within = self.service_levels.objectives.start_within(&job.spec).unwrap_or(f64::INFINITY);
             // Where no machine keeps the aim any more, or has room to make, a
             // late start is still better than none.
-            let waited = self.patience.get(uid).and_then(|p| p.waited(now)).unwrap_or_default();
-            let mut zones = self.view.zones_of(job);
+            let waited = self.scheduler.queue.get(uid).and_then(|p| p.waited(now)).unwrap_or_default();
+            let mut zones = self.state.zones_of(job);
             for s in starts.iter().filter(|s| s.uid == *uid) {
-                if let Some(h) = self.view.machines.get(&s.machine) {
+                if let Some(h) = self.state.machines.get(&s.machine) {
                     *zones.entry(h.rec.zone.clone()).or_default() += 1;
                 }
             }
@@ -412,8 +429,8 @@
         }
         let machines: BTreeSet<String> = stops.iter().map(|s| s.0.clone()).collect();
         for (machine, key) in stops {
-            if let Some(m) = self.machines.get_mut(&machine) {
-                let save_s = self.view.jobs.get(&key.0).and_then(|j| j.spec.saves_in()).unwrap_or(0.0);
+            if let Some(m) = self.agents.machines.get_mut(&machine) {
+                let save_s = self.state.jobs.get(&key.0).and_then(|j| j.spec.saves_in()).unwrap_or(0.0);
                 m.preempted.insert(key, save_s);
             }
         }
--- a/src/controller/sharding.rs
+++ b/src/controller/sharding.rs
@@ -10,6 +10,19 @@
 use crate::state::Job;
 use records::{MachineGroupRecord, ShardGrantRecord};
 
+/// When the leader next reassigns tasks and machines.
+#[derive(Debug, Default)]
+pub(super) struct Sharding {
+    /// When tasks are next reassigned.
+    pub(super) reassign_next: Instant,
+    /// When shards are next rebalanced.
+    pub(super) rebalance_next: Instant,
+    /// No rebalancing before this time: machines were brought together for a gang.
+    pub(super) rebalance_after_gang: Instant,
+    /// Machines that did not reach a controller, and until when they are not given to it.
+    pub(super) avoid: HashMap<(String, String), Instant>,
+}
+
 /// After machines were brought together for a gang, blocks are not levelled for
 /// so many report intervals.
 const GATHERED_REPORTS: f64 = 3.0;
@@ -19,76 +32,77 @@
 
 impl Controller {
     pub(super) fn grant_shards(&mut self) {
-        for member in self.view.restarted() {
+        for member in self.state.restarted() {
             let key = records::shard_grant_key(&member);
-            if self.busy.contains(&key) || !self.may_write_as(WritePriority::First) {
+            if self.transactions.locked_keys.contains(&key) || !self.may_write_as(WritePriority::First) {
                 continue;
             }
-            let Some(m) = self.view.members.get(&member) else { continue };
-            self.epoch += 1;
-            let rec = ShardGrantRecord { incarnation: m.rec.incarnation, term: self.term(), epoch: self.epoch };
+            let Some(m) = self.state.members.get(&member) else { continue };
+            self.leadership.epoch += 1;
+            let rec =
+                ShardGrantRecord { incarnation: m.rec.incarnation, term: self.term(), epoch: self.leadership.epoch };
             tracing::debug!(to = %member, "block granted again");
             let txn = Txn {
                 conditions: vec![
                     self.leader_condition(),
-                    Condition { key: key.clone(), version: self.view.shard_grant_version(&member) },
+                    Condition { key: key.clone(), version: self.state.shard_grant_version(&member) },
                     Condition { key: records::member_key(&member), version: m.version },
                 ],
                 ops: vec![Op::Put { key, data: records::to_value(&rec), lease: None }],
             };
             self.txn_keyed(txn, Why::Grant);
         }
-        if !self.start.members_known() {
+        if !self.startup.members_known() {
             return; // whoever comes back gets its block whole
         }
         let now = self.now;
-        let ops = self.set.settings.state.txn_ops;
-        let spare = ops.min(self.writes.level(self.now) as usize).max(1);
-        let known = self.start.fleet_known();
+        let ops = self.config.settings.state.txn_ops;
+        let spare = ops.min(self.transactions.rate.level(self.now) as usize).max(1);
+        let known = self.startup.fleet_known();
         let unreached = if known { self.unreached_machines() } else { Vec::new() };
-        let deaf: BTreeSet<&str> = if known { self.deaf.names(now).collect() } else { BTreeSet::new() };
-        let level = known && self.now >= self.level_next;
+        let deaf: BTreeSet<&str> = if known { self.connectivity.deaf.names(now).collect() } else { BTreeSet::new() };
+        let level = known && self.now >= self.sharding.rebalance_next;
         // Machines without an owner that answers them lose their tasks soon.
-        let mut moves = wanted_moves(&self.view, &deaf, &unreached, ops);
+        let mut moves = wanted_moves(&self.state, &deaf, &unreached, ops);
         let first = !moves.is_empty();
-        if moves.is_empty() && level && now >= self.gather_next {
-            moves.extend(shards::level(&self.view, &deaf, |machine, to| self.reaches(machine, to)));
+        if moves.is_empty() && level && now >= self.sharding.rebalance_after_gang {
+            moves.extend(shards::level(&self.state, &deaf, |machine, to| self.reaches(machine, to)));
         }
         if moves.is_empty() && level {
             moves = self.gather_moves();
             moves.truncate(spare);
             if !moves.is_empty() {
                 // Levelling would take them apart before the gang has started.
-                self.gather_next = now + self.heartbeat_intervals(GATHERED_REPORTS);
+                self.sharding.rebalance_after_gang = now + self.heartbeat_intervals(GATHERED_REPORTS);
             }
         }
         let may = if first { self.may_write_as(WritePriority::First) } else { self.may_write(moves.len() as f64) };
         if moves.is_empty() || !may {
             return;
         }
-        self.level_next = self.now + self.heartbeat_intervals(1.0);
-        let sizes = moves.iter().map(|m| self.view.machine_groups.get(&m.group).map_or(0, |p| encode(&p.rec).len()));
+        self.sharding.rebalance_next = self.now + self.heartbeat_intervals(1.0);
+        let sizes = moves.iter().map(|m| self.state.machine_groups.get(&m.group).map_or(0, |p| encode(&p.rec).len()));
         moves.truncate(fitting(sizes));
         let mut txn = Txn { conditions: vec![self.leader_condition()], ops: Vec::new() };
         for m in moves {
             let key = records::machine_group_key(&m.group);
-            let (Some(p), Some(to)) = (self.view.machine_groups.get(&m.group), self.view.members.get(&m.to)) else {
+            let (Some(p), Some(to)) = (self.state.machine_groups.get(&m.group), self.state.members.get(&m.to)) else {
                 continue;
             };
-            if self.busy.contains(&key) {
+            if self.transactions.locked_keys.contains(&key) {
                 continue;
             }
-            self.epoch += 1;
+            self.leadership.epoch += 1;
             let rec = MachineGroupRecord {
                 owner: m.to.clone(),
                 incarnation: to.rec.incarnation,
                 term: self.term(),
-                epoch: self.epoch,
+                epoch: self.leadership.epoch,
                 ..p.rec.clone()
             };
             for machine in p.rec.machines.iter().filter(|m| unreached.iter().any(|u| u.0 == **m)) {
-                let until = now + self.secs(self.set.settings.workers.lease_s * UNREACHED_LEASES);
-                self.avoid.insert((machine.clone(), p.rec.owner.clone()), until);
+                let until = now + self.secs(self.config.settings.workers.lease_s * UNREACHED_LEASES);
+                self.sharding.avoid.insert((machine.clone(), p.rec.owner.clone()), until);
             }
             tracing::debug!(group = %m.group, machines = rec.machines.len(), from = %p.rec.owner, to = %m.to, "machine granted");
             // Late, after the block it leaves was granted anew, it would carry a lower
@@ -109,12 +123,13 @@
     /// brought together. One gang at a time.
     fn gather_moves(&self) -> Vec<shards::Move> {
         // Until then machines that were rented for it may still come up together.
-        let boot = self.types.iter().map(|t| t.startup_s).fold(0.0, f64::max);
-        let waits =
-            |uid: &String| self.patience.get(uid).and_then(|p| p.waited(self.now)).is_some_and(|t| t > self.secs(boot));
+        let boot = self.cloud.types.iter().map(|t| t.startup_s).fold(0.0, f64::max);
+        let waits = |uid: &String| {
+            self.scheduler.queue.get(uid).and_then(|p| p.waited(self.now)).is_some_and(|t| t > self.secs(boot))
+        };
         let whole = |j: &Job| j.spec.kind == JobKind::Gang && j.spec.task_count > 1 && j.placed == 0;
         let mut gangs: Vec<&Job> = self
-            .view
+            .state
             .jobs
             .iter()
             .filter(|(uid, j)| whole(j) && j.waiting_count() > 0 && waits(uid))
@@ -125,7 +140,7 @@
         }
         gangs.sort_by_key(|j| j.rec.rec.at_ms);
         let capacities = self.capacities(true);
-        let found = gangs.into_iter().map(|j| shards::gather(&self.view, &capacities, &j.spec));
+        let found = gangs.into_iter().map(|j| shards::gather(&self.state, &capacities, &j.spec));
         found.into_iter().find(|moves| !moves.is_empty()).unwrap_or_default()
     }
 }
--- a/src/controller/startup.rs
+++ b/src/controller/startup.rs
@@ -1,5 +1,5 @@
 //! A start of this process: how far it has come, and what was found on the way.
-//! What waits for its phases asks `self.start` where it decides.
+//! What waits for its phases asks `self.startup` where it decides.
 
 use super::*;
 use crate::protocol::cloud::Phase as Listing;
@@ -16,26 +16,26 @@
 impl Controller {
     /// Notices that the process stood still while its clocks ran on.
     pub(super) fn pause_tick(&mut self) {
-        let since = self.now.saturating_sub(self.ticked_at);
-        self.ticked_at = self.now;
-        if since > self.heartbeat_intervals(PAUSE_REPORTS) && self.start.phase() > Phase::Gathering {
+        let since = self.now.saturating_sub(self.process.ticked_at);
+        self.process.ticked_at = self.now;
+        if since > self.heartbeat_intervals(PAUSE_REPORTS) && self.startup.phase() > Phase::Gathering {
             tracing::info!(stood_ms = since.as_millis() as u64, "process stood still, gathers again");
-            self.start.paused(self.now);
+            self.startup.paused(self.now);
         }
     }
 
     pub(super) fn start_tick(&mut self) {
-        if self.start.phase() == Phase::Settled && self.start.all_came() {
+        if self.startup.phase() == Phase::Settled && self.startup.all_came() {
             return;
         }
-        let facts = if self.start.phase() == Phase::Settled {
+        let facts = if self.startup.phase() == Phase::Settled {
             // Only time matters any more.
             let none = Heard::default();
             Facts { fresh: self.fresh(), members: none, shard: none, fleet: none }
         } else {
             self.start_facts()
         };
-        let Some(phase) = self.start.look(self.now, &facts) else { return };
+        let Some(phase) = self.startup.look(self.now, &facts) else { return };
         let ms = self.now.as_millis() as u64;
         let Facts { members, shard, fleet, .. } = facts;
         tracing::info!(
@@ -50,35 +50,35 @@
             "start"
         );
         if phase == Phase::Settled {
-            tracing::info!(cases = ?self.start.cases, "machines squared with the stored state");
+            tracing::info!(cases = ?self.startup.cases, "machines squared with the stored state");
         }
     }
 
     fn start_facts(&self) -> Facts {
         let (mut shard, mut fleet) = (Heard::default(), Heard::default());
-        let listed = self.list_at.is_some();
-        for (name, h) in &self.view.machines {
+        let listed = self.cloud.list_at.is_some();
+        for (name, h) in &self.state.machines {
             let heard = self.heard_by_any(name);
             // What the cloud lists as booting, or not at all, is not waited for.
             let running = |l: &ListedMachine| l.phase == Listing::Running;
-            if !heard && listed && !self.list.get(name).is_some_and(running) {
+            if !heard && listed && !self.cloud.list.get(name).is_some_and(running) {
                 continue;
             }
             fleet.all += 1;
             fleet.heard += usize::from(heard);
             if self.owns(h) {
                 shard.all += 1;
-                shard.heard += usize::from(self.machines.get(name).is_some_and(|m| m.heard_at.is_some()));
+                shard.heard += usize::from(self.agents.machines.get(name).is_some_and(|m| m.heard_at.is_some()));
             }
         }
-        let members = Heard { heard: self.view.members.len(), all: self.set.controllers() };
+        let members = Heard { heard: self.state.members.len(), all: self.config.controllers() };
         Facts { fresh: self.fresh(), members, shard, fleet }
     }
 
     /// Counts what the first report under our grant differs in.
     pub(super) fn count_differences(&mut self, name: &str, wanted: &PlacedTasks, kept: &PlacedTasks) {
-        let Some(m) = self.machines.get(name).filter(|m| m.answered_at.is_none()) else { return };
-        let cases = &mut self.start.cases;
+        let Some(m) = self.agents.machines.get(name).filter(|m| m.answered_at.is_none()) else { return };
+        let cases = &mut self.startup.cases;
         for s in &m.tasks {
             let key = (s.task.job.clone(), s.task.index);
             let stored = Stored::of(wanted, kept, &key, s.attempt);
--- a/src/controller/task_ranges.rs
+++ b/src/controller/task_ranges.rs
@@ -14,10 +14,10 @@
     /// Whether it is ours to end the job: one controller does, so that they do not
     /// refuse each other.
     pub(super) fn ends(&self, uid: &str) -> bool {
-        let Some(j) = self.view.jobs.get(uid) else { return false };
+        let Some(j) = self.state.jobs.get(uid) else { return false };
         let first = j.rec.rec.task_ranges.first().map(|s| &s.member);
-        match first.filter(|m| self.view.members.contains_key(*m)) {
-            Some(m) => *m == self.me,
+        match first.filter(|m| self.state.members.contains_key(*m)) {
+            Some(m) => *m == self.process.member,
             None => self.am_leader(),
         }
     }
@@ -25,29 +25,31 @@
     /// Jobs that nobody ended whose duty it was when they were complete: it may
     /// have come to us since, with a holder that is gone, or back with our lease.
     pub(super) fn close_jobs(&mut self) {
-        let complete = self.view.jobs.iter().filter(|(_, j)| j.complete());
+        let complete = self.state.jobs.iter().filter(|(_, j)| j.complete());
         let ours: Vec<String> = complete.map(|(uid, _)| uid.clone()).filter(|uid| self.ends(uid)).collect();
-        self.ending.extend(ours);
+        self.journal.ending.extend(ours);
     }
 
     /// Ends the records of jobs whose last task is done or gone.
     pub(super) fn close_tick(&mut self) {
-        for uid in std::mem::take(&mut self.ending) {
+        for uid in std::mem::take(&mut self.journal.ending) {
             let key = records::job_key(&uid);
-            let Some(j) = self.view.jobs.get(&uid).filter(|j| j.complete()) else { continue };
+            let Some(j) = self.state.jobs.get(&uid).filter(|j| j.complete()) else { continue };
             // What was started just before it was cancelled may still be on its way here.
-            let known = j.rec.version <= self.view.revision;
-            let ready = known && !self.busy.contains(&key) && !self.outdated.contains_key(&key);
+            let known = j.rec.version <= self.state.revision;
+            let ready = known
+                && !self.transactions.locked_keys.contains(&key)
+                && !self.transactions.outdated.contains_key(&key);
             // Who withdrew a job was told so long ago: that nothing is left of it can
             // wait for writes to spare.
             let cancelled = j.cancelled();
             let may = match () {
                 _ if !ready => false,
-                _ if cancelled => self.may_write(1.0 + self.writes.rate * SPARE_WRITES),
+                _ if cancelled => self.may_write(1.0 + self.transactions.rate.rate * SPARE_WRITES),
                 _ => self.may_write_as(WritePriority::Answers),
             };
-            let Some(j) = self.view.jobs.get(&uid).filter(|_| may) else {
-                self.ending.insert(uid);
+            let Some(j) = self.state.jobs.get(&uid).filter(|_| may) else {
+                self.journal.ending.insert(uid);
                 continue;
             };
             let status = if j.cancelled() { Status::Cancelled } else { Status::Done };
@@ -56,7 +58,7 @@
                 ops: vec![end_op(&uid, status, j.spec.task_count)],
             };
             let stored = j.chunks.iter().filter(|(_, c)| c.version > 0);
-            let most = self.set.settings.state.txn_ops - 1;
+            let most = self.config.settings.state.txn_ops - 1;
             txn.ops.extend(stored.map(|(n, _)| Op::Delete { key: records::chunk_key(&uid, *n) }).take(most));
             self.txn(txn, Why::Close);
         }
@@ -65,27 +67,27 @@
     /// Leases waiting tasks anew whose holder is gone, or has no room while
     /// another block has.
     pub(super) fn reassign_tasks(&mut self) {
-        let size = self.view.chunk_size;
+        let size = self.state.chunk_size;
         let seen = [Counted::All, Counted::Lasting].map(|c| self.capacities_counting(true, c));
         let mut ahead: BTreeMap<(bool, Priority), BTreeMap<String, f64>> = BTreeMap::new();
-        let members: Vec<String> = self.view.members.keys().cloned().collect();
+        let members: Vec<String> = self.state.members.keys().cloned().collect();
         let patient = self.heartbeat_intervals(0.25);
         let mut txns = Vec::new();
-        for (uid, j) in &self.view.jobs {
-            if j.waiting_count() == 0 || self.busy.contains(&records::job_key(uid)) {
+        for (uid, j) in &self.state.jobs {
+            if j.waiting_count() == 0 || self.transactions.locked_keys.contains(&records::job_key(uid)) {
                 continue;
             }
             let task_ranges = &j.rec.rec.task_ranges;
             let holder = |i: u32| task_ranges.iter().find(|s| (s.from..=s.to).contains(&i)).map(|s| s.member.as_str());
             let dead =
-                self.start.members_known() && task_ranges.iter().any(|s| !self.view.members.contains_key(&s.member));
-            let waited = self.start.fleet_known()
-                && self.patience.get(uid).and_then(|p| p.waited(self.now)).is_some_and(|t| t > patient);
+                self.startup.members_known() && task_ranges.iter().any(|s| !self.state.members.contains_key(&s.member));
+            let waited = self.startup.fleet_known()
+                && self.scheduler.queue.get(uid).and_then(|p| p.waited(self.now)).is_some_and(|t| t > patient);
             if !dead && !waited {
                 continue;
             }
             let waits = j.waiting(size);
-            let lost = dead && waits.iter().any(|i| holder(*i).is_none_or(|m| !self.view.members.contains_key(m)));
+            let lost = dead && waits.iter().any(|i| holder(*i).is_none_or(|m| !self.state.members.contains_key(m)));
             // The queues of all others.
             let soon = self.counted(&j.spec) == Counted::Lasting;
             let capacities = &seen[usize::from(soon)];
@@ -96,7 +98,7 @@
                     *q = (*q - cores).max(0.0);
                 }
             }
-            let zones = self.view.zones_of(j);
+            let zones = self.state.zones_of(j);
             let alike = BTreeMap::new();
             let shards = shards::Shards {
                 members: &members,
@@ -133,7 +135,7 @@
         txns.sort_by_key(|t| (t.0, t.1));
         for (can_wait, _, txn) in txns {
             // A reserve stays for accepting jobs and recording exits.
-            if self.may_write(if can_wait { self.writes.rate / 2.0 } else { 1.0 }) {
+            if self.may_write(if can_wait { self.transactions.rate.rate / 2.0 } else { 1.0 }) {
                 self.txn(txn, Why::ReassignTasks);
             }
         }
@@ -148,28 +150,29 @@
         queues: &BTreeMap<String, f64>,
         zones: &BTreeMap<String, u32>,
     ) -> Vec<TaskRange> {
-        let hears = |m: &&String| !self.deaf.is(m, self.now);
-        let mut members: Vec<String> = self.view.members.keys().filter(hears).cloned().collect();
+        let hears = |m: &&String| !self.connectivity.deaf.is(m, self.now);
+        let mut members: Vec<String> = self.state.members.keys().filter(hears).cloned().collect();
         if members.is_empty() {
-            members.extend(self.view.members.keys().cloned());
+            members.extend(self.state.members.keys().cloned());
         }
         let whole = spec.kind == JobKind::Gang || spec.zone_affinity || spec.zone_anti_affinity;
         let mut alike = BTreeMap::new();
         let same = |j: &&Job| j.spec.image == spec.image && j.spec.uid != spec.uid && j.waiting_count() > 0;
-        for share in self.view.jobs.values().filter(same).flat_map(|j| &j.rec.rec.task_ranges) {
+        for share in self.state.jobs.values().filter(same).flat_map(|j| &j.rec.rec.task_ranges) {
             *alike.entry(share.member.clone()).or_default() += share.to + 1 - share.from;
         }
         let name = members.iter().map(String::len).max().unwrap_or(0);
-        let grain = records::lease_size(self.set.settings.state.value_kb, name, self.view.chunk_size, spec.task_count);
+        let grain =
+            records::lease_size(self.config.settings.state.value_kb, name, self.state.chunk_size, spec.task_count);
         let shards = shards::Shards { members: &members, capacities, queues, grain, zones, alike: &alike };
-        shards::lease(spec, waits, &shards, &self.me, whole)
+        shards::lease(spec, waits, &shards, &self.process.member, whole)
     }
 
     /// Whether the job can still meet its aim, if its tasks started now.
     pub(super) fn can_be_saved(&self, job: &Job) -> bool {
         let age_s = self.wall_ms().saturating_sub(job.rec.rec.at_ms) as f64 / 1000.0;
         let needs_s = job.spec.estimated_run_s * HOPE;
-        self.aims.end_from(&job.spec, age_s, needs_s).is_none_or(|a| a - age_s >= needs_s)
+        self.service_levels.objectives.end_from(&job.spec, age_s, needs_s).is_none_or(|a| a - age_s >= needs_s)
     }
 
     /// Cores that waiting tasks leased to each member ask for, of services
@@ -178,7 +181,7 @@
     pub(super) fn queues(&self, counted: Counted, priority: Priority) -> BTreeMap<String, f64> {
         let mut queues = BTreeMap::new();
         let ahead = |j: &&Job| j.waiting_count() > 0 && j.spec.priority >= priority;
-        for job in self.view.jobs.values().filter(ahead) {
+        for job in self.state.jobs.values().filter(ahead) {
             if self.counted(&job.spec) == counted && self.can_be_saved(job) {
                 for (member, cores) in queued(job) {
                     *queues.entry(member.to_string()).or_default() += cores;
--- a/src/controller/transactions.rs
+++ b/src/controller/transactions.rs
@@ -6,6 +6,41 @@
 use crate::requests::Asked;
 use crate::state::log_segment::Facts;
 
+/// Transactions under way, the records that they lock, and their rate.
+#[derive(Debug)]
+pub(super) struct Transactions {
+    /// Transactions without a result, and what settles them.
+    pub(super) in_flight: OpenWrites,
+    /// Keys that a transaction under way writes or rests on.
+    pub(super) locked_keys: BTreeSet<String>,
+    /// Records that a refused write had outdated: it would be refused again until
+    /// the replica has come to this revision.
+    pub(super) outdated: BTreeMap<String, u64>,
+    /// This controller's part of the store's write limit.
+    pub(super) rate: Account,
+    /// When the store answered again after the last outage.
+    pub(super) store_recovered_at: Option<Instant>,
+    /// What was written since the last summary, by kind.
+    pub(super) written: BTreeMap<&'static str, Writes>,
+    /// How long the store took over transactions, in milliseconds.
+    pub(super) durations_ms: Histogram<u64>,
+}
+
+impl Transactions {
+    /// Nothing under way; `rate` is this controller's part of the changes a second.
+    pub(super) fn new(rate: f64) -> Transactions {
+        Transactions {
+            in_flight: OpenWrites::default(),
+            locked_keys: BTreeSet::new(),
+            outdated: BTreeMap::new(),
+            rate: Account::new(rate),
+            store_recovered_at: None,
+            written: BTreeMap::new(),
+            durations_ms: Histogram::new_with_max(LONGEST_TXN_MS, 2).expect("bounds are good"),
+        }
+    }
+}
+
 /// What a transaction was for.
 #[derive(Debug)]
 pub(super) enum Why {
@@ -99,12 +134,12 @@
 impl Controller {
     /// Whether `n` changes may be written now that could also wait.
     pub(super) fn may_write(&self, n: f64) -> bool {
-        self.retry.may(Retry::Write, self.now) && self.writes.has(self.now, n)
+        self.retry.may(Retry::Write, self.now) && self.transactions.rate.has(self.now, n)
     }
 
     /// Whether a change of this order may be written now, though others wait.
     pub(super) fn may_write_as(&mut self, order: WritePriority) -> bool {
-        self.retry.may(Retry::Write, self.now) && self.writes.admits(order, self.now)
+        self.retry.may(Retry::Write, self.now) && self.transactions.rate.admits(order, self.now)
     }
 
     /// Sends a transaction; its keys are left alone until it is answered.
@@ -129,14 +164,14 @@
     /// The same, given up after `timeout`. The one place from which any goes out.
     pub(super) fn send_txn_within(&mut self, txn: Txn, why: Why, keys: Vec<String>, timeout: Duration) {
         debug_assert!(self.retry.may(Retry::Write, self.now), "{} goes past the retry policy", why.name());
-        let charge = self.writes.charge(self.now, txn.ops.len() as f64);
-        let written = self.written.entry(why.name()).or_default();
+        let charge = self.transactions.rate.charge(self.now, txn.ops.len() as f64);
+        let written = self.transactions.written.entry(why.name()).or_default();
         written.sent += 1;
         written.changes += txn.ops.len();
-        self.busy.extend(keys.iter().cloned());
+        self.transactions.locked_keys.extend(keys.iter().cloned());
         let body = crate::protocol::encode(&txn);
-        let id = self.next_call;
-        self.open_writes.sent(id, &txn, self.view.known_revision());
+        let id = self.outbox.next_call;
+        self.transactions.in_flight.sent(id, &txn, self.state.known_revision());
         let purpose = Purpose::Txn { txn, why, keys, charge, sent: self.now };
         self.call(Target::State, "POST", store::TXN.into(), Some(body), timeout, purpose);
     }
@@ -144,8 +179,8 @@
     /// What the store has shown settles what is under way; a later answer finds nothing.
     /// The watch has brought what was put; of a read's rows the view may lack some.
     pub(super) fn settle(&mut self, by_read: bool) {
-        for (id, proof) in self.open_writes.settled() {
-            let Some(Purpose::Txn { txn, why, keys, sent, .. }) = self.calls.remove(&id) else { continue };
+        for (id, proof) in self.transactions.in_flight.settled() {
+            let Some(Purpose::Txn { txn, why, keys, sent, .. }) = self.outbox.calls.remove(&id) else { continue };
             let ended = match proof {
                 Proof::Done(revision) => Ended::Done(revision),
                 Proof::Void { key, revision } => Ended::Void { failed: vec![key], revision },
@@ -178,11 +213,11 @@
     }
 
     fn view_puts(&mut self, txn: &Txn, revision: u64) {
-        self.view.note_known_revision(revision);
+        self.state.note_known_revision(revision);
         for op in &txn.ops {
             // Deletes wait for the watch: it could still bring an older put.
             if let store::Op::Put { key, data, .. } = op {
-                self.view.put(key, data, revision);
+                self.state.put(key, data, revision);
             }
         }
     }
@@ -190,15 +225,15 @@
     /// What follows from the end of a transaction. What it put is in the view.
     fn txn_ended(&mut self, txn: Txn, why: Why, keys: &[String], sent: Instant, ended: Ended) {
         let took = self.now.saturating_sub(sent).as_millis() as u64;
-        self.txn_ms.saturating_record(took);
+        self.transactions.durations_ms.saturating_record(took);
         for k in keys {
-            self.busy.remove(k);
+            self.transactions.locked_keys.remove(k);
         }
         if matches!(ended, Ended::Done(_)) {
-            self.dirty = true;
+            self.scheduler.dirty = true;
             self.record_changed(&txn);
         } else {
-            self.written.entry(why.name()).or_default().failed += 1;
+            self.transactions.written.entry(why.name()).or_default().failed += 1;
             tracing::debug!(?ended, ?why, "transaction not carried out");
         }
         match why {
@@ -206,8 +241,8 @@
             Why::Cancel(uid) => self.request_written(&uid, Asked::Cancelled, &ended),
             Why::Segment { facts, parts } => self.segment_answer(&txn, facts, parts, &ended),
             Why::Fold => {
-                self.folding = false;
-                self.dirty = true;
+                self.journal.compacting = false;
+                self.scheduler.dirty = true;
                 self.note_outdated(&txn, &ended);
             }
             Why::Close => {
