--- /dev/null
+++ b/src/state/job.rs
@@ -0,0 +1,165 @@
+//! Jobs and the state of their tasks.
+
+use super::index_ranges::{add_to_ranges, in_ranges};
+use super::log_segment::Facts;
+use super::records::{JobRecord, TaskRangeCheckpoint};
+use super::task_placement::Placement;
+use super::versioned::Versioned;
+use crate::protocol::user::{JobSpec, Status};
+use std::collections::BTreeMap;
+use std::ops::Range;
+
+/// A job that is not over, or is cancelled and may still have tasks on machines.
+#[derive(Debug)]
+pub struct Job {
+    pub spec: JobSpec,
+    pub rec: Versioned<JobRecord>,
+    /// The state of its tasks, by checkpoint number; absent where nothing has started.
+    pub chunks: BTreeMap<u32, TaskRangeState>,
+    /// The number of completed tasks.
+    pub done: u32,
+    /// The number of tasks that have a placement.
+    pub placed: u32,
+}
+
+/// What is kept of a job that is over.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct EndedJob {
+    pub status: Status,
+    pub task_count: u32,
+}
+
+/// The state of the tasks of one checkpoint: the checkpoint and the log entries since.
+#[derive(Debug, Clone, Default)]
+pub struct TaskRangeState {
+    pub rec: TaskRangeCheckpoint,
+    /// The version of the checkpoint in the store; 0 if there is none.
+    pub version: u64,
+    /// The revision of the newest segment contained in `rec`.
+    pub last: u64,
+}
+
+/// How a segment changed the placements of a range of tasks.
+#[derive(Debug, Default)]
+pub(super) struct TaskRangeChanges {
+    pub(super) completed: u32,
+    pub(super) started: Vec<Placement>,
+    pub(super) removed: Vec<Placement>,
+}
+
+impl Job {
+    pub(super) fn new(spec: JobSpec, rec: Versioned<JobRecord>) -> Job {
+        Job { spec, rec, chunks: BTreeMap::new(), done: 0, placed: 0 }
+    }
+
+    /// The number of checkpoints of `size` tasks that the job's tasks take.
+    pub fn chunk_count(&self, size: u32) -> u32 {
+        self.spec.task_count.div_ceil(size)
+    }
+
+    pub fn cancelled(&self) -> bool {
+        self.rec.rec.end == Some(Status::Cancelled)
+    }
+
+    /// Whether no task is left to start or to wait for, so that its end can be recorded.
+    pub fn complete(&self) -> bool {
+        if self.cancelled() { self.placed == 0 } else { self.done >= self.spec.task_count }
+    }
+
+    /// Whether the task has completed; checkpoints have `size` tasks each.
+    pub fn is_done(&self, index: u32, size: u32) -> bool {
+        let range = self.chunks.get(&(index / size));
+        range.is_some_and(|range| in_ranges(&range.rec.done, index))
+    }
+
+    /// The placement of the task if it was started and has not ended; checkpoints have
+    /// `size` tasks each.
+    pub fn place(&self, index: u32, size: u32) -> Option<&Placement> {
+        let range = self.chunks.get(&(index / size))?;
+        range.rec.on.iter().find(|placement| placement.index == index)
+    }
+
+    /// The tasks that are neither completed nor started, in order; checkpoints have `size`
+    /// tasks each.
+    pub fn waiting(&self, size: u32) -> Vec<u32> {
+        if self.cancelled() || self.done + self.placed >= self.spec.task_count {
+            return Vec::new();
+        }
+        let mut taken = vec![false; self.spec.task_count as usize];
+        for (number, range) in &self.chunks {
+            let end = ((number + 1) * size).min(self.spec.task_count);
+            for (from, to) in &range.rec.done {
+                let to = (to + 1).min(end);
+                taken[(*from).min(to) as usize..to as usize].fill(true);
+            }
+            for placement in range.rec.on.iter().filter(|placement| placement.index < end) {
+                taken[placement.index as usize] = true;
+            }
+        }
+        (0..self.spec.task_count).filter(|index| !taken[*index as usize]).collect()
+    }
+
+    /// The number of tasks that are neither completed nor started.
+    pub fn waiting_count(&self) -> u32 {
+        if self.cancelled() { 0 } else { self.spec.task_count.saturating_sub(self.done + self.placed) }
+    }
+
+    pub fn status(&self) -> Status {
+        if self.cancelled() {
+            return Status::Cancelled;
+        }
+        if self.placed > 0 { Status::Running } else { Status::Queued }
+    }
+
+    /// All placements of its tasks, by checkpoint.
+    pub(super) fn placements(&self) -> impl Iterator<Item = &Placement> {
+        self.chunks.values().flat_map(|range| &range.rec.on)
+    }
+}
+
+impl TaskRangeState {
+    /// Applies the log entries about the tasks with these indexes.
+    pub(super) fn replay(&mut self, entries: &Facts, indexes: Range<u32>) -> TaskRangeChanges {
+        let mut changes = TaskRangeChanges::default();
+        self.replay_completions(entries, indexes.clone(), &mut changes);
+        self.replay_removals(entries, indexes.clone(), &mut changes);
+        self.replay_starts(entries, indexes, &mut changes);
+        changes
+    }
+
+    fn replay_completions(&mut self, entries: &Facts, indexes: Range<u32>, changes: &mut TaskRangeChanges) {
+        for index in entries.done.range(indexes) {
+            if !in_ranges(&self.rec.done, *index) {
+                add_to_ranges(&mut self.rec.done, *index);
+                changes.completed += 1;
+            }
+            changes.removed.extend(self.remove_placement(|placement| placement.index == *index));
+        }
+    }
+
+    fn replay_removals(&mut self, entries: &Facts, indexes: Range<u32>, changes: &mut TaskRangeChanges) {
+        for (index, attempt) in entries.gone.range((indexes.start, 0)..(indexes.end, 0)) {
+            let is_attempt = |placement: &Placement| (placement.index, placement.attempt) == (*index, *attempt);
+            changes.removed.extend(self.remove_placement(is_attempt));
+        }
+    }
+
+    fn replay_starts(&mut self, entries: &Facts, indexes: Range<u32>, changes: &mut TaskRangeChanges) {
+        for start in entries.starts.iter().filter(|start| indexes.contains(&start.index)) {
+            self.rec.highest_attempt = self.rec.highest_attempt.max(start.attempt);
+            let is_known = |placement: &Placement| placement.index == start.index && placement.attempt >= start.attempt;
+            if self.rec.on.iter().any(is_known) || in_ranges(&self.rec.done, start.index) {
+                continue;
+            }
+            changes.removed.extend(self.remove_placement(|placement| placement.index == start.index));
+            self.rec.on.push(start.clone());
+            changes.started.push(start.clone());
+        }
+    }
+
+    /// Removes and returns the first placement that matches.
+    fn remove_placement(&mut self, matches: impl Fn(&Placement) -> bool) -> Option<Placement> {
+        let at = self.rec.on.iter().position(matches)?;
+        Some(self.rec.on.swap_remove(at))
+    }
+}
--- a/src/state/log_segment.rs
+++ b/src/state/log_segment.rs
@@ -1,35 +1,34 @@
-//! Segments of the controllers' logs: batches of facts about tasks, as they are
-//! stored. Each controller alone writes its log, a ring of slots; the view
-//! replays the segments of all logs in the order of the ledger, which is one
-//! order for everybody.
+//! Segments of the controllers' logs: batches of entries about tasks, in their stored
+//! form.
 //!
-//! Facts about one task commute unless one follows from having seen the other,
-//! and then the ledger has them in that order: a start is written only where the
-//! view shows no place, an end of an attempt only where it shows its place.
+//! Each log has one writer, the controller it belongs to, and is a ring buffer of slots.
+//! Every replica replays the segments of all logs in the order of the store's revisions,
+//! which is the same for all controllers.
+//!
+//! Entries about one task commute unless one was written by a controller that had seen
+//! the other, and then the store has them in that order: a start is written only where
+//! the replica has no placement, and the removal of an attempt only where it has its
+//! placement.
+
+pub use super::keys::RING;
 
-use super::records::Placement;
+use super::task_placement::Placement;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use thiserror::Error;
 
-/// Segments that a log holds; the next one takes the oldest one's slot, for which
-/// all that it says has to be in checkpoints. At two segments a second
-/// an array of the usual length ends within a ring, and most of what was written
-/// of it never has to be written again; a load reads a few pages more for it.
-pub const RING: u64 = 256;
-
-/// A segment as it is stored. Names are listed once, and facts refer to them by
-/// number.
+/// A segment as it is stored. Names are listed once, and entries refer to them by
+/// position. Key: `log_key`. Written by the controller that the log belongs to.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct LogSegmentRecord {
-    /// Counts the segments of the log, from 1.
+    /// The number of the segment in its log, from 1.
     #[serde(rename = "n")]
     pub seq: u64,
     #[serde(rename = "j", default)]
     jobs: Vec<String>,
     #[serde(rename = "m", default)]
     machines: Vec<String>,
-    /// Tasks that completed: job, and an inclusive range of indexes.
+    /// Completed tasks: job and an inclusive range of indexes.
     #[serde(rename = "d", default)]
     done: Vec<(u32, u32, u32)>,
     /// Attempts that are gone from their machines: job, index, attempt.
@@ -40,149 +39,115 @@
     starts: Vec<(u32, u32, u32, u64)>,
 }
 
-/// What a segment says of one job's tasks, in the order in which it holds: ends
-/// first, then starts.
+/// The entries of a segment about one job's tasks, in the order in which they apply:
+/// completions and removals first, then starts.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Facts {
+    /// Indexes of tasks that completed.
     pub done: BTreeSet<u32>,
+    /// Index and attempt of tasks that are gone from their machines.
     pub gone: BTreeSet<(u32, u64)>,
+    /// Attempts that may start.
     pub starts: Vec<Placement>,
 }
 
 impl Facts {
-    /// The chunks of `size` tasks that the facts are about.
+    /// The numbers of the checkpoints, of `size` tasks each, that the entries concern.
     pub fn chunks(&self, size: u32) -> BTreeSet<u32> {
-        let gone = self.gone.iter().map(|g| g.0);
-        let indexes = self.done.iter().copied().chain(gone).chain(self.starts.iter().map(|p| p.index));
-        indexes.map(|i| i / size).collect()
+        let done = self.done.iter().copied();
+        let gone = self.gone.iter().map(|(index, _)| *index);
+        let started = self.starts.iter().map(|placement| placement.index);
+        done.chain(gone).chain(started).map(|index| index / size).collect()
     }
 }
 
-/// A segment that refers to a name it does not list.
+/// A segment refers to a name that it does not list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 #[error("segment {0} refers to a name that it does not list")]
-pub struct Spoilt(u64);
+pub struct InvalidSegment(u64);
 
-/// The most bytes that facts and names take in a segment's CBOR.
+/// Upper bounds of the bytes that entries and names take in a segment's CBOR.
 pub mod bytes {
-    /// Array head, and numbers of at most 5, 5 and 9 bytes.
+    /// Array head, and numbers of at most 5, 5 and 5 bytes.
     pub const DONE: usize = 1 + 5 + 5 + 5;
+    /// Array head, and numbers of at most 5, 5 and 9 bytes.
     pub const GONE: usize = 1 + 5 + 5 + 9;
+    /// Array head, and numbers of at most 5, 5, 5 and 9 bytes.
     pub const START: usize = 1 + 5 + 5 + 5 + 9;
-    /// Map, keys, list heads and the number.
+    /// The map, its keys, the heads of its lists and the segment's number.
     pub const FRAME: usize = 64;
 
+    /// A name in one of the lists.
     pub fn name(name: &str) -> usize {
         name.len() + 3
     }
 }
 
 impl LogSegmentRecord {
+    /// The stored form of the entries of each job.
     pub fn of(seq: u64, facts: &BTreeMap<String, Facts>) -> LogSegmentRecord {
-        let mut rec = LogSegmentRecord { seq, ..LogSegmentRecord::default() };
-        let mut numbers: BTreeMap<&str, u32> = BTreeMap::new();
-        for (uid, f) in facts {
-            let job = rec.jobs.len() as u32;
-            rec.jobs.push(uid.clone());
-            let mut range: Option<(u32, u32)> = None;
-            for i in &f.done {
-                range = match range {
-                    Some((from, to)) if to + 1 == *i => Some((from, *i)),
-                    before => {
-                        rec.done.extend(before.map(|(from, to)| (job, from, to)));
-                        Some((*i, *i))
-                    }
-                };
-            }
-            rec.done.extend(range.map(|(from, to)| (job, from, to)));
-            rec.gone.extend(f.gone.iter().map(|(index, attempt)| (job, *index, *attempt)));
-            for p in &f.starts {
-                let machine = *numbers.entry(&p.machine).or_insert_with(|| {
-                    rec.machines.push(p.machine.clone());
-                    rec.machines.len() as u32 - 1
+        let mut segment = LogSegmentRecord { seq, ..LogSegmentRecord::default() };
+        let mut machine_numbers: BTreeMap<&str, u32> = BTreeMap::new();
+        for (uid, entries) in facts {
+            let job = segment.jobs.len() as u32;
+            segment.jobs.push(uid.clone());
+            segment.add_completions(job, &entries.done);
+            segment.gone.extend(entries.gone.iter().map(|(index, attempt)| (job, *index, *attempt)));
+            for placement in &entries.starts {
+                let machine = *machine_numbers.entry(&placement.machine).or_insert_with(|| {
+                    segment.machines.push(placement.machine.clone());
+                    segment.machines.len() as u32 - 1
                 });
-                rec.starts.push((job, p.index, machine, p.attempt));
+                segment.starts.push((job, placement.index, machine, placement.attempt));
             }
         }
-        rec
+        segment
     }
 
-    /// The facts by job. `most` bounds the tasks that any job can have.
-    pub fn facts(&self, most: u32) -> Result<BTreeMap<&str, Facts>, Spoilt> {
-        let spoilt = Spoilt(self.seq);
-        let job = |n: u32| self.jobs.get(n as usize).map(String::as_str).ok_or(spoilt);
-        let mut out: BTreeMap<&str, Facts> = BTreeMap::new();
-        for (n, from, to) in &self.done {
-            out.entry(job(*n)?).or_default().done.extend(*from..=(*to).min(most));
+    /// Adds completed tasks, with consecutive indexes joined into ranges.
+    fn add_completions(&mut self, job: u32, indexes: &BTreeSet<u32>) {
+        let mut range: Option<(u32, u32)> = None;
+        for index in indexes {
+            range = match range {
+                Some((from, to)) if to + 1 == *index => Some((from, *index)),
+                finished => {
+                    self.done.extend(finished.map(|(from, to)| (job, from, to)));
+                    Some((*index, *index))
+                }
+            };
         }
-        for (n, index, attempt) in &self.gone {
-            out.entry(job(*n)?).or_default().gone.insert((*index, *attempt));
-        }
-        for (n, index, machine, attempt) in &self.starts {
-            let machine = self.machines.get(*machine as usize).ok_or(spoilt)?.clone();
-            let place = Placement { index: *index, machine, attempt: *attempt };
-            out.entry(job(*n)?).or_default().starts.push(place);
-        }
-        Ok(out)
+        self.done.extend(range.map(|(from, to)| (job, from, to)));
     }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use crate::protocol::{decode, encode};
 
-    fn place(index: u32, machine: &str, attempt: u64) -> Placement {
-        Placement { index, machine: machine.into(), attempt }
-    }
-
-    fn sample() -> BTreeMap<String, Facts> {
-        let a = Facts {
-            done: [0, 1, 2, 7].into(),
-            gone: [(4, 2), (5, 2)].into(),
-            starts: vec![place(9, "host-000001", 3), place(8, "host-000002", 3)],
-        };
-        let b = Facts { starts: vec![place(0, "host-000001", 1)], ..Facts::default() };
-        [("run-a".to_string(), a), ("run-b".to_string(), b)].into()
-    }
-
-    #[test]
-    fn facts_survive_the_store() {
-        let facts = sample();
-        let rec: LogSegmentRecord = decode(&encode(&LogSegmentRecord::of(5, &facts))).unwrap();
-        assert_eq!((rec.seq, rec.machines.len(), rec.done.len()), (5, 2, 2));
-        let back = rec.facts(1000).unwrap();
-        assert_eq!(back.into_iter().map(|(u, f)| (u.to_string(), f)).collect::<BTreeMap<_, _>>(), facts);
+    /// The entries by job. Ranges are cut off at the index `most`, the largest number of
+    /// tasks of any job.
+    ///
+    /// # Errors
+    /// `InvalidSegment` if an entry refers to a name that the segment does not list.
+    pub fn facts(&self, most: u32) -> Result<BTreeMap<&str, Facts>, InvalidSegment> {
+        let mut by_job: BTreeMap<&str, Facts> = BTreeMap::new();
+        for (job, from, to) in &self.done {
+            by_job.entry(self.job_name(*job)?).or_default().done.extend(*from..=(*to).min(most));
+        }
+        for (job, index, attempt) in &self.gone {
+            by_job.entry(self.job_name(*job)?).or_default().gone.insert((*index, *attempt));
+        }
+        for (job, index, machine, attempt) in &self.starts {
+            let machine = self.machine_name(*machine)?.to_string();
+            let placement = Placement { index: *index, machine, attempt: *attempt };
+            by_job.entry(self.job_name(*job)?).or_default().starts.push(placement);
+        }
+        Ok(by_job)
     }
 
-    /// A segment over the store's limit would be refused for ever, and with it
-    /// every later one.
-    #[test]
-    fn the_bound_holds_for_the_largest_numbers() {
-        let many = 300u32;
-        let mut f = Facts::default();
-        let mut most = bytes::FRAME + bytes::name("run-000412");
-        for i in 0..many {
-            let name = format!("host-{i:06}");
-            most += bytes::DONE + bytes::GONE + bytes::START + bytes::name(&name);
-            f.done.insert(u32::MAX - 2 * i);
-            f.gone.insert((u32::MAX - i, u64::MAX - 1));
-            f.starts.push(place(u32::MAX - i, &name, u64::MAX));
-        }
-        let rec = LogSegmentRecord::of(u64::MAX, &[("run-000412".to_string(), f)].into());
-        assert!(encode(&rec).len() <= most, "{} of {most}", encode(&rec).len());
+    fn job_name(&self, number: u32) -> Result<&str, InvalidSegment> {
+        self.jobs.get(number as usize).map(String::as_str).ok_or(InvalidSegment(self.seq))
     }
 
-    #[test]
-    fn a_spoilt_segment_is_an_error_and_no_panic() {
-        let mut rec = LogSegmentRecord::of(3, &sample());
-        rec.starts.push((0, 1, 99, 1));
-        assert_eq!(rec.facts(10), Err(Spoilt(3)));
-        let mut rec = LogSegmentRecord::of(4, &sample());
-        rec.gone.push((7, 1, 1));
-        assert_eq!(rec.facts(10), Err(Spoilt(4)));
-        let mut rec = LogSegmentRecord::of(4, &sample());
-        rec.done.push((0, 0, u32::MAX));
-        assert_eq!(rec.facts(10).unwrap()["run-a"].done.len(), 11, "no endless range");
+    fn machine_name(&self, number: u32) -> Result<&str, InvalidSegment> {
+        self.machines.get(number as usize).map(String::as_str).ok_or(InvalidSegment(self.seq))
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/state/machine_groups.rs
@@ -0,0 +1,124 @@
+//! Machine groups and the grants under which their owners may command the machines.
+
+use super::cluster_state::ClusterState;
+use super::records::{MachineGroupRecord, MachineRecord, ShardGrantRecord};
+use super::versioned::{Versioned, remove_named, update_named};
+use ciborium::Value;
+use std::collections::BTreeSet;
+
+/// A grant and the revision at which it was given.
+struct Grant {
+    revision: u64,
+    terms: ShardGrantRecord,
+}
+
+impl ClusterState {
+    /// Applies a put of a machine group.
+    pub(super) fn put_machine_group(&mut self, name: &str, data: &Value, version: u64) {
+        let previous = self.group_machines(name);
+        update_named(&mut self.machine_groups, name, data, version);
+        self.rebuild_group_machines(name, &previous);
+    }
+
+    /// Applies a deletion of a machine group.
+    pub(super) fn delete_machine_group(&mut self, name: &str, version: u64) {
+        let previous = self.group_machines(name);
+        remove_named(&mut self.machine_groups, name, version);
+        self.rebuild_group_machines(name, &previous);
+    }
+
+    /// Applies a put of a shard grant, which may change the grant of each of the member's
+    /// machine groups.
+    pub(super) fn put_shard_grant(&mut self, member: &str, data: &Value, version: u64) {
+        update_named(&mut self.shards, member, data, version);
+        let groups = self.machine_groups.iter().filter(|(_, group)| group.rec.owner == member);
+        let names: Vec<String> = groups.map(|(name, _)| name.clone()).collect();
+        for name in names {
+            self.rebuild_group_machines(&name, &[]);
+        }
+    }
+
+    fn group_machines(&self, name: &str) -> Vec<String> {
+        self.machine_groups.get(name).map_or(Vec::new(), |group| group.rec.machines.clone())
+    }
+
+    /// Updates `machines` from a group, which consisted of `previous` before.
+    fn rebuild_group_machines(&mut self, name: &str, previous: &[String]) {
+        self.machines_changed += 1;
+        let group = self.machine_groups.get(name);
+        for machine in previous {
+            if group.is_none_or(|group| !group.rec.machines.contains(machine)) {
+                self.machines.remove(machine);
+            }
+        }
+        let Some(group) = group else { return };
+        let grant = self.grant(group);
+        for machine in &group.rec.machines {
+            let rec = group.rec.host(name, machine, grant.revision, &grant.terms);
+            self.machines.insert(machine.clone(), Versioned { rec, version: group.version });
+        }
+    }
+
+    /// The newest grant that applies to a group: the one in its record, or a later one of
+    /// its owner's whole shard.
+    ///
+    /// A shard grant with a lower fencing token than the group's does not apply, even if it
+    /// was written later: the machines have already seen the higher token.
+    fn grant(&self, group: &Versioned<MachineGroupRecord>) -> Grant {
+        let has_higher_token = |shard: &ShardGrantRecord| (shard.term, shard.epoch) > (group.rec.term, group.rec.epoch);
+        let shard = self.shards.get(&group.rec.owner);
+        match shard.filter(|shard| shard.version > group.version && has_higher_token(&shard.rec)) {
+            Some(shard) => Grant { revision: shard.version, terms: shard.rec.clone() },
+            None => {
+                let MachineGroupRecord { incarnation, term, epoch, .. } = group.rec;
+                Grant { revision: group.version, terms: ShardGrantRecord { incarnation, term, epoch } }
+            }
+        }
+    }
+
+    /// The group's record with the grant that currently applies.
+    ///
+    /// Whoever rewrites a group for another reason writes this: the grant in its record may
+    /// be an older one, which would apply again by being written.
+    pub fn in_force(&self, group: &Versioned<MachineGroupRecord>) -> MachineGroupRecord {
+        let ShardGrantRecord { incarnation, term, epoch } = self.grant(group).terms;
+        MachineGroupRecord { incarnation, term, epoch, ..group.rec.clone() }
+    }
+
+    /// Whether the group's owner is live in the incarnation that the grant names.
+    pub fn held(&self, group: &Versioned<MachineGroupRecord>) -> bool {
+        self.is_live(&group.rec.owner, self.grant(group).terms.incarnation)
+    }
+
+    /// Live members that own groups granted to an earlier incarnation of them only.
+    pub fn restarted(&self) -> Vec<String> {
+        let mut names = BTreeSet::new();
+        for group in self.machine_groups.values() {
+            if self.members.contains_key(&group.rec.owner) && !self.held(group) {
+                names.insert(&group.rec.owner);
+            }
+        }
+        names.into_iter().cloned().collect()
+    }
+
+    /// The version of a member's shard grant; 0 if there is none.
+    pub fn shard_grant_version(&self, member: &str) -> u64 {
+        self.shards.get(member).map_or(0, |grant| grant.version)
+    }
+
+    /// Machines that were granted after revision `since`, with the revision of the grant.
+    pub fn granted_since(&self, since: u64) -> impl Iterator<Item = (&String, u64)> {
+        let machines = self.machines.iter().filter(move |(_, machine)| machine.rec.granted > since);
+        machines.map(|(name, machine)| (name, machine.rec.granted))
+    }
+
+    /// Whether the member holds a lease in this incarnation.
+    pub fn is_live(&self, member: &str, incarnation: u64) -> bool {
+        self.members.get(member).is_some_and(|known| known.rec.incarnation == incarnation)
+    }
+
+    /// Whether the machine's owner is live in the incarnation that the grant names.
+    pub fn owned(&self, machine: &MachineRecord) -> bool {
+        self.is_live(&machine.owner, machine.incarnation)
+    }
+}
--- /dev/null
+++ b/src/state/resources.rs
@@ -0,0 +1,30 @@
+//! The machine resources that tasks take up.
+
+use crate::protocol::user::JobSpec;
+
+/// Processor cores, GPUs and memory, of a machine or of tasks.
+#[derive(Debug, Clone, Copy, Default, PartialEq)]
+pub struct Resources {
+    pub cores: f64,
+    pub gpus: f64,
+    pub mem_gb: f64,
+}
+
+impl Resources {
+    /// The resources of `tasks` tasks of the job.
+    pub fn of(spec: &JobSpec, tasks: f64) -> Resources {
+        Resources { cores: spec.cores * tasks, gpus: spec.gpus * tasks, mem_gb: spec.mem_gb * tasks }
+    }
+
+    /// Adds the resources of `tasks` tasks of the job; a negative number subtracts them.
+    pub fn add(&mut self, spec: &JobSpec, tasks: f64) {
+        self.plus(Resources::of(spec, tasks), 1.0);
+    }
+
+    /// Adds `other` multiplied by `factor`.
+    pub fn plus(&mut self, other: Resources, factor: f64) {
+        self.cores += other.cores * factor;
+        self.gpus += other.gpus * factor;
+        self.mem_gb += other.mem_gb * factor;
+    }
+}
--- a/src/state/tests.rs
+++ b/src/state/tests.rs
@@ -1,7 +1,14 @@
-//! The view against a full count, a replay and a load.
+//! The replica against a full count, a replay and a read of the whole store.
 
+use super::keys::{chunk_key, job_key, log_key};
+use super::log_segment::{Facts, LogSegmentRecord};
+use super::records::{JobRecord, MachineGroupRecord, MemberRecord, ShardGrantRecord, TaskRangeCheckpoint};
+use super::task_placement::Placement;
+use super::versioned::{from_value, to_value};
 use super::*;
-use ciborium::cbor;
+use crate::protocol::user::{JobSpec, Status};
+use ciborium::{Value, cbor};
+use std::collections::BTreeMap;
 
 fn group(owner: &str, incarnation: u64) -> Value {
     let names = ["m-1", "m-2"].map(String::from).to_vec();
@@ -112,7 +119,7 @@
 }
 
 fn state(v: &ClusterState) -> Vec<String> {
-    let chunk = |(n, c): (&u32, &Chunk)| {
+    let chunk = |(n, c): (&u32, &TaskRangeState)| {
         let mut on = c.rec.on.clone();
         on.sort_by_key(|p| p.index);
         format!("{n} {:?} {on:?} {}", c.rec.done, c.rec.highest_attempt)
