--- /dev/null
+++ b/src/coordination/in_flight_writes/tests.rs
@@ -0,0 +1,158 @@
+//! What resolves a transaction in flight, and what does not.
+
+use super::*;
+use ciborium::cbor;
+
+fn put(key: &str, n: u64) -> Op {
+    Op::Put { key: key.into(), data: cbor!({"n" => n, "x" => 4.0}).unwrap(), lease: None }
+}
+
+fn data(n: u64) -> Value {
+    cbor!({"n" => n, "x" => 4.0}).unwrap()
+}
+
+fn txn(conditions: &[(&str, u64)], ops: Vec<Op>) -> Txn {
+    let conditions =
+        conditions.iter().map(|(key, version)| Condition { key: (*key).into(), version: *version }).collect();
+    Txn { conditions, ops }
+}
+
+/// A job's record is put where there was none, and two more keys are only looked at.
+fn with_one_submission() -> InFlightWrites {
+    let mut writes = InFlightWrites::default();
+    let t = txn(&[("fq/j/run-1", 0), ("fq/h/a", 30), ("fq/b/perch-0", 7)], vec![put("fq/j/run-1", 5)]);
+    writes.sent(1, &t, 40);
+    writes
+}
+
+fn void(key: &str, revision: u64) -> Vec<(CallId, Proof)> {
+    vec![(1, Proof::Void { key: key.into(), revision })]
+}
+
+/// Another key or another value resolves nothing, or shows that another client was first.
+#[test]
+fn only_the_value_put_proves_done() {
+    let mut writes = with_one_submission();
+    writes.changed("fq/j/run-2", Some(&data(5)), 41);
+    assert!(writes.settled().is_empty(), "another key");
+    writes.changed("fq/j/run-1", Some(&data(5)), 42);
+    assert_eq!(writes.settled(), vec![(1, Proof::Done(42))]);
+    assert!(writes.is_empty() && writes.by_key.is_empty());
+    let mut writes = with_one_submission();
+    writes.changed("fq/j/run-1", Some(&data(6)), 42);
+    assert_eq!(writes.settled(), void("fq/j/run-1", 42), "another's value");
+}
+
+/// Ours is carried out after it was sent: what was known by then is older.
+#[test]
+fn an_equal_value_from_before_the_write_proves_nothing() {
+    let mut writes = InFlightWrites::default();
+    writes.sent(1, &txn(&[("fq/m/perch-0", 0)], vec![put("fq/m/perch-0", 5)]), 40);
+    writes.changed("fq/m/perch-0", Some(&data(5)), 40);
+    assert!(writes.settled().is_empty());
+    writes.changed("fq/m/perch-0", None, 41);
+    assert!(writes.settled().is_empty(), "absent again, so ours may come yet");
+    writes.changed("fq/m/perch-0", Some(&data(5)), 42);
+    assert_eq!(writes.settled(), vec![(1, Proof::Done(42))]);
+}
+
+/// Other writes put some of the keys with values like ours; only all of them at one
+/// revision are ours, or as good.
+#[test]
+fn all_puts_must_be_shown_at_one_revision() {
+    let t = txn(&[("fq/l/perch-0/3", 9), ("fq/q/capped", 8)], vec![put("fq/l/perch-0/3", 1), put("fq/q/capped", 2)]);
+    let mut writes = InFlightWrites::default();
+    writes.sent(1, &t, 40);
+    writes.changed("fq/l/perch-0/3", Some(&data(1)), 41);
+    writes.changed("fq/q/capped", Some(&data(2)), 42);
+    assert_eq!(writes.settled(), void("fq/l/perch-0/3", 41));
+    writes.sent(1, &t, 42);
+    writes.changed("fq/l/perch-0/3", Some(&data(1)), 43);
+    writes.changed("fq/q/capped", Some(&data(2)), 43);
+    writes.changed("fq/q/capped", Some(&data(3)), 44);
+    assert_eq!(writes.settled(), vec![(1, Proof::Done(43))], "changed again by another, within one response");
+}
+
+/// A condition that failed before the transaction came will fail for good.
+#[test]
+fn a_change_of_any_condition_proves_void() {
+    for (key, known) in [("fq/h/a", 30), ("fq/b/perch-0", 7)] {
+        let mut writes = with_one_submission();
+        writes.changed(key, Some(&data(1)), known);
+        assert!(writes.settled().is_empty(), "the change that the condition names");
+        writes.changed(key, None, 41);
+        assert_eq!(writes.settled(), void(key, 41));
+    }
+}
+
+/// What is carried out first counts: a change of a condition that came after ours.
+#[test]
+fn done_takes_precedence_over_a_later_change_of_a_condition() {
+    let mut writes = with_one_submission();
+    writes.changed("fq/j/run-1", Some(&data(5)), 42);
+    writes.changed("fq/h/a", Some(&data(9)), 43);
+    assert_eq!(writes.settled(), vec![(1, Proof::Done(42))]);
+}
+
+/// Between two loads the store may have held ours: only what it holds is proof then.
+#[test]
+fn after_a_watch_gap_only_done_can_be_proved() {
+    let mut writes = with_one_submission();
+    writes.gap();
+    writes.changed("fq/h/a", Some(&data(9)), 43);
+    assert!(writes.settled().is_empty());
+    writes.shows("fq/j/run-1", Some(&data(5)), 42);
+    assert_eq!(writes.settled(), vec![(1, Proof::Done(42))]);
+}
+
+/// A read has no order, so it voids nothing.
+#[test]
+fn a_read_can_only_prove_done() {
+    let mut writes = with_one_submission();
+    writes.shows("fq/h/a", Some(&data(9)), 43);
+    writes.shows("fq/j/run-1", Some(&data(6)), 44);
+    assert!(writes.settled().is_empty());
+}
+
+/// Its key may be absent again, or it deletes it itself.
+#[test]
+fn absence_of_a_deletable_key_does_not_prove_void() {
+    let mut writes = InFlightWrites::default();
+    writes.sent(
+        1,
+        &txn(&[("fq/h/a", 0), ("fq/h/b", 3)], vec![put("fq/h/a", 5), Op::Delete { key: "fq/h/b".into() }]),
+        40,
+    );
+    writes.changed("fq/h/a", Some(&data(6)), 41);
+    writes.changed("fq/h/b", None, 42);
+    assert!(writes.settled().is_empty());
+    writes.changed("fq/h/a", Some(&data(5)), 43);
+    assert_eq!(writes.settled(), vec![(1, Proof::Done(43))]);
+}
+
+/// What is resolved keeps no entry, and a write that nothing shown can resolve gets none.
+#[test]
+fn answered_writes_are_forgotten() {
+    let mut writes = with_one_submission();
+    writes.changed("fq/j/run-1", Some(&data(5)), 42);
+    writes.ended(1);
+    writes.changed("fq/j/run-1", Some(&data(5)), 42);
+    assert!(writes.settled().is_empty() && writes.is_empty() && writes.by_key.is_empty());
+    writes.sent(2, &txn(&[("fq/h/a", 3)], vec![Op::Delete { key: "fq/h/a".into() }]), 40);
+    assert!(writes.is_empty(), "it puts nothing that it is conditional on");
+}
+
+/// A store may write a value down in another way than it came.
+#[test]
+fn equal_data_is_recognised_in_any_encoding() {
+    let ours = cbor!({"a" => 4.0, "b" => [1, null], "c" => null, "d" => {"e" => "x", "f" => true}}).unwrap();
+    let theirs = cbor!({"d" => {"f" => true, "e" => "x"}, "b" => [1, null], "a" => 4}).unwrap();
+    assert!(same_data(&ours, &theirs) && same_data(&theirs, &ours));
+    for other in [
+        cbor!({"a" => 4.5, "b" => [1, null], "d" => {"e" => "x", "f" => true}}).unwrap(),
+        cbor!({"a" => 4, "b" => [1], "d" => {"e" => "x", "f" => true}}).unwrap(),
+        cbor!({"a" => 4, "b" => [1, null], "d" => {"e" => "x", "f" => true}, "g" => 1}).unwrap(),
+    ] {
+        assert!(!same_data(&ours, &other) && !same_data(&other, &ours));
+    }
+}
--- a/src/coordination/machine/tests.rs
+++ b/src/coordination/machine/tests.rs
@@ -1,5 +1,8 @@
+//! What reports, answers and pushes prove about a machine, and the commands that follow.
+
 use super::*;
-use crate::protocol::worker::TaskReport;
+use crate::protocol::worker::{Command, TaskReport};
+use crate::state::PlacedTasks;
 
 fn report(at: (u64, u64), fencing_token: u64, tasks: &[(&str, u64, TaskState)]) -> Heartbeat {
     Heartbeat {
@@ -70,8 +73,9 @@
     assert!(m.commands(&kept, &places(&[])).is_empty());
 }
 
+/// An attempt that the store does not want here must not run beside the one that it does.
 #[test]
-fn strangers_are_killed_and_missing_tasks_started() {
+fn unwanted_tasks_are_killed_and_missing_tasks_started() {
     let mut m = Machine::new(1, 1, 1, Duration::ZERO);
     m.take(&report((1, 1), m.token(), &[("run-1/0", 1, TaskState::Running)]));
     let commands = m.commands(&places(&[("run-1", 0, 2)]), &places(&[]));
@@ -82,7 +86,7 @@
 
 /// An earlier owner may be cut off with the worker and still answer it.
 #[test]
-fn a_lapse_counts_from_the_grant_too() {
+fn lease_expiry_counts_from_the_grant_too() {
     let s = Duration::from_secs;
     let mut m = Machine::new(1, 1, 1, s(100));
     assert!(!m.lapsed(s(147), s(18), s(48)));
@@ -95,7 +99,7 @@
 /// One machine of a gang had its image long before the others: its task gave
 /// up, the whole gang was started anew, elsewhere, and gave up again.
 #[test]
-fn a_gang_task_that_gave_up_waiting_waits_on() {
+fn a_gang_task_that_gave_up_waiting_is_started_again() {
     let mut m = Machine::new(1, 1, 1, Duration::ZERO);
     let mut r = report((1, 1), m.token(), &[("run-1/0", 2, TaskState::Exited)]);
     r.tasks[0].cause = Some(Cause::GangIncomplete);
@@ -112,7 +116,7 @@
 
 /// Tasks that can save lost their work when they were stopped for others.
 #[test]
-fn a_task_that_can_save_gets_the_time_to() {
+fn a_preempted_task_gets_its_grace_period() {
     let mut m = Machine::new(1, 1, 1, Duration::ZERO);
     m.take(&report((1, 1), m.token(), &[("run-1/0", 2, TaskState::Running)]));
     let kill = |grace_period_s| vec![Command::Kill { task: "run-1/0".into(), attempt: 2, grace_period_s }];
@@ -128,7 +132,7 @@
 /// that answer, so the lease counted as over, and its tasks were started elsewhere; an exit
 /// in it ended a task that runs.
 #[test]
-fn a_copy_from_an_earlier_life_proves_nothing() {
+fn a_copy_from_an_earlier_incarnation_proves_nothing() {
     let s = Duration::from_secs;
     let mut m = Machine::new(1, 1, 1, s(0));
     let old = m.token();
@@ -157,35 +161,35 @@
 /// life, look alike: neither voids an answer. So that its places come free all the same
 /// it is not answered until its lease must be over, and as soon as it shows our token.
 #[test]
-fn one_that_never_heard_us_is_waited_out() {
+fn the_lease_of_an_agent_that_no_answer_reached_is_waited_out() {
     let s = Duration::from_secs;
     let (lease, cancel) = (s(18), s(48));
     let says = |m: &mut Machine, heartbeat_seq, fencing_token, now| {
         assert!(m.take(&report((1, heartbeat_seq), fencing_token, &[])));
         m.note_reply(true, now);
     };
-    let mut deaf = Machine::new(1, 1, 1, s(0));
+    let mut unreachable = Machine::new(1, 1, 1, s(0));
     for n in 0..15 {
-        says(&mut deaf, 1 + n, 3, s(2 * n));
-        assert!(!deaf.waits_out(s(2 * n), lease, cancel), "an earlier owner may answer it");
-        deaf.answer(s(2 * n));
+        says(&mut unreachable, 1 + n, 3, s(2 * n));
+        assert!(!unreachable.waits_out(s(2 * n), lease, cancel), "an earlier owner may answer it");
+        unreachable.answer(s(2 * n));
     }
-    says(&mut deaf, 30, 3, s(31));
-    assert!(deaf.hears_nothing() && !deaf.sure && deaf.answered_at == Some(s(28)));
-    assert!(deaf.waits_out(s(31), lease, cancel) && deaf.waits_out(s(48), lease, cancel));
-    assert!(deaf.lapsed(s(49), lease, cancel) && !deaf.waits_out(s(49), lease, cancel));
+    says(&mut unreachable, 30, 3, s(31));
+    assert!(unreachable.hears_nothing() && !unreachable.sure && unreachable.answered_at == Some(s(28)));
+    assert!(unreachable.waits_out(s(31), lease, cancel) && unreachable.waits_out(s(48), lease, cancel));
+    assert!(unreachable.lapsed(s(49), lease, cancel) && !unreachable.waits_out(s(49), lease, cancel));
     // It hears again: it is answered at once, and what ran there goes on.
-    let token = deaf.token();
-    says(&mut deaf, 31, token, s(33));
-    deaf.ready = true;
-    assert!(deaf.sure && !deaf.waits_out(s(33), lease, cancel));
+    let token = unreachable.token();
+    says(&mut unreachable, 31, token, s(33));
+    unreachable.ready = true;
+    assert!(unreachable.sure && !unreachable.waits_out(s(33), lease, cancel));
     // From then on a report without our newest token is its own, and voids.
-    deaf.answer(s(33));
-    deaf.push_lost();
-    says(&mut deaf, 32, token, s(35));
-    deaf.answer(s(35));
-    says(&mut deaf, 33, token, s(37));
-    assert!(deaf.sure && deaf.answered_at == Some(s(33)));
+    unreachable.answer(s(33));
+    unreachable.push_lost();
+    says(&mut unreachable, 32, token, s(35));
+    unreachable.answer(s(35));
+    says(&mut unreachable, 33, token, s(37));
+    assert!(unreachable.sure && unreachable.answered_at == Some(s(33)));
 }
 
 /// A machine ended and was back, and its owner had heard nothing of it in either life. Its
@@ -193,7 +197,7 @@
 /// the life before, with the token (none) that the present one came with. That voided the
 /// answer, the lease counted as over, and what had just started was started elsewhere too.
 #[test]
-fn a_copy_of_the_first_words_of_an_earlier_life_voids_no_answer() {
+fn a_copy_of_the_first_report_of_an_earlier_incarnation_voids_no_answer() {
     let s = Duration::from_secs;
     let mut m = Machine::new(1, 1, 1, s(0));
     for (heartbeat_seq, at) in [(1, 47), (4, 49), (5, 50)] {
@@ -213,7 +217,7 @@
 /// token came after the present one had been answered with its tasks: it passed for the
 /// newest, listed none of them, and so they were called absent and started elsewhere.
 #[test]
-fn a_report_of_a_life_whose_end_nobody_noticed_proves_nothing() {
+fn a_report_from_before_an_unnoticed_restart_proves_nothing() {
     let s = Duration::from_secs;
     let mut m = Machine::new(1, 1, 1, s(0));
     m.take(&report((1, 3), 0, &[]));
@@ -237,7 +241,7 @@
 /// of which nobody had heard, began then. What was pushed to it was held to have ended with
 /// the lease of the last answer, long before, and was started elsewhere while it ran.
 #[test]
-fn what_was_pushed_may_run_for_a_lease() {
+fn a_pushed_start_may_run_for_a_whole_lease() {
     let s = Duration::from_secs;
     let (lease, cancel) = (s(18), s(48));
     let mut m = Machine::new(1, 1, 1, s(0));
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -1,14 +1,23 @@
-//! How the controllers agree: leases and leadership, blocks of machines,
-//! fencing tokens, freshness of reads. State machines without sockets or clocks.
+//! How the controllers agree on who may do what: store sessions and leases, shards of
+//! machines, fencing tokens, freshness of reads, and limits on writes.
+//!
+//! Everything here is a state machine or a pure function: no sockets and no clocks. The
+//! controller calls the state service and passes the current time in.
 
-pub mod account;
 pub mod fault_attribution;
 pub mod fencing_token;
 pub mod health;
-pub mod log;
+pub mod in_flight_writes;
+pub mod log_writer;
 pub mod machine;
-pub mod pace;
-pub mod parts;
-pub mod session;
+pub mod quota_reservation;
+pub mod rate_limiter;
 pub mod shards;
-pub mod writes;
+pub mod store_session;
+pub mod token_bucket;
+
+// Old module paths, until all callers use the new ones.
+pub use self::{
+    in_flight_writes as writes, log_writer as log, quota_reservation as parts, rate_limiter as account,
+    store_session as session, token_bucket as pace,
+};
--- /dev/null
+++ b/src/coordination/token_bucket/tests.rs
@@ -0,0 +1,38 @@
+//! How many reads a token bucket allows, and when.
+
+use super::*;
+
+fn ms(x: u64) -> Duration {
+    Duration::from_millis(x)
+}
+
+/// A start read the stored state at the pace of a long day, with a store that had
+/// nothing else to do: it was blind for seconds.
+#[test]
+fn a_burst_is_allowed_at_once_and_then_the_even_pace_holds() {
+    let mut bucket = TokenBucket::new(ms(100), 4.0);
+    let mut at = Vec::new();
+    for t in 0..1000 {
+        while bucket.may(ms(t)) {
+            bucket.take(ms(t));
+            at.push(t);
+        }
+    }
+    assert_eq!(at[..6], [0, 0, 0, 0, 100, 200]);
+    assert_eq!(at.len(), 4 + 9, "no more than the burst and the even pace together");
+    // A pause saves up the burst again, and never more.
+    (0..4).for_each(|_| {
+        assert!(bucket.may(ms(9000)));
+        bucket.take(ms(9000));
+    });
+    assert!(!bucket.may(ms(9000)) && bucket.may(ms(9100)));
+}
+
+/// A burst below one read must not block reads, nor let two of them through at once.
+#[test]
+fn without_a_burst_reads_are_an_interval_apart() {
+    let mut bucket = TokenBucket::new(ms(100), 0.3);
+    assert!(bucket.may(ms(0)));
+    bucket.take(ms(0));
+    assert!(!bucket.may(ms(99)) && bucket.may(ms(100)));
+}
