--- a/src/controller/api.rs
+++ b/src/controller/api.rs
@@ -75,7 +75,7 @@
     fn healthy(&self) -> bool {
         let margin = self.heartbeat_intervals(1.0);
         let since = |p: &Peer| self.now.saturating_sub(p.at);
-        let recent = self.connectivity.peers.peers().map(|(_, p)| p).filter(|p| since(p) < margin);
+        let recent = self.connectivity.peers().peers().map(|(_, p)| p).filter(|p| since(p) < margin);
         healthy(&Facts {
             age: self.now,
             loaded: self.store.session.following(),
--- a/src/controller/autoscaler.rs
+++ b/src/controller/autoscaler.rs
@@ -2,7 +2,7 @@
 //! lists, what is wanted beyond it, what stood idle long enough.
 
 use super::registration::GROUP_FROM;
-use super::scheduler::HOPE;
+use super::scheduler::OPTIMISTIC_RUN_SHARE;
 use super::*;
 use crate::placement::MachineCapacity;
 use crate::protocol::cloud::{
@@ -226,7 +226,7 @@
                     && let Ok(c) = decode::<Catalog>(&r.body)
                 {
                     self.cloud.types = c.machine_types;
-                    self.scheduler.dirty = true;
+                    self.scheduler.request_round();
                 } else {
                     self.cloud.types_next = self.now; // as soon as the retry policy allows
                 }
@@ -291,7 +291,7 @@
                         if self.beginning() {
                             // The others hear of it before one of them is up.
                             self.note_young(&names);
-                            self.connectivity.heartbeat_next = self.now;
+                            self.connectivity.hasten_heartbeat(self.now);
                         }
                         for n in names {
                             self.autoscaler.rented.insert(n, Rented { offer: offer.clone(), at: self.now });
@@ -327,14 +327,10 @@
         };
         let unlisted: BTreeSet<String> = machines.keys().filter(|name| gone(name)).cloned().collect();
         if !unlisted.is_subset(&self.cloud.unlisted) {
-            self.connectivity.heartbeat_next = now; // their owners can prove it, and start their tasks elsewhere
+            self.connectivity.hasten_heartbeat(now); // their owners can prove it, and start their tasks elsewhere
         }
         self.cloud.unlisted = unlisted;
-        for name in &self.cloud.unlisted {
-            if let Some(m) = self.agents.machines.get_mut(name) {
-                m.unlisted = true;
-            }
-        }
+        self.agents.mark_unlisted(&self.cloud.unlisted);
     }
 
     fn late_s(&self, machine_type: &str) -> f64 {
@@ -477,8 +473,12 @@
             // the same: it makes do with less, unless aims are missed and
             // machines are cheap beside what stands there.
             let age_s = self.wall_ms().saturating_sub(j.rec.rec.at_ms) as f64 / 1000.0;
-            let aim_s = self.service_levels.objectives.end_from(&j.spec, age_s, boot + j.spec.estimated_run_s * HOPE);
-            let lost = aim_s.is_some_and(|a| a - age_s < boot + j.spec.estimated_run_s * HOPE);
+            let aim_s = self.service_levels.objectives.end_from(
+                &j.spec,
+                age_s,
+                boot + j.spec.estimated_run_s * OPTIMISTIC_RUN_SHARE,
+            );
+            let lost = aim_s.is_some_and(|a| a - age_s < boot + j.spec.estimated_run_s * OPTIMISTIC_RUN_SHARE);
             let lost = lost && !all_saved;
             if lost {
                 n = n.div_ceil(LATE_SHARE);
@@ -496,7 +496,8 @@
                 if soon(&j.spec) {
                     services.push(d);
                 } else {
-                    let slack_s = aim_s.map_or(0.0, |a| a - age_s - boot - j.spec.estimated_run_s * HOPE);
+                    let slack_s =
+                        aim_s.map_or(0.0, |a| a - age_s - boot - j.spec.estimated_run_s * OPTIMISTIC_RUN_SHARE);
                     arrays.push((slack_s, d));
                 }
             }
--- /dev/null
+++ b/src/controller/journal/mod.rs
@@ -0,0 +1,284 @@
+//! This controller's log: the exits it saw and the starts it planned go into its
+//! next segment, over all jobs and machines; checkpoints of task ranges free the slots
+//! for later ones. A start is ordered only once its segment is in the store.
+
+mod compaction;
+mod exits;
+mod segment;
+
+use super::Controller;
+use super::quota::Reservation;
+use super::transactions::{Ended, Why};
+use crate::coordination::log::{Limits, Writer, byte_shares, wide};
+use crate::effects::Instant;
+use crate::placement::Start;
+use crate::protocol::store::{Condition, Op, Txn};
+use crate::protocol::user::{JobKind, JobSpec};
+use crate::settings::Settings;
+use crate::state::log_segment::{Facts, LogSegmentRecord, RING};
+use crate::state::{ClusterState, records};
+use compaction::Checkpoint;
+pub(super) use exits::PendingExits;
+use segment::{DraftedSegment, SegmentInputs};
+use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
+
+/// What goes into the log next, and which of it is under way.
+#[derive(Debug, Default)]
+pub(super) struct Journal {
+    /// Exits of tasks that are not stored yet, by job.
+    exits: BTreeMap<String, PendingExits>,
+    /// When the next segment goes.
+    writer: Writer,
+    /// Quota that segments without an answer would take: whether they do is known once
+    /// their slot is written.
+    in_doubt: Vec<Reservation>,
+    /// Checkpoints are under way.
+    compacting: bool,
+    /// Jobs that are complete, and whose record this controller has to end.
+    jobs_to_end: BTreeSet<String>,
+}
+
+/// The slot of the log that the next segment goes to.
+#[derive(Debug)]
+struct LogSlot {
+    /// Number of the segment.
+    seq: u64,
+    key: String,
+    /// Version of what is in the slot now.
+    version: u64,
+}
+
+/// Facts that can wait go this often, in heartbeat intervals.
+const SEGMENT_PACE: f64 = 1.0 / 16.0;
+/// A segment's answer is waited for so long, in heartbeat intervals; what comes later
+/// is void, or else the next one is.
+const SEGMENT_TIMEOUT: f64 = 0.25;
+/// A transaction may have so many conditions for each of the changes that it may have.
+const CONDITIONS_PER_OP: usize = 4;
+const BYTES_PER_KB: f64 = 1024.0;
+/// Keys of log slots start with this.
+const LOG_PREFIX: &str = "fq/l/";
+/// Keys of job records start with this.
+const JOB_PREFIX: &str = "fq/j/";
+
+impl Journal {
+    /// Whether facts that can wait have waited long enough.
+    pub(super) fn is_due(&self, now: Instant) -> bool {
+        self.writer.due(now)
+    }
+
+    /// Whether exits wait to be stored.
+    pub(super) fn has_exits(&self) -> bool {
+        !self.exits.is_empty()
+    }
+
+    /// Jobs with exits that are not stored yet.
+    pub(super) fn jobs_with_exits(&self) -> impl Iterator<Item = &String> {
+        self.exits.keys()
+    }
+
+    /// The job's exits that are not stored yet.
+    pub(super) fn exits_of(&self, uid: &str) -> Option<&PendingExits> {
+        self.exits.get(uid)
+    }
+
+    /// A task has finished; whether that is news.
+    pub(super) fn record_done(&mut self, uid: &str, index: u32, now: Instant) -> bool {
+        self.exits_since(uid, now).done.insert(index)
+    }
+
+    /// An attempt is proved to be gone from its machine; whether that is news.
+    pub(super) fn record_gone(&mut self, uid: &str, index: u32, attempt: u64, now: Instant) -> bool {
+        self.exits_since(uid, now).gone.insert((index, attempt))
+    }
+
+    fn exits_since(&mut self, uid: &str, now: Instant) -> &mut PendingExits {
+        self.exits.entry(uid.to_string()).or_insert_with(|| PendingExits::new(now))
+    }
+
+    /// This controller has to end the records of these jobs.
+    pub(super) fn end_jobs(&mut self, uids: impl IntoIterator<Item = String>) {
+        self.jobs_to_end.extend(uids);
+    }
+
+    /// The jobs whose records are to be ended, which are no longer listed then.
+    pub(super) fn take_jobs_to_end(&mut self) -> BTreeSet<String> {
+        std::mem::take(&mut self.jobs_to_end)
+    }
+
+    /// The transaction with checkpoints was answered, or given up.
+    pub(super) fn compaction_ended(&mut self) {
+        self.compacting = false;
+    }
+
+    fn segment_sent(&mut self, now: Instant, pace: Duration) {
+        self.writer.sent(now, pace);
+    }
+
+    /// The segment under way ended; gives the reservations of earlier ones that are
+    /// settled by it, because the slot is written.
+    fn segment_ended(&mut self, slot_is_written: bool) -> Vec<Reservation> {
+        self.writer.busy = false;
+        if slot_is_written { std::mem::take(&mut self.in_doubt) } else { Vec::new() }
+    }
+
+    /// What a segment that was not carried out said has to be written again.
+    fn restore_exits(&mut self, uid: &str, facts: Facts, now: Instant) {
+        let exits = self.exits_since(uid, now);
+        exits.done.extend(facts.done);
+        exits.gone.extend(facts.gone);
+    }
+}
+
+impl LogSlot {
+    /// The slot for the next segment of a member.
+    fn next(state: &ClusterState, member: &str) -> LogSlot {
+        let log = state.logs.get(member);
+        let seq = log.map_or(0, |log| log.seq) + 1;
+        let version = log.and_then(|log| log.slots.get(&(seq % RING))).map_or(0, |slot| slot.version);
+        LogSlot { seq, key: records::log_key(member, seq), version }
+    }
+}
+
+impl Controller {
+    /// Whether a segment may be put together now.
+    pub(super) fn can_write_segment(&self) -> bool {
+        let slot = LogSlot::next(&self.state, &self.process.member);
+        !self.journal.writer.busy && !self.transactions.outdated.contains_key(&slot.key)
+    }
+
+    /// Puts the next segment together and sends it. `order` are the jobs with
+    /// something to write down, most important first.
+    pub(super) fn write_segment(&mut self, order: &[String], starts: BTreeMap<String, Vec<Start>>) {
+        let store = &self.config.settings.state;
+        let slot = LogSlot::next(&self.state, &self.process.member);
+        let Ok(checkpoints) = self.checkpoints_for_slot(&slot) else {
+            return self.scheduler.request_round();
+        };
+        let max_checkpoints = store.txn_ops.saturating_sub(2).max(1);
+        let (segment_bytes, checkpoint_bytes) = byte_shares(value_bytes(&self.config));
+        if checkpoints.len() > max_checkpoints || compaction::total_size(&checkpoints) > checkpoint_bytes {
+            return self.send_checkpoints_first(checkpoints, max_checkpoints);
+        }
+        let conditions = (store.txn_ops * CONDITIONS_PER_OP).saturating_sub(checkpoints.len() + 1);
+        let limits = Limits { conditions, bytes: segment_bytes };
+        let inputs = SegmentInputs {
+            now: self.now,
+            settings: &self.config,
+            process: &self.process,
+            state: &self.state,
+            agents: &self.agents,
+            transactions: &self.transactions,
+            record_count: self.outbox.next_call,
+        };
+        let segment = self.journal.draft_segment(inputs, &mut self.quota, limits, order, starts);
+        self.scheduler.request_round_if(segment.is_full);
+        if !segment.draft.is_empty() {
+            self.send_segment(slot, segment, checkpoints);
+        } else if let Some(condition) = segment.near_limit {
+            self.make_quota_strict(condition);
+        }
+    }
+
+    fn send_segment(&mut self, slot: LogSlot, segment: DraftedSegment, checkpoints: Vec<Checkpoint>) {
+        let DraftedSegment { draft, quota, .. } = segment;
+        let mut txn = Txn { conditions: draft.conditions().collect(), ops: Vec::new() };
+        let mut keys = vec![slot.key.clone()];
+        keys.extend(draft.conditions.keys().filter(|key| key.starts_with(JOB_PREFIX)).cloned());
+        txn.conditions.push(Condition { key: slot.key.clone(), version: slot.version });
+        let data = records::to_value(&LogSegmentRecord::of(slot.seq, &draft.facts));
+        txn.ops.push(Op::Put { key: slot.key, data, lease: None });
+        let mut reservations = Vec::new();
+        for (team, taken) in quota {
+            if let Some(record) = taken.new_record {
+                let key = records::team_key(&team);
+                txn.ops.push(Op::Put { key: key.clone(), data: records::to_value(&record), lease: None });
+                keys.push(key);
+            } else {
+                let reservation = Reservation { team, amounts: taken.amounts };
+                self.quota.reserve(&reservation);
+                reservations.push(reservation);
+            }
+        }
+        for checkpoint in checkpoints {
+            keys.push(checkpoint.condition.key.clone());
+            txn.conditions.push(checkpoint.condition);
+            txn.ops.push(checkpoint.op);
+        }
+        self.journal.segment_sent(self.now, self.heartbeat_intervals(SEGMENT_PACE));
+        let timeout = self.heartbeat_intervals(SEGMENT_TIMEOUT);
+        self.send_txn_within(txn, Why::Segment { facts: draft.facts, reservations }, keys, timeout);
+    }
+
+    /// The segment was answered, or not.
+    pub(super) fn segment_answer(
+        &mut self,
+        txn: &Txn,
+        facts: BTreeMap<String, Facts>,
+        reservations: Vec<Reservation>,
+        ended: &Ended,
+    ) {
+        self.scheduler.request_round();
+        let carried_out = matches!(ended, Ended::Done(_));
+        if matches!(ended, Ended::Unknown) {
+            self.journal.in_doubt.extend(reservations);
+        } else {
+            for reservation in reservations {
+                self.quota.settle(reservation, carried_out, self.now);
+            }
+        }
+        let slot_lost = self.note_outdated(txn, ended);
+        // If this segment took the slot, it voids those in doubt; otherwise one of them did.
+        for reservation in self.journal.segment_ended(carried_out || slot_lost) {
+            self.quota.settle(reservation, slot_lost, self.now);
+        }
+        if carried_out {
+            self.push_starts(&facts);
+        } else {
+            for (uid, facts) in facts {
+                if self.state.jobs.contains_key(&uid) {
+                    self.journal.restore_exits(&uid, facts, self.now);
+                }
+            }
+        }
+    }
+
+    /// Sends the starts that are in the store now to their machines.
+    fn push_starts(&mut self, facts: &BTreeMap<String, Facts>) {
+        let places = facts.values().flat_map(|facts| &facts.starts);
+        let machines: BTreeSet<&String> = places.map(|place| &place.machine).collect();
+        for machine in machines {
+            self.push(machine);
+        }
+    }
+
+    /// Remembers which records had changed, until the replica shows it; whether the
+    /// log's slot was one of them.
+    pub(super) fn note_outdated(&mut self, txn: &Txn, ended: &Ended) -> bool {
+        let Ended::Void { failed, revision } = ended else { return false };
+        let all = txn.conditions.iter().map(|condition| &condition.key).filter(|_| failed.is_empty());
+        let mut slot_lost = false;
+        for key in failed.iter().chain(all) {
+            slot_lost |= key.starts_with(LOG_PREFIX);
+            if *revision > self.state.revision {
+                self.transactions.outdated.insert(key.clone(), *revision);
+            }
+        }
+        slot_lost
+    }
+}
+
+/// Whether the job is a gang whose places may not fit into one segment.
+pub(super) fn is_wide_gang(spec: &JobSpec, settings: &Settings) -> bool {
+    let max_ops = settings.settings.state.txn_ops;
+    spec.kind == JobKind::Gang && wide(spec.task_count, max_ops, value_bytes(settings))
+}
+
+/// The most bytes that a value in the store may have.
+fn value_bytes(settings: &Settings) -> usize {
+    (settings.settings.state.value_kb * BYTES_PER_KB) as usize
+}
+
+#[cfg(test)]
+mod tests;
--- a/src/controller/maintenance.rs
+++ b/src/controller/maintenance.rs
@@ -144,7 +144,7 @@
 
     fn heard_now(&self, name: &str) -> bool {
         let limit = self.heartbeat_intervals(agents::HEARD_REPORTS);
-        let ours = self.agents.machines.get(name).and_then(|m| m.heard_at);
+        let ours = self.agents.machine(name).and_then(|m| m.heard_at);
         ours.is_some_and(|t| self.now.saturating_sub(t) < limit) || self.reported_newer_elsewhere(name, limit * 2)
     }
 
@@ -217,7 +217,7 @@
         let mut since = std::mem::take(&mut self.maintenance.ticketed);
         since.retain(|t, _| maintenance.rec.tickets.contains(t));
         for t in &maintenance.rec.tickets {
-            let Some(m) = self.agents.machines.get(&t.machine) else { continue };
+            let Some(m) = self.agents.machine(&t.machine) else { continue };
             let key = (t.job.clone(), t.index, t.attempt);
             let Some(j) = self.state.jobs.get(&t.job).filter(|j| !j.cancelled()) else { continue };
             if !self.stands(t) || m.preempted.contains_key(&key) || m.is_over(&key) {
@@ -241,9 +241,7 @@
         self.maintenance.ticketed = since;
         for (machine, key) in stops {
             tracing::debug!(job = %key.0, index = key.1, %machine, "moved for a campaign");
-            if let Some(m) = self.agents.machines.get_mut(&machine) {
-                m.preempted.insert(key, 0.0);
-            }
+            self.agents.mark_preempted(agents::Preemption::of_task(&machine, key, 0.0));
             self.push(&machine);
         }
     }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -22,32 +22,27 @@
 mod task_ranges;
 mod transactions;
 
-use crate::connectivity::account::Deaf;
-use crate::connectivity::hearing::{At, Hearing, News};
+use crate::connectivity::hearing::At;
 use crate::connectivity::table::Links;
 use crate::coordination::account::{Account, Charge, WritePriority};
-use crate::coordination::fault_attribution::Tried;
-use crate::coordination::log::Writer;
-use crate::coordination::machine::Machine;
-use crate::coordination::parts::Parts;
 use crate::coordination::session::Session;
 use crate::coordination::writes::Writes as OpenWrites;
 use crate::effects::{Action, CallId, ConnId, Event, Instant, NoAnswer, Reply, Target};
-use crate::placement::knapsack::Knapsack;
 use crate::protocol::cloud::{ListedMachine, MachineType};
-use crate::protocol::peer::{Frame, PeerHeartbeat};
+use crate::protocol::peer::Frame;
 use crate::protocol::store::{self, Txn};
 use crate::protocol::worker::Heartbeat;
 use crate::reconciliation::phase::Start;
 use crate::requests::{Event as RequestEvent, Requests};
 use crate::retry::{Outcome, Purpose as Retry, Retries, Returns, Side};
 use crate::settings::Settings;
+use crate::state::ClusterState;
 use crate::state::objectives::Aims;
 use crate::state::records::{self, Versioned};
-use crate::state::{ClusterState, Images, Resources};
 use agents::Agents;
 use api::Api;
 use autoscaler::{Autoscaler, CloudAccess, Releases};
+use capacity::Counted;
 use connectivity::Connectivity;
 use hdrhistogram::Histogram;
 use journal::Journal;
@@ -154,69 +149,12 @@
     ]
 }
 
-/// Which of the tasks placed on a machine take up its room.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Counted {
-    All,
-    /// Not arrays: those make room for services that must start soon.
-    Lasting,
-}
-
-/// A report that waits for a grant to be made or seen.
-#[derive(Debug)]
-struct HeldHeartbeat {
-    conn: ConnId,
-    report: Heartbeat,
-    news: News,
-    until: Instant,
-}
-
-/// Exits of one job's tasks that are not in the store yet.
-#[derive(Debug, Default)]
-struct Change {
-    /// When the first of them was seen.
-    since: Instant,
-    done: BTreeSet<u32>,
-    /// Attempts known to be gone from their machine.
-    clear: BTreeSet<(u32, u64)>,
-}
-
-impl Change {
-    fn new(since: Instant) -> Change {
-        Change { since, ..Change::default() }
-    }
-}
-
 #[derive(Debug)]
 struct Rented {
     offer: crate::scaling::Offer,
     at: Instant,
 }
 
-/// A machine's grant, as this process came to know it.
-#[derive(Debug)]
-struct Owned {
-    grant: u64,
-    since: Instant,
-    owner: String,
-    /// Whose it was before.
-    from: Option<String>,
-}
-
-/// Waiting and failing of one job, as seen here.
-#[derive(Debug, Default)]
-struct Patience {
-    waiting_since: Option<Instant>,
-    /// How long it had waited by then, of a job that was known before this
-    /// process was: its age goes on where the one before left off.
-    before: Duration,
-    failures: u32,
-    tried: Tried,
-    not_before: Instant,
-    /// Of a gang wider than a segment: since when only some of its places are stored.
-    parts_since: Option<Instant>,
-}
-
 /// One controller: a component for each duty, and what they share.
 pub struct Controller {
     config: Settings,
@@ -243,18 +181,6 @@
     api: Api,
 }
 
-impl Patience {
-    /// The job was submitted with a mistake, by all that is known here.
-    fn fails_everywhere(&self, done: u32) -> bool {
-        done == 0 && self.tried.everywhere()
-    }
-
-    /// How long the job has waited, if it does.
-    fn waited(&self, now: Instant) -> Option<Duration> {
-        self.waiting_since.map(|t| now.saturating_sub(t) + self.before)
-    }
-}
-
 impl Controller {
     /// `incarnation` tells this process from earlier ones of the same name;
     /// `wall` is the time of day at the start.
@@ -312,21 +238,16 @@
             Event::Peer { member, frame: Frame::PeerHeartbeat(heartbeat) } => {
                 self.note_images(&heartbeat);
                 self.note_young(&heartbeat.rented);
-                for name in &heartbeat.unlisted {
-                    if let Some(m) = self.agents.machines.get_mut(name) {
-                        m.unlisted = true;
-                    }
-                }
-                self.connectivity.peers.receive(&member, &heartbeat, now);
+                self.agents.mark_unlisted(&heartbeat.unlisted);
+                self.connectivity.receive(&member, &heartbeat, now);
                 // True whenever it was said, and however late it comes.
                 if let Some(revocations) = &heartbeat.revocations {
                     self.apply_revocations(revocations);
                 }
                 for h in &heartbeat.heard {
                     let when = now.saturating_sub(Duration::from_millis(h.ago_ms));
-                    self.agents.hearing.told(&h.machine, (h.agent_epoch, h.heartbeat_seq), when);
+                    self.agents.heard_elsewhere(&h.machine, (h.agent_epoch, h.heartbeat_seq), when);
                 }
-                self.connectivity.changed = true;
                 self.probe(&heartbeat.silent);
             }
             Event::Peer { frame: Frame::Hello { .. }, .. } => {}
@@ -340,9 +261,7 @@
             }
             Event::Tick => self.tick(),
         }
-        if self.scheduler.dirty && self.now >= self.scheduler.next {
-            self.scheduler.dirty = false;
-            self.scheduler.next = self.now + self.store.session.gap;
+        if self.scheduler.begin_round(self.now, self.store.session.gap) {
             self.schedule();
         }
         actions.append(&mut self.outbox.actions);
@@ -355,20 +274,19 @@
         if self.cloud.types.is_empty() || self.now >= self.cloud.types_next {
             self.fetch_types();
         }
-        if self.now >= self.connectivity.heartbeat_next {
-            self.connectivity.heartbeat_next = self.now + Self::heartbeat_interval(self.heartbeat_intervals(1.0));
-            self.heartbeat();
+        let heartbeat_interval = Self::heartbeat_interval(self.heartbeat_intervals(1.0));
+        if self.connectivity.begin_heartbeat(self.now, heartbeat_interval) {
+            self.send_heartbeat();
         }
         if !self.store.session.following() {
             return;
         }
         self.share_limits();
-        if self.now >= self.agents.check_next {
-            self.agents.check_next = self.now + self.heartbeat_intervals(0.1);
+        if self.agents.begin_check(self.now, self.heartbeat_intervals(0.1)) {
             self.start_tick();
-            self.links_tick();
+            self.diagnose_partitions();
             self.check_agents();
-            self.work_tick();
+            self.check_jobs();
             self.note_overdue();
         }
         self.close_tick();
@@ -434,7 +352,7 @@
     }
 
     fn owns(&self, host: &Versioned<records::MachineRecord>) -> bool {
-        host.rec.owner == self.process.member && host.rec.incarnation == self.process.incarnation
+        self.process.owns(&host.rec)
     }
 
     fn machine_type(&self, machine_type: &str) -> Option<&MachineType> {
@@ -498,7 +416,7 @@
         }
         for uid in std::mem::take(&mut self.state.complete) {
             if self.ends(&uid) {
-                self.journal.ending.insert(uid);
+                self.journal.end_jobs([uid]);
             }
         }
         for (spec, at_ms) in std::mem::take(&mut self.state.finished) {
@@ -514,7 +432,7 @@
         for uid in std::mem::take(&mut self.state.let_go) {
             self.stop(&uid);
         }
-        self.retry_held();
+        self.retry_pending_heartbeats();
         self.answer_requests(RequestEvent::ClusterState(self.state.revision));
     }
 }
--- a/src/controller/process.rs
+++ b/src/controller/process.rs
@@ -1,6 +1,7 @@
 //! This process: its name, its incarnation and its clocks.
 
 use crate::effects::Instant;
+use crate::state::records::MachineRecord;
 use std::time::Duration;
 
 /// Who this controller is, and how its steady clock relates to the time of day.
@@ -21,4 +22,9 @@
     pub(super) fn new(member: String, incarnation: u64, wall: Duration) -> Process {
         Process { member, incarnation, wall, ticked_at: Duration::ZERO }
     }
+
+    /// Whether the machine is granted to this process.
+    pub(super) fn owns(&self, machine: &MachineRecord) -> bool {
+        machine.owner == self.member && machine.incarnation == self.incarnation
+    }
 }
--- a/src/controller/registration.rs
+++ b/src/controller/registration.rs
@@ -17,7 +17,7 @@
     /// A copy of a report of long ago brought machines back that had been returned,
     /// and places on them that nobody heard of: so it must answer a call first.
     pub(super) fn enrol(&mut self, report: &Heartbeat) {
-        if !self.agents.probed.contains_key(&report.machine) {
+        if self.agents.probed_at(&report.machine).is_none() {
             return self.call_back(report);
         }
         let key = records::machine_group_key(&report.machine);
@@ -84,7 +84,7 @@
             return;
         }
         let size = names.len().div_ceil(members.min(st.txn_ops.saturating_sub(1).max(1)));
-        let deaf = self.connectivity.deaf.names(self.now).collect();
+        let deaf = self.connectivity.unhearing_members(self.now).collect();
         let owners = shards::spread(&self.state, &deaf, &offer.machine_type, names.len(), size);
         let mut txn =
             Txn { conditions: vec![self.leader_condition(), self.machine_groups_condition()], ops: Vec::new() };
--- a/src/controller/sharding.rs
+++ b/src/controller/sharding.rs
@@ -60,7 +60,8 @@
         let spare = ops.min(self.transactions.rate.level(self.now) as usize).max(1);
         let known = self.startup.fleet_known();
         let unreached = if known { self.unreached_machines() } else { Vec::new() };
-        let deaf: BTreeSet<&str> = if known { self.connectivity.deaf.names(now).collect() } else { BTreeSet::new() };
+        let deaf: BTreeSet<&str> =
+            if known { self.connectivity.unhearing_members(now).collect() } else { BTreeSet::new() };
         let level = known && self.now >= self.sharding.rebalance_next;
         // Machines without an owner that answers them lose their tasks soon.
         let mut moves = wanted_moves(&self.state, &deaf, &unreached, ops);
@@ -124,9 +125,7 @@
     fn gather_moves(&self) -> Vec<shards::Move> {
         // Until then machines that were rented for it may still come up together.
         let boot = self.cloud.types.iter().map(|t| t.startup_s).fold(0.0, f64::max);
-        let waits = |uid: &String| {
-            self.scheduler.queue.get(uid).and_then(|p| p.waited(self.now)).is_some_and(|t| t > self.secs(boot))
-        };
+        let waits = |uid: &String| self.scheduler.waited(uid, self.now).is_some_and(|t| t > self.secs(boot));
         let whole = |j: &Job| j.spec.kind == JobKind::Gang && j.spec.task_count > 1 && j.placed == 0;
         let mut gangs: Vec<&Job> = self
             .state
--- a/src/controller/startup.rs
+++ b/src/controller/startup.rs
@@ -68,7 +68,7 @@
             fleet.heard += usize::from(heard);
             if self.owns(h) {
                 shard.all += 1;
-                shard.heard += usize::from(self.agents.machines.get(name).is_some_and(|m| m.heard_at.is_some()));
+                shard.heard += usize::from(self.agents.machine(name).is_some_and(|m| m.heard_at.is_some()));
             }
         }
         let members = Heard { heard: self.state.members.len(), all: self.config.controllers() };
@@ -77,7 +77,7 @@
 
     /// Counts what the first report under our grant differs in.
     pub(super) fn count_differences(&mut self, name: &str, wanted: &PlacedTasks, kept: &PlacedTasks) {
-        let Some(m) = self.agents.machines.get(name).filter(|m| m.answered_at.is_none()) else { return };
+        let Some(m) = self.agents.machine(name).filter(|m| m.answered_at.is_none()) else { return };
         let cases = &mut self.startup.cases;
         for s in &m.tasks {
             let key = (s.task.job.clone(), s.task.index);
--- a/src/controller/store_sync.rs
+++ b/src/controller/store_sync.rs
@@ -219,14 +219,14 @@
         }
         view.follows(&self.state);
         self.state = view;
-        self.agents.adopted = None;
+        self.agents.forget_followed_records();
         self.store.session.load = Load::Following;
         self.startup.loaded(self.now);
         if let Some(c) = self.state.catalog.as_ref().filter(|_| self.cloud.types.is_empty()) {
             // Until the cloud answers; it is asked all the same.
             self.cloud.types.clone_from(&c.rec.types);
         }
-        self.scheduler.dirty = true;
+        self.scheduler.request_round();
         tracing::info!(
             revision = self.state.revision,
             jobs = self.state.jobs.len(),
@@ -257,7 +257,7 @@
                 self.transactions.in_flight.changed(key, None, n.version);
             }
         }
-        self.scheduler.dirty |= !f.news.is_empty();
+        self.scheduler.request_round_if(!f.news.is_empty());
         self.state.reached(f.revision);
         self.store.session.reached(self.state.revision);
         self.settle(false);
--- a/src/controller/task_ranges.rs
+++ b/src/controller/task_ranges.rs
@@ -1,7 +1,7 @@
 //! Leases of jobs: tasks reassigned when their holder is gone or full, the
 //! queues that decide to whom, and the end of jobs whose last task is gone.
 
-use super::scheduler::{HOPE, end_op, queued};
+use super::scheduler::{can_meet_deadline, end_op, queued};
 use super::*;
 use crate::coordination::shards;
 use crate::placement::MachineCapacity;
@@ -27,12 +27,12 @@
     pub(super) fn close_jobs(&mut self) {
         let complete = self.state.jobs.iter().filter(|(_, j)| j.complete());
         let ours: Vec<String> = complete.map(|(uid, _)| uid.clone()).filter(|uid| self.ends(uid)).collect();
-        self.journal.ending.extend(ours);
+        self.journal.end_jobs(ours);
     }
 
     /// Ends the records of jobs whose last task is done or gone.
     pub(super) fn close_tick(&mut self) {
-        for uid in std::mem::take(&mut self.journal.ending) {
+        for uid in self.journal.take_jobs_to_end() {
             let key = records::job_key(&uid);
             let Some(j) = self.state.jobs.get(&uid).filter(|j| j.complete()) else { continue };
             // What was started just before it was cancelled may still be on its way here.
@@ -49,7 +49,7 @@
                 _ => self.may_write_as(WritePriority::Answers),
             };
             let Some(j) = self.state.jobs.get(&uid).filter(|_| may) else {
-                self.journal.ending.insert(uid);
+                self.journal.end_jobs([uid]);
                 continue;
             };
             let status = if j.cancelled() { Status::Cancelled } else { Status::Done };
@@ -81,8 +81,8 @@
             let holder = |i: u32| task_ranges.iter().find(|s| (s.from..=s.to).contains(&i)).map(|s| s.member.as_str());
             let dead =
                 self.startup.members_known() && task_ranges.iter().any(|s| !self.state.members.contains_key(&s.member));
-            let waited = self.startup.fleet_known()
-                && self.scheduler.queue.get(uid).and_then(|p| p.waited(self.now)).is_some_and(|t| t > patient);
+            let waited =
+                self.startup.fleet_known() && self.scheduler.waited(uid, self.now).is_some_and(|t| t > patient);
             if !dead && !waited {
                 continue;
             }
@@ -150,7 +150,7 @@
         queues: &BTreeMap<String, f64>,
         zones: &BTreeMap<String, u32>,
     ) -> Vec<TaskRange> {
-        let hears = |m: &&String| !self.connectivity.deaf.is(m, self.now);
+        let hears = |m: &&String| !self.connectivity.is_unhearing(m, self.now);
         let mut members: Vec<String> = self.state.members.keys().filter(hears).cloned().collect();
         if members.is_empty() {
             members.extend(self.state.members.keys().cloned());
@@ -170,9 +170,7 @@
 
     /// Whether the job can still meet its aim, if its tasks started now.
     pub(super) fn can_be_saved(&self, job: &Job) -> bool {
-        let age_s = self.wall_ms().saturating_sub(job.rec.rec.at_ms) as f64 / 1000.0;
-        let needs_s = job.spec.estimated_run_s * HOPE;
-        self.service_levels.objectives.end_from(&job.spec, age_s, needs_s).is_none_or(|a| a - age_s >= needs_s)
+        can_meet_deadline(job, &self.service_levels.objectives, self.wall_ms())
     }
 
     /// Cores that waiting tasks leased to each member ask for, of services
--- a/src/controller/transactions.rs
+++ b/src/controller/transactions.rs
@@ -50,7 +50,7 @@
     /// changing the teams' records.
     Segment {
         facts: BTreeMap<String, Facts>,
-        parts: Vec<(String, Resources)>,
+        reservations: Vec<super::quota::Reservation>,
     },
     /// Checkpoints.
     Fold,
@@ -230,8 +230,8 @@
             self.transactions.locked_keys.remove(k);
         }
         if matches!(ended, Ended::Done(_)) {
-            self.scheduler.dirty = true;
-            self.record_changed(&txn);
+            self.scheduler.request_round();
+            self.quota.records_changed(&txn);
         } else {
             self.transactions.written.entry(why.name()).or_default().failed += 1;
             tracing::debug!(?ended, ?why, "transaction not carried out");
@@ -239,10 +239,10 @@
         match why {
             Why::Accept(uid) => self.request_written(&uid, Asked::Submitted, &ended),
             Why::Cancel(uid) => self.request_written(&uid, Asked::Cancelled, &ended),
-            Why::Segment { facts, parts } => self.segment_answer(&txn, facts, parts, &ended),
+            Why::Segment { facts, reservations } => self.segment_answer(&txn, facts, reservations, &ended),
             Why::Fold => {
-                self.journal.compacting = false;
-                self.scheduler.dirty = true;
+                self.journal.compaction_ended();
+                self.scheduler.request_round();
                 self.note_outdated(&txn, &ended);
             }
             Why::Close => {
--- a/src/coordination/log.rs
+++ b/src/coordination/log.rs
@@ -10,19 +10,16 @@
 
 use crate::effects::Instant;
 use crate::protocol::store::Condition;
-use crate::state::Resources;
 use crate::state::log_segment::{Facts, bytes};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// When segments go, and what of the last ones is not known.
+/// When segments go.
 #[derive(Debug, Default)]
 pub struct Writer {
     /// One is under way.
     pub busy: bool,
     next_at: Instant,
-    /// Parts of teams' limits that segments in doubt would take.
-    pub doubt: Vec<(String, Resources)>,
 }
 
 impl Writer {
