--- a/src/coordination/log_writer.rs
+++ b/src/coordination/log_writer.rs
@@ -1,5 +1,5 @@
 //! Writing this controller's log: what fits into the next segment, when the segment is
-//! sent, and which quota segments in doubt would take.
+//! sent.
 //!
 //! One segment is in flight at a time. Facts accumulate meanwhile, so batches grow with the
 //! load, while the start that an idle controller decides on is sent at once.
@@ -12,20 +12,17 @@
 
 use crate::effects::Instant;
 use crate::protocol::store::Condition;
-use crate::state::Resources;
 use crate::state::log_segment::{Facts, bytes};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// When segments are sent, and what segments in doubt would take.
+/// When segments are sent.
 #[derive(Debug, Default)]
 pub struct LogWriter {
     /// A segment is in flight.
     pub busy: bool,
     /// Facts that can wait are sent from then on.
     next_at: Instant,
-    /// What segments without an answer would take of the teams' quotas, by team.
-    pub doubt: Vec<(String, Resources)>,
 }
 
 /// The old name of [`LogWriter`], until all callers use the new one.
