--- a/src/controller/agents.rs
+++ b/src/controller/agents.rs
@@ -481,9 +481,7 @@
         let cancel = self.secs(w.cancel_s * DRIFT + w.heartbeat_interval_s);
         let shard = self.agents.machines.len() as f64;
         let cap = (shard / 4.0).max(1.0);
-        let dt = now.saturating_sub(self.releases.refilled_at).as_secs_f64();
-        self.releases.tokens = (self.releases.tokens + dt * cap / w.lease_s).min(cap);
-        self.releases.refilled_at = now;
+        self.releases.refill(now, cap, w.lease_s);
         let known = self.startup.fleet_known() && !self.connectivity.deaf.is(&self.process.member, now);
         // One that hears nothing is as good as silent, though its reports come.
         let last = |m: &Machine| if m.hears_nothing() { m.reached_at } else { m.heard_at };
@@ -546,7 +544,7 @@
                 out.push((name.clone(), why, true));
             }
         }
-        if !self.may_ask(Retry::Release) {
+        if !self.may_call_cloud(Retry::Release) {
             return;
         }
         let mut names = Vec::new();
@@ -554,11 +552,8 @@
             if names.len() == RELEASE_LIMIT {
                 break;
             }
-            if limited {
-                if self.releases.tokens < 1.0 {
-                    continue;
-                }
-                self.releases.tokens -= 1.0;
+            if limited && !self.releases.try_acquire() {
+                continue;
             }
             tracing::info!(machine = %name, reason, "machine is returned");
             if let Some(m) = self.agents.machines.get_mut(&name) {
@@ -595,8 +590,8 @@
     }
 
     pub(super) fn release(&mut self, machines: Vec<String>) {
-        self.cloud.rate.charge(self.now, 1.0);
-        self.releases.in_flight.extend(machines.iter().cloned());
+        self.cloud.charge_request(self.now);
+        self.releases.begin(&machines);
         let body = encode(&ReleaseRequest { machines: machines.as_slice().into() });
         let timeout = self.heartbeat_intervals(2.0);
         self.call(Target::Cloud, "POST", RELEASE.into(), Some(body), timeout, Purpose::Release { machines });
@@ -605,10 +600,9 @@
     pub(super) fn release_answer(&mut self, machines: Vec<String>, result: Result<Reply, NoAnswer>) {
         let gone = result.is_ok_and(|r| r.status == 200);
         for name in machines {
-            self.releases.in_flight.remove(&name);
+            self.releases.finish(&name, gone);
             if gone {
-                self.autoscaler.rented.remove(&name);
-                self.releases.gone.insert(name);
+                self.autoscaler.forget_rental(&name);
             } else if let Some(m) = self.agents.machines.get_mut(&name) {
                 m.releasing = false;
             }
@@ -619,12 +613,11 @@
     /// was released leaves the fleet with the last of them.
     fn clear_empty(&mut self) {
         let (now, [lease, cancel]) = (self.now, self.lapse_s());
-        let empty =
-            |(name, m): &(&String, &Machine)| self.releases.gone.contains(*name) || m.lapsed(now, lease, cancel);
+        let empty = |(name, m): &(&String, &Machine)| self.releases.is_released(name) || m.lapsed(now, lease, cancel);
         let empty: Vec<String> = self.agents.machines.iter().filter(empty).map(|(name, _)| name.clone()).collect();
         let mut bare = Vec::new();
         for name in empty {
-            if !self.give_places_up(&name) && self.releases.gone.contains(&name) {
+            if !self.give_places_up(&name) && self.releases.is_released(&name) {
                 bare.push(name);
             }
         }
--- a/src/controller/api.rs
+++ b/src/controller/api.rs
@@ -97,7 +97,7 @@
             let uid = spec.uid.clone();
             return self.poll(conn, &uid);
         }
-        if !self.store.session.following() || self.cloud.types.is_empty() {
+        if !self.store.session.following() || self.cloud.catalog().is_empty() {
             return self.refuse(conn, 503, "not ready");
         }
         let key = records::job_key(&spec.uid);
@@ -151,7 +151,7 @@
         if spec.zone_affinity && spec.zone_anti_affinity && spec.task_count > 1 {
             return true;
         }
-        !self.cloud.types.iter().any(|t| {
+        !self.cloud.catalog().iter().any(|t| {
             spec.machine_types.as_ref().is_none_or(|b| b.contains(&t.label))
                 && spec.zone.as_ref().is_none_or(|s| t.zones.contains(s))
                 && t.cores >= spec.cores
--- a/src/controller/connectivity.rs
+++ b/src/controller/connectivity.rs
@@ -88,8 +88,12 @@
             revision: self.store.session.following().then_some(self.state.revision),
             known_revision: self.state.known_revision(),
             revocations: self.revocations(),
-            rented: if self.am_leader() { self.autoscaler.young.iter().cloned().collect() } else { Vec::new() },
-            unlisted: if self.am_leader() { self.cloud.unlisted.iter().cloned().collect() } else { Vec::new() },
+            rented: if self.am_leader() {
+                self.autoscaler.newly_provisioned().iter().cloned().collect()
+            } else {
+                Vec::new()
+            },
+            unlisted: if self.am_leader() { self.cloud.unlisted().iter().cloned().collect() } else { Vec::new() },
             held: Vec::new(),
             images: Vec::new(),
             stale_ms: self.store.session.staleness(now).map_or(u64::MAX, millis),
--- a/src/controller/leadership.rs
+++ b/src/controller/leadership.rs
@@ -47,7 +47,7 @@
             self.reassign_tasks();
             self.advance_maintenance();
         }
-        self.fleet_tick();
+        self.scale_fleet();
     }
 
     /// What the first moment of a term brings, whether the claim was answered or only
@@ -57,8 +57,7 @@
         if std::mem::replace(&mut self.leadership.led_term, term) != term {
             self.leadership.epoch = 0;
             self.leadership.request_count = 0;
-            self.cloud.list_at = None;
-            self.cloud.list_stalled = None;
+            self.cloud.require_new_list();
             tracing::info!(term, member = %self.process.member, "took the lead");
         }
     }
--- a/src/controller/maintenance.rs
+++ b/src/controller/maintenance.rs
@@ -96,7 +96,7 @@
     /// wanted no more, go back to the budget.
     fn return_tickets(&mut self, rec: &mut MaintenanceRecord) {
         let settle = self.heartbeat_intervals(SETTLE_REPORTS);
-        let pull = self.cloud.types.iter().map(|t| t.pull_gb_per_s).fold(f64::INFINITY, f64::min);
+        let pull = self.cloud.slowest_pull_gb_per_s();
         let now = self.now;
         let mut moved = std::mem::take(&mut self.maintenance.settling);
         moved.retain(|t, _| rec.tickets.contains(t));
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -6,6 +6,7 @@
 mod api;
 mod autoscaler;
 mod capacity;
+mod cloud;
 mod connectivity;
 mod journal;
 mod leadership;
@@ -14,6 +15,7 @@
 mod process;
 mod quota;
 mod registration;
+mod releases;
 mod scheduler;
 mod service_levels;
 mod sharding;
@@ -47,7 +49,8 @@
 use crate::state::{ClusterState, Images, Resources};
 use agents::Agents;
 use api::Api;
-use autoscaler::{Autoscaler, CloudAccess, Releases};
+use autoscaler::Autoscaler;
+use cloud::CloudAccess;
 use connectivity::Connectivity;
 use hdrhistogram::Histogram;
 use journal::Journal;
@@ -56,6 +59,7 @@
 use outbox::Outbox;
 use process::Process;
 use quota::QuotaReservations;
+use releases::Releases;
 use scheduler::Scheduler;
 use service_levels::ServiceLevels;
 use sharding::Sharding;
@@ -311,7 +315,7 @@
             }
             Event::Peer { member, frame: Frame::PeerHeartbeat(heartbeat) } => {
                 self.note_images(&heartbeat);
-                self.note_young(&heartbeat.rented);
+                self.update_newly_provisioned(&heartbeat.rented);
                 for name in &heartbeat.unlisted {
                     if let Some(m) = self.agents.machines.get_mut(name) {
                         m.unlisted = true;
@@ -352,9 +356,7 @@
         self.pause_tick();
         self.sync_tick();
         self.requests_tick();
-        if self.cloud.types.is_empty() || self.now >= self.cloud.types_next {
-            self.fetch_types();
-        }
+        self.read_catalog();
         if self.now >= self.connectivity.heartbeat_next {
             self.connectivity.heartbeat_next = self.now + Self::heartbeat_interval(self.heartbeat_intervals(1.0));
             self.heartbeat();
@@ -394,7 +396,7 @@
             .is_some_and(|t| self.now.saturating_sub(t) < self.heartbeat_intervals(CROWD_REPORTS));
         let (parts, of) = if alike { (1.0, live) } else { (parts, live + 1.0) };
         self.transactions.rate.rate = p.state.write_rps * WRITE_SHARE * parts / of;
-        self.cloud.rate.rate = p.cloud.rps * cloud;
+        self.cloud.set_request_rate(p.cloud.rps * cloud);
     }
 
     fn secs(&self, s: f64) -> Duration {
@@ -438,7 +440,7 @@
     }
 
     fn machine_type(&self, machine_type: &str) -> Option<&MachineType> {
-        self.cloud.types.iter().find(|t| t.label == machine_type)
+        self.cloud.machine_type(machine_type)
     }
 
     fn call(
@@ -493,7 +495,7 @@
         }
         if self.service_levels.fleet_since_ms.is_none() && self.state.machines.keys().any(|h| self.is_up(h)) {
             self.service_levels.fleet_since_ms = Some(self.wall_ms());
-            let boot = self.cloud.types.iter().map(|t| t.startup_s).fold(f64::INFINITY, f64::min);
+            let boot = self.cloud.shortest_startup_s();
             self.service_levels.fleet_cold = self.now.as_secs_f64() > boot / 2.0;
         }
         for uid in std::mem::take(&mut self.state.complete) {
--- a/src/controller/registration.rs
+++ b/src/controller/registration.rs
@@ -26,7 +26,7 @@
         let need = 1.0 + self.transactions.rate.rate * ACCEPT_RESERVE;
         if !led
             || self.transactions.locked_keys.contains(&key)
-            || self.releases.gone.contains(&report.machine)
+            || self.releases.is_released(&report.machine)
             || !self.may_write(need)
         {
             return;
@@ -39,7 +39,7 @@
             incarnation: self.process.incarnation,
             term: self.term(),
             epoch: 0,
-            base: self.beginning() && !self.autoscaler.young.contains(&report.machine),
+            base: self.beginning() && !self.autoscaler.newly_provisioned().contains(&report.machine),
             machines: vec![report.machine.clone()],
             drain: Vec::new(),
         };
@@ -67,14 +67,14 @@
     pub(super) fn enrol_rentals(&mut self) {
         if self.transactions.locked_keys.contains(records::MACHINE_GROUPS_KEY)
             || !self.am_leader()
-            || self.autoscaler.unrecorded.is_empty()
+            || !self.autoscaler.has_unrecorded()
         {
             return;
         }
         if !self.may_write_as(WritePriority::First) {
             return;
         }
-        let Some((offer, mut names)) = self.autoscaler.unrecorded.pop_front() else { return };
+        let Some((offer, mut names)) = self.autoscaler.pop_unrecorded() else { return };
         let st = &self.config.settings.state;
         let members = self.state.members.len().max(1);
         // Records and conditions of one transaction are limited.
@@ -113,11 +113,11 @@
 
     /// Machines that were rented while the cluster begins: they may be up before it has
     /// begun, and are not of those that stood there.
-    pub(super) fn note_young(&mut self, names: &[String]) {
+    pub(super) fn update_newly_provisioned(&mut self, names: &[String]) {
         if self.beginning() {
-            self.autoscaler.young.extend(names.iter().cloned());
+            self.autoscaler.add_newly_provisioned(names);
         } else {
-            self.autoscaler.young.clear();
+            self.autoscaler.clear_newly_provisioned();
         }
     }
 
--- a/src/controller/scheduler.rs
+++ b/src/controller/scheduler.rs
@@ -148,7 +148,7 @@
                 *turning.entry(image).or_default() += f64::from(b.arrays);
             }
         }
-        let pull = self.cloud.types.iter().map(|t| t.pull_gb_per_s).fold(f64::INFINITY, f64::min);
+        let pull = self.cloud.slowest_pull_gb_per_s();
         let most = capacities.iter().filter(|r| r.free_share() > 0.0).map(|r| r.cores).fold(0.0, f64::max);
         let mut waiting: Vec<Waiting> = Vec::new();
         for (uid, job) in &self.state.jobs {
--- a/src/controller/service_levels.rs
+++ b/src/controller/service_levels.rs
@@ -101,7 +101,7 @@
         }
         // What came while the first machines were still to boot says nothing
         // of their number.
-        let boot_ms = self.cloud.types.iter().map(|t| t.startup_s * 1000.0).fold(0.0, f64::max) as u64;
+        let boot_ms = (self.cloud.longest_startup_s() * 1000.0) as u64;
         let boot_ms = if self.service_levels.fleet_cold { boot_ms } else { 0 };
         if self.service_levels.fleet_since_ms.is_some_and(|t| at_ms >= t + boot_ms) {
             self.service_levels.objectives.note_end(spec, took_s);
--- a/src/controller/sharding.rs
+++ b/src/controller/sharding.rs
@@ -123,7 +123,7 @@
     /// brought together. One gang at a time.
     fn gather_moves(&self) -> Vec<shards::Move> {
         // Until then machines that were rented for it may still come up together.
-        let boot = self.cloud.types.iter().map(|t| t.startup_s).fold(0.0, f64::max);
+        let boot = self.cloud.longest_startup_s();
         let waits = |uid: &String| {
             self.scheduler.queue.get(uid).and_then(|p| p.waited(self.now)).is_some_and(|t| t > self.secs(boot))
         };
--- a/src/controller/startup.rs
+++ b/src/controller/startup.rs
@@ -56,12 +56,12 @@
 
     fn start_facts(&self) -> Facts {
         let (mut shard, mut fleet) = (Heard::default(), Heard::default());
-        let listed = self.cloud.list_at.is_some();
+        let listed = self.cloud.has_list();
         for (name, h) in &self.state.machines {
             let heard = self.heard_by_any(name);
             // What the cloud lists as booting, or not at all, is not waited for.
             let running = |l: &ListedMachine| l.phase == Listing::Running;
-            if !heard && listed && !self.cloud.list.get(name).is_some_and(running) {
+            if !heard && listed && !self.cloud.machines().get(name).is_some_and(running) {
                 continue;
             }
             fleet.all += 1;
--- a/src/controller/store_sync.rs
+++ b/src/controller/store_sync.rs
@@ -222,9 +222,9 @@
         self.agents.adopted = None;
         self.store.session.load = Load::Following;
         self.startup.loaded(self.now);
-        if let Some(c) = self.state.catalog.as_ref().filter(|_| self.cloud.types.is_empty()) {
+        if let Some(c) = self.state.catalog.as_ref().filter(|_| self.cloud.catalog().is_empty()) {
             // Until the cloud answers; it is asked all the same.
-            self.cloud.types.clone_from(&c.rec.types);
+            self.cloud.load_stored_catalog(&c.rec.types);
         }
         self.scheduler.dirty = true;
         tracing::info!(
