--- a/src/controller/api.rs
+++ b/src/controller/api.rs
@@ -14,11 +14,18 @@
 #[derive(Debug, Default)]
 pub(super) struct Api {
     /// Requests that were not answered yet.
-    pub(super) requests: Requests,
+    requests: Requests,
     /// Spreads the times at which refused clients come back.
-    pub(super) retry_after: Returns,
-    /// What the last health check was told.
-    pub(super) was_healthy: Option<bool>,
+    retry_after: Returns,
+    /// The last answer to a health check.
+    was_healthy: Option<bool>,
+}
+
+impl Api {
+    /// Whether requests wait for a fresh read of the store.
+    pub(super) fn awaits_read(&self) -> bool {
+        self.requests.queued()
+    }
 }
 
 /// Seconds after which a client is told to come back.
--- a/src/controller/autoscaler/mod.rs
+++ b/src/controller/autoscaler/mod.rs
@@ -1,12 +1,16 @@
 //! The autoscaler, run by the leader: rents machines for what is wanted beyond those
 //! that are there, and returns those that never came up or stood idle.
 
+mod demand;
+mod free_cores;
 mod scale_in;
 mod scale_out;
 
 use super::registration::GROUP_FROM;
 use super::*;
 use crate::scaling::Offer;
+use demand::FleetDemand;
+use free_cores::FreeCoresHistory;
 
 /// The fleet is looked at this often while the machine list grows old.
 const FLEET_LAG_SHARE: f64 = 0.1;
@@ -28,8 +32,7 @@
     up_at: HashMap<String, Instant>,
     /// Recorded machines that nobody hears, and since when.
     unseen_since: HashMap<String, Instant>,
-    /// Free cores of late, for the least that stayed free.
-    free_cores: VecDeque<(Instant, f64)>,
+    free_cores: FreeCoresHistory,
     /// When array tasks last waited.
     arrays_waited_at: Option<Instant>,
     check_next: Instant,
--- a/src/controller/autoscaler/scale_in.rs
+++ b/src/controller/autoscaler/scale_in.rs
@@ -14,6 +14,30 @@
 /// Idle machines are kept this many times longer while objectives are missed.
 const OBJECTIVES_MISSED_KEEP: [f64; 2] = [20.0, 4.0];
 
+/// The least that stayed free, over the time for which idle machines are kept.
+#[derive(Debug)]
+struct LeastFreeCores {
+    /// For on-demand machines where cost is saved.
+    ordinary: f64,
+    /// For machines that are cheap beside what stands there.
+    cheap: f64,
+}
+
+/// Machines that shall be returned.
+#[derive(Debug, Default)]
+struct IdleMachines {
+    machines: Vec<IdleMachine>,
+    /// Their names by machine group.
+    groups: BTreeMap<String, Vec<String>>,
+}
+
+/// A machine that shall be returned, and what is free of it.
+#[derive(Debug)]
+struct IdleMachine {
+    name: String,
+    free_cores: f64,
+}
+
 impl Controller {
     pub(super) fn late_s(&self, machine_type: &str) -> f64 {
         self.machine_type(machine_type).map_or(f64::MAX, |t| t.startup_s * self.config.operator.late_boots)
@@ -82,106 +106,128 @@
     /// boot time, at which keeping a machine has cost as much as renting again.
     /// While objectives are missed cheap ones are kept for longer.
     pub(super) fn return_idle(&mut self) {
+        let with_owners = self.capacities(true);
+        let capacities: Vec<MachineCapacity> = with_owners.into_iter().map(|(_, r)| r).collect();
+        let saves_cost = self.saves_cost(&capacities);
+        let least_free = self.update_free_cores(&capacities, saves_cost);
+        let removable = self.removable_machines(&capacities, &least_free, saves_cost);
+        let chosen = self.choose_idle(&removable, &least_free, saves_cost);
+        if chosen.machines.is_empty() || !self.demand_fits_without(&chosen, &capacities) {
+            return;
+        }
+        for (group, names) in &chosen.groups {
+            if self.mark_drain(group, names, true) {
+                let in_group = chosen.machines.iter().filter(|machine| names.contains(&machine.name));
+                self.autoscaler.free_cores.remove_cores(in_group.map(|machine| machine.free_cores).sum());
+            }
+        }
+    }
+
+    /// Records how many cores are free; the least that stayed free of late.
+    fn update_free_cores(&mut self, capacities: &[MachineCapacity], saves_cost: bool) -> LeastFreeCores {
         let now = self.now;
-        let capacities = self.capacities(true);
-        let boot = self.cloud.longest_startup_s();
-        let waits = self.state.jobs.values().any(|j| j.waiting_count() > 0 && j.spec.kind != JobKind::Service);
-        if waits {
+        if self.state.jobs.values().any(|j| j.waiting_count() > 0 && j.spec.kind != JobKind::Service) {
             self.autoscaler.arrays_waited_at = Some(now);
         }
-        let plain: Vec<MachineCapacity> = capacities.iter().map(|(_, r)| r.clone()).collect();
-        let saves_cost = usize::from(self.saves_cost(&plain));
-        // Missed objectives are a reason to keep machines only where tasks waited of late.
-        let arrays_waited = self
-            .autoscaler
-            .arrays_waited_at
-            .is_some_and(|t| now.saturating_sub(t) < self.secs(boot * WAITING_ARRAYS_BOOTS[saves_cost]));
-        let keeps = if arrays_waited && self.service_levels.objectives.behind() {
-            OBJECTIVES_MISSED_KEEP[saves_cost]
-        } else {
-            1.0
-        };
-        let free: f64 = capacities.iter().map(|(_, r)| r.free_cores()).sum();
-        self.autoscaler.free_cores.push_back((now, free));
-        // Whoever comes after a machine has to wait for a boot and an image.
-        let pull = self.cloud.fastest_pull_gb_per_s();
-        let images = self.state.jobs.values().map(|j| j.spec.image_gb / pull);
-        let again = boot + images.sum::<f64>() / (self.state.jobs.len() as f64).max(1.0);
-        let window = |times: f64| self.secs(again * self.config.operator.idle_boots * times);
-        let (short, long) = (window(1.0), window(keeps));
-        let longest = window(OBJECTIVES_MISSED_KEEP[0]);
-        while self.autoscaler.free_cores.front().is_some_and(|(t, _)| now.saturating_sub(*t) > longest) {
-            self.autoscaler.free_cores.pop_front();
-        }
-        // The least that was free over a whole window; nothing before that.
-        let least = |window: Duration| {
-            let whole = self
-                .autoscaler
-                .free_cores
-                .front()
-                .is_some_and(|(t, _)| now.saturating_sub(*t) + self.heartbeat_intervals(1.0) > window);
-            let within = self.autoscaler.free_cores.iter().rev().take_while(|(t, _)| now.saturating_sub(*t) <= window);
-            if whole { within.map(|s| s.1).fold(f64::INFINITY, f64::min) } else { 0.0 }
+        let free_cores = capacities.iter().map(|r| r.free_cores()).sum();
+        self.autoscaler.free_cores.record(now, free_cores);
+        let ordinary = self.idle_window(1.0);
+        let cheap = self.idle_window(self.keep_cheap_times(saves_cost));
+        let longest = self.idle_window(OBJECTIVES_MISSED_KEEP[0]);
+        self.autoscaler.free_cores.drop_older_than(now, longest);
+        let tolerance = self.heartbeat_intervals(1.0);
+        let least = |window| self.autoscaler.free_cores.least_over(now, window, tolerance);
+        LeastFreeCores { ordinary: least(ordinary), cheap: least(cheap) }
+    }
+
+    /// How many times longer cheap machines are kept. Missed objectives are a reason to
+    /// keep machines only where tasks waited of late.
+    fn keep_cheap_times(&self, saves_cost: bool) -> f64 {
+        let policy = usize::from(saves_cost);
+        let recent = self.secs(self.cloud.longest_startup_s() * WAITING_ARRAYS_BOOTS[policy]);
+        let arrays_waited = self.autoscaler.arrays_waited_at.is_some_and(|t| self.now.saturating_sub(t) < recent);
+        let missed = arrays_waited && self.service_levels.objectives.behind();
+        if missed { OBJECTIVES_MISSED_KEEP[policy] } else { 1.0 }
+    }
+
+    /// How long room stays free before its machine is returned. Whatever replaces a
+    /// machine has to wait for a boot and an image.
+    fn idle_window(&self, times: f64) -> Duration {
+        let pull_gb_per_s = self.cloud.fastest_pull_gb_per_s();
+        let image_s = self.state.jobs.values().map(|j| j.spec.image_gb / pull_gb_per_s);
+        let mean_image_s = image_s.sum::<f64>() / (self.state.jobs.len() as f64).max(1.0);
+        let replacement_s = self.cloud.longest_startup_s() + mean_image_s;
+        self.secs(replacement_s * self.config.operator.idle_boots * times)
+    }
+
+    /// Machines that may be returned, in the order in which they are: services are not
+    /// moved for this; of the rest, the dearer kind goes first, and then the least used.
+    fn removable_machines<'a>(
+        &self,
+        capacities: &'a [MachineCapacity],
+        least_free: &LeastFreeCores,
+        saves_cost: bool,
+    ) -> Vec<&'a MachineCapacity> {
+        let has_services = |name: &str| self.state.loads.get(name).is_some_and(|load| !load.standing.is_empty());
+        let group_locked = |machine: &MachineRecord| {
+            self.transactions.locked_keys.contains(&records::machine_group_key(&machine.group))
         };
-        let (least_short, least_long) = (least(short), least(long));
-        let standing = |name: &str| self.state.loads.get(name).is_some_and(|l| !l.standing.is_empty());
-        let group_busy =
-            |h: &MachineRecord| self.transactions.locked_keys.contains(&records::machine_group_key(&h.group));
-        // Services are not moved for this; of the rest, the dearer kind goes
-        // first, and then the least used.
-        let mut able: Vec<&MachineCapacity> = capacities
+        let mut removable: Vec<&MachineCapacity> = capacities
             .iter()
-            .map(|(_, r)| r)
-            .filter(|r| {
-                r.total_cores <= if r.spot || saves_cost == 0 { least_long } else { least_short }
-                    && !standing(&r.machine)
-            })
-            .filter(|r| self.state.machines.get(&r.machine).is_some_and(|h| !h.rec.base && !group_busy(&h.rec)))
+            .filter(|r| r.total_cores <= if r.spot || !saves_cost { least_free.cheap } else { least_free.ordinary })
+            .filter(|r| !has_services(&r.machine))
+            .filter(|r| self.state.machines.get(&r.machine).is_some_and(|h| !h.rec.base && !group_locked(&h.rec)))
             .collect();
-        able.sort_by(|a, b| {
+        removable.sort_by(|a, b| {
             let used = |r: &MachineCapacity| r.total_cores - r.free_cores();
             a.spot.cmp(&b.spot).then(used(a).total_cmp(&used(b))).then_with(|| b.machine.cmp(&a.machine))
         });
-        let spare = self.transactions.rate.level(now) - self.transactions.rate.rate * SPARE_WRITES;
-        let most = if self.may_write(0.0) { spare.max(0.0) as usize } else { 0 };
+        removable
+    }
+
+    /// As many of the machines as were free all the time, and as many groups as may be
+    /// written now.
+    fn choose_idle(
+        &self,
+        removable: &[&MachineCapacity],
+        least_free: &LeastFreeCores,
+        saves_cost: bool,
+    ) -> IdleMachines {
+        let spare_writes = self.transactions.rate.level(self.now) - self.transactions.rate.rate * SPARE_WRITES;
+        let most_groups = if self.may_write(0.0) { spare_writes.max(0.0) as usize } else { 0 };
         // Machines beside a standing fleet go one by one: room that several
         // free at once may be wanted again before new ones are up.
-        let most_machines = if saves_cost == 0 { 1 } else { usize::MAX };
-        let mut left = least_short.max(least_long);
-        let mut chosen: Vec<(String, f64)> = Vec::new();
-        let mut machine_groups: BTreeMap<String, Vec<String>> = BTreeMap::new();
-        for r in able {
-            let Some(h) = self.state.machines.get(&r.machine) else { continue };
-            if chosen.len() >= most_machines {
+        let most_machines = if saves_cost { usize::MAX } else { 1 };
+        let mut cores_left = least_free.ordinary.max(least_free.cheap);
+        let mut chosen = IdleMachines::default();
+        for capacity in removable {
+            if chosen.machines.len() >= most_machines {
                 break;
             }
-            if r.total_cores > left || (machine_groups.len() >= most && !machine_groups.contains_key(&h.rec.group)) {
+            let Some(machine) = self.state.machines.get(&capacity.machine) else { continue };
+            let group = &machine.rec.group;
+            let over_groups = chosen.groups.len() >= most_groups && !chosen.groups.contains_key(group);
+            if capacity.total_cores > cores_left || over_groups {
                 continue;
             }
-            left -= r.total_cores;
-            chosen.push((r.machine.clone(), r.free_cores()));
-            machine_groups.entry(h.rec.group.clone()).or_default().push(r.machine.clone());
-        }
-        if chosen.is_empty() {
-            return;
-        }
-        let (services, arrays) = self.demand(&plain);
-        let stays = |capacities: Vec<(String, MachineCapacity)>| -> Vec<MachineCapacity> {
-            let gone: BTreeSet<&str> = chosen.iter().map(|c| c.0.as_str()).collect();
-            capacities.into_iter().map(|(_, r)| r).filter(|r| !gone.contains(r.machine.as_str())).collect()
-        };
-        let lasting = self.capacities_counting(true, Counted::Lasting);
-        if !fits(&services, &mut stays(lasting)) || !fits(&arrays, &mut stays(capacities)) {
-            return;
-        }
-        for (group, names) in machine_groups {
-            if self.mark_drain(&group, &names, true) {
-                let cores: f64 = chosen.iter().filter(|c| names.contains(&c.0)).map(|c| c.1).sum();
-                for s in &mut self.autoscaler.free_cores {
-                    s.1 -= cores;
-                }
-            }
+            cores_left -= capacity.total_cores;
+            let (name, free_cores) = (capacity.machine.clone(), capacity.free_cores());
+            chosen.machines.push(IdleMachine { name, free_cores });
+            chosen.groups.entry(group.clone()).or_default().push(capacity.machine.clone());
         }
+        chosen
+    }
+
+    /// Whether all demand fits without these machines, and nothing would be rented in
+    /// their place.
+    fn demand_fits_without(&self, chosen: &IdleMachines, capacities: &[MachineCapacity]) -> bool {
+        let demand = self.demand(capacities);
+        let leaving: BTreeSet<&str> = chosen.machines.iter().map(|machine| machine.name.as_str()).collect();
+        let stays = |r: &MachineCapacity| !leaving.contains(r.machine.as_str());
+        let lasting = self.capacities_counting(true, Counted::Lasting).into_iter().map(|(_, r)| r);
+        let mut for_services: Vec<MachineCapacity> = lasting.filter(stays).collect();
+        let mut for_arrays: Vec<MachineCapacity> = capacities.iter().filter(|r| stays(r)).cloned().collect();
+        fits(&demand.services, &mut for_services) && fits(&demand.arrays, &mut for_arrays)
     }
 
     /// Marks machines of one machine group.
--- a/src/controller/autoscaler/scale_out.rs
+++ b/src/controller/autoscaler/scale_out.rs
@@ -1,19 +1,14 @@
 //! Scaling out: what is wanted beyond the machines that are there, and its rentals.
 
 use super::*;
-use crate::controller::scheduler::HOPE;
 use crate::placement::MachineCapacity;
 use crate::protocol::cloud::{Phase, RENT, RENT_LIMIT, RentRequest, RentResponse};
-use crate::protocol::user::{JobKind, JobSpec};
 use crate::protocol::{decode, encode};
-use crate::scaling::{Demand, Offer, Rental, take_up, wanted_rentals};
+use crate::scaling::{Offer, Rental, take_up, wanted_rentals};
 use records::MachineGroupRecord;
 
-/// A job that will be late gets machines for one in this many of its tasks.
-const LATE_SHARE: u32 = 4;
-/// Ordinary machines for arrays that may use spot ones are not rented while
-/// more than this part of what is up is booting.
-const BOOTING_SHARE: f64 = 0.5;
+/// A rental is waited for during so many heartbeat intervals.
+const RENT_TIMEOUT_INTERVALS: f64 = 2.0;
 
 impl Controller {
     /// Free room that is there or on its way.
@@ -44,171 +39,70 @@
         capacities
     }
 
-    /// So much boots already that what arrays need beyond it is not known yet:
-    /// a fleet that begins with nothing would rent ordinary machines for all
-    /// that gathered while the first ones boot.
-    fn growing(&self, capacities: &[MachineCapacity]) -> bool {
-        let (mut up, mut boots) = (0.0, 0.0);
-        for r in capacities {
-            let part = if self.is_up(&r.machine) { &mut up } else { &mut boots };
-            *part += r.total_cores;
+    /// Rents machines for what does not fit in those that are there or on their way.
+    pub(super) fn rent(&mut self) {
+        if self.autoscaler.requests_in_flight > 0 || !self.may_call_cloud(Retry::Rent) {
+            return;
         }
-        boots > up * BOOTING_SHARE
-    }
-
-    /// Whether more is rented than stands there by the operators' own choice.
-    /// Up to that, machines for late work are a small part of the cost and are
-    /// rented freely; beyond it they are most of it.
-    pub(super) fn saves_cost(&self, capacities: &[MachineCapacity]) -> bool {
-        let base = |r: &MachineCapacity| self.state.machines.get(&r.machine).is_some_and(|h| h.rec.base);
-        let stands: f64 = capacities.iter().filter(|r| base(r)).map(|r| r.total_cores).sum();
-        capacities.iter().map(|r| r.total_cores).sum::<f64>() > stands * 2.0
-    }
-
-    /// Waiting tasks: first those of services that must start soon, with room
-    /// to spare for them, then all others. The first may count on room that
-    /// arrays use, since those can be preempted.
-    pub(super) fn demand(&self, capacities: &[MachineCapacity]) -> (Vec<Demand<'_>>, Vec<Demand<'_>>) {
-        let cores: f64 = capacities.iter().map(|r| r.total_cores).sum();
-        let saves_cost = self.saves_cost(capacities);
-        let growing = saves_cost && self.growing(capacities);
-        let all_saved = !saves_cost && self.service_levels.objectives.behind();
-        let boot = self.cloud.shortest_startup_s();
-        let (mut services, mut arrays) = (Vec::new(), Vec::new());
-        let leaving = self.leaving();
-        let mut run = (0.0, 0.0);
-        let mut spare: BTreeMap<&str, (&JobSpec, u32)> = BTreeMap::new();
-        let soon = |spec: &JobSpec| {
-            spec.kind == JobKind::Service && self.service_levels.objectives.start_within(spec).is_some()
-        };
-        for j in self.state.jobs.values().filter(|j| !j.cancelled()) {
-            let mut n = j.waiting_count();
-            if j.spec.kind == JobKind::Service {
-                n += leaving.get(j.spec.uid.as_str()).copied().unwrap_or(0);
-            }
-            // A machine rented now does not save a job that will be late all
-            // the same: it makes do with less, unless objectives are missed and
-            // machines are cheap beside what stands there.
-            let age_s = self.wall_ms().saturating_sub(j.rec.rec.at_ms) as f64 / 1000.0;
-            let aim_s = self.service_levels.objectives.end_from(&j.spec, age_s, boot + j.spec.estimated_run_s * HOPE);
-            let lost = aim_s.is_some_and(|a| a - age_s < boot + j.spec.estimated_run_s * HOPE);
-            let lost = lost && !all_saved;
-            if lost {
-                n = n.div_ceil(LATE_SHARE);
-            }
-            if n > 0 {
-                let zones = self.state.zones_of(j);
-                let d = Demand {
-                    spec: &j.spec,
-                    tasks: n,
-                    spot_only: lost || growing,
-                    zones,
-                    of: j.spec.task_count,
-                    spare: false,
-                };
-                if soon(&j.spec) {
-                    services.push(d);
-                } else {
-                    let slack_s = aim_s.map_or(0.0, |a| a - age_s - boot - j.spec.estimated_run_s * HOPE);
-                    arrays.push((slack_s, d));
-                }
-            }
-            if j.spec.kind == JobKind::Array {
-                run.0 += f64::from(j.spec.task_count) * j.spec.estimated_run_s;
-                run.1 += f64::from(j.spec.task_count);
+        for mut rental in self.wanted_rentals().into_iter().flat_map(split_into_requests) {
+            rental.number -= self.keep_draining(&rental);
+            if rental.number == 0 {
+                continue;
             }
-            if soon(&j.spec) {
-                let e = spare.entry(&j.spec.class).or_insert((&j.spec, 0));
-                e.1 += j.spec.task_count;
+            if !self.may_call_cloud(Retry::Rent) {
+                return;
             }
+            self.request_rental(rental);
         }
-        // The services of any one machine must find room elsewhere at once.
-        let mut zone_affinity: BTreeMap<&str, u32> = BTreeMap::new();
-        for (class, n) in self.state.loads.values().flat_map(|l| &l.standing) {
-            let most = zone_affinity.entry(class).or_default();
-            *most = (*n).max(*most);
-        }
-        for (class, (spec, n)) in spare {
-            let share = (f64::from(n) * self.config.operator.spare_share).ceil() as u32 + 1;
-            let tasks = share.max(zone_affinity.get(class).copied().unwrap_or(0));
-            services.push(Demand::spare(spec, tasks));
-        }
-        // Jobs that are lost take what the others leave.
-        arrays.sort_by(|(a, c), (b, d)| {
-            d.spec.priority.cmp(&c.spec.priority).then((*a < 0.0).cmp(&(*b < 0.0))).then(a.total_cmp(b))
-        });
-        // Room that running tasks leave soon enough serves jobs that can wait
-        // for it: only the rest is worth an ordinary machine.
-        let freed_per_s = if run.0 > 0.0 { cores * run.1 / run.0 } else { 0.0 };
-        let mut before = 0.0;
-        let mut split = Vec::new();
-        for (slack_s, d) in arrays {
-            let turns = (freed_per_s * slack_s.max(0.0) - before).max(0.0) / d.spec.cores.max(f64::MIN_POSITIVE);
-            let waits = if d.spot_only {
-                d.tasks
-            } else if !saves_cost {
-                0
-            } else {
-                turns.min(f64::from(d.tasks)) as u32
-            };
-            before += f64::from(waits) * d.spec.cores;
-            let part = |tasks, spot_only| Demand { tasks, spot_only, zones: d.zones.clone(), ..d };
-            split.extend([part(d.tasks - waits, false), part(waits, true)].into_iter().filter(|d| d.tasks > 0));
-        }
-        (services, split)
     }
 
-    pub(super) fn rent(&mut self) {
-        if self.autoscaler.requests_in_flight > 0 || !self.may_call_cloud(Retry::Rent) {
-            return;
-        }
-        let refused: BTreeSet<Offer> = self.autoscaler.unavailable.keys().cloned().collect();
-        let mut all = self.expected_capacities(Counted::All);
-        let (services, arrays) = self.demand(&all);
+    /// Rentals for all demand, as many as the cloud's rate limit allows.
+    fn wanted_rentals(&self) -> Vec<Rental> {
+        let unavailable: BTreeSet<Offer> = self.autoscaler.unavailable.keys().cloned().collect();
+        let mut for_arrays = self.expected_capacities(Counted::All);
+        let FleetDemand { services, arrays } = self.demand(&for_arrays);
         let most = RENT_LIMIT * (self.cloud.available_requests(self.now) as u32).max(1);
-        let mut rentals =
-            wanted_rentals(&services, self.expected_capacities(Counted::Lasting), self.cloud.catalog(), &refused, most);
+        let for_services = self.expected_capacities(Counted::Lasting);
+        let types = self.cloud.catalog();
+        let mut rentals = wanted_rentals(&services, for_services, types, &unavailable, most);
         // What stands free for arrays is not known before the fleet is.
         let arrays = if self.startup.fleet_known() { arrays } else { Vec::new() };
         let left = most - rentals.iter().map(|r| r.number).sum::<u32>().min(most);
-        take_up(&services, &mut all);
-        rentals.extend(wanted_rentals(&arrays, all, self.cloud.catalog(), &refused, left));
-        // One request asks for so many at most.
-        let parts = |r: Rental| {
-            let n = r.number.div_ceil(RENT_LIMIT);
-            (0..n).map(move |i| Rental { number: (r.number - i * RENT_LIMIT).min(RENT_LIMIT), ..r.clone() })
-        };
-        for mut r in rentals.into_iter().flat_map(parts) {
-            // Machines on their way out are the quickest to have.
-            while let Some((group, mut names)) = self.draining(&r.offer).filter(|_| r.number > 0 && self.may_write(1.0))
-            {
-                names.truncate(r.number as usize);
-                if !self.mark_drain(&group, &names, false) {
-                    break;
-                }
-                r.number -= names.len() as u32;
-            }
-            if r.number == 0 {
-                continue;
-            }
-            if !self.may_call_cloud(Retry::Rent) {
-                return;
+        take_up(&services, &mut for_arrays);
+        rentals.extend(wanted_rentals(&arrays, for_arrays, types, &unavailable, left));
+        rentals
+    }
+
+    /// Machines that are being drained are the quickest to have: takes back the mark of as
+    /// many as are wanted. How many there were.
+    fn keep_draining(&mut self, rental: &Rental) -> u32 {
+        let mut kept = 0;
+        while kept < rental.number && self.may_write(1.0) {
+            let Some((group, mut names)) = self.draining(&rental.offer) else { break };
+            names.truncate((rental.number - kept) as usize);
+            if !self.mark_drain(&group, &names, false) {
+                break;
             }
-            self.cloud.charge_request(self.now);
-            self.autoscaler.requests_in_flight += 1;
-            self.leadership.request_count += 1;
-            let request_id = format!("fq-{}-{}", self.term(), self.leadership.request_count);
-            let body = encode(&RentRequest {
-                request_id: request_id.as_str().into(),
-                machine_type: r.offer.machine_type.as_str().into(),
-                zone: r.offer.zone.as_str().into(),
-                spot: r.offer.spot,
-                number: r.number,
-            });
-            let timeout = self.heartbeat_intervals(2.0);
-            let purpose = Purpose::Rent { offer: r.offer, number: r.number };
-            self.call(Target::Cloud, "POST", RENT.into(), Some(body), timeout, purpose);
+            kept += names.len() as u32;
         }
+        kept
+    }
+
+    fn request_rental(&mut self, rental: Rental) {
+        self.cloud.charge_request(self.now);
+        self.autoscaler.requests_in_flight += 1;
+        self.leadership.request_count += 1;
+        let request_id = format!("fq-{}-{}", self.term(), self.leadership.request_count);
+        let body = encode(&RentRequest {
+            request_id: request_id.as_str().into(),
+            machine_type: rental.offer.machine_type.as_str().into(),
+            zone: rental.offer.zone.as_str().into(),
+            spot: rental.offer.spot,
+            number: rental.number,
+        });
+        let timeout = self.heartbeat_intervals(RENT_TIMEOUT_INTERVALS);
+        let purpose = Purpose::Rent { offer: rental.offer, number: rental.number };
+        self.call(Target::Cloud, "POST", RENT.into(), Some(body), timeout, purpose);
     }
 
     /// Machines of a kind, in one machine group, that are being drained and not released yet.
@@ -276,3 +170,10 @@
         self.autoscaler.rented = rented;
     }
 }
+
+/// One request asks for so many machines at most.
+fn split_into_requests(rental: Rental) -> impl Iterator<Item = Rental> {
+    let requests = rental.number.div_ceil(RENT_LIMIT);
+    let number = rental.number;
+    (0..requests).map(move |i| Rental { number: (number - i * RENT_LIMIT).min(RENT_LIMIT), ..rental.clone() })
+}
--- a/src/controller/cloud.rs
+++ b/src/controller/cloud.rs
@@ -327,17 +327,19 @@
     /// Handles the cloud's answers: its catalog, pages of its list, and rentals.
     pub(super) fn cloud_answer(&mut self, purpose: Purpose, result: Result<Reply, NoAnswer>) {
         match purpose {
-            Purpose::Catalog => {
-                if self.cloud.finish_catalog_read(self.now, result) {
-                    self.scheduler.dirty = true;
-                }
-            }
+            Purpose::Catalog => self.catalog_answer(result),
             Purpose::List => self.list_answer(result),
             Purpose::Rent { offer, number } => self.rent_answer(offer, number, result),
             _ => {}
         }
     }
 
+    fn catalog_answer(&mut self, result: Result<Reply, NoAnswer>) {
+        if self.cloud.finish_catalog_read(self.now, result) {
+            self.scheduler.dirty = true;
+        }
+    }
+
     fn list_answer(&mut self, result: Result<Reply, NoAnswer>) {
         let interval = self.secs(self.config.settings.cloud.list_lag_s * LIST_INTERVAL_LAGS);
         match self.cloud.receive_list_page(self.now, interval, result) {
--- a/src/controller/maintenance.rs
+++ b/src/controller/maintenance.rs
@@ -13,11 +13,11 @@
 #[derive(Debug, Default)]
 pub(super) struct Maintenance {
     /// Tickets whose replica was placed elsewhere, and since when.
-    pub(super) settling: BTreeMap<Ticket, Instant>,
+    settling: BTreeMap<Ticket, Instant>,
     /// Tickets for machines of ours, and since when they are known.
-    pub(super) ticketed: BTreeMap<Ticket, Instant>,
+    ticketed: BTreeMap<Ticket, Instant>,
     /// What the campaign waited for when it was last logged.
-    pub(super) wait: Option<Wait>,
+    wait: Option<Wait>,
 }
 
 /// A replica that was placed elsewhere, with its image there, runs after so many report
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -371,13 +371,12 @@
             self.links_tick();
             self.check_agents();
             self.work_tick();
-            self.note_overdue();
+            self.record_overdue();
         }
         self.close_tick();
         self.lead_tick();
-        if self.now >= self.service_levels.summary_next {
-            self.service_levels.summary_next = self.now + self.heartbeat_intervals(4.0);
-            self.summary();
+        if self.service_levels.summary_due(self.now, self.heartbeat_intervals(4.0)) {
+            self.log_summary();
         }
     }
 
@@ -493,10 +492,9 @@
         if self.leadership.led_since.is_none() && self.state.leader.is_some() {
             self.leadership.led_since = Some(self.now);
         }
-        if self.service_levels.fleet_since_ms.is_none() && self.state.machines.keys().any(|h| self.is_up(h)) {
-            self.service_levels.fleet_since_ms = Some(self.wall_ms());
-            let boot = self.cloud.shortest_startup_s();
-            self.service_levels.fleet_cold = self.now.as_secs_f64() > boot / 2.0;
+        if !self.service_levels.has_seen_machines() && self.state.machines.keys().any(|h| self.is_up(h)) {
+            let (wall_ms, startup_s) = (self.wall_ms(), self.cloud.shortest_startup_s());
+            self.service_levels.record_first_machine(self.now, wall_ms, startup_s);
         }
         for uid in std::mem::take(&mut self.state.complete) {
             if self.ends(&uid) {
@@ -504,14 +502,7 @@
             }
         }
         for (spec, at_ms) in std::mem::take(&mut self.state.finished) {
-            if self.am_leader() {
-                let took_s = self.wall_ms().saturating_sub(at_ms) as f64 / 1000.0;
-                let aim_s = self.service_levels.objectives.end_within(&spec);
-                tracing::debug!(job = %spec.uid, class = %spec.class, took_s, aim_s, "done");
-            }
-            if !self.service_levels.missed.remove(&spec.uid) {
-                self.note_end(&spec, at_ms);
-            }
+            self.record_finished(&spec, at_ms);
         }
         for uid in std::mem::take(&mut self.state.let_go) {
             self.stop(&uid);
--- a/src/controller/store_sync.rs
+++ b/src/controller/store_sync.rs
@@ -64,7 +64,7 @@
     /// Reads what proves the view fresh, where somebody waits for it or it is time.
     fn barrier_tick(&mut self) {
         let now = self.now;
-        let due = self.api.requests.queued()
+        let due = self.api.awaits_read()
             || self.store.session.staleness(now).is_none_or(|s| s > self.heartbeat_intervals(0.25));
         let may = self.store.session.barrier_pace.may(now) && self.retry.may(Retry::Barrier, now);
         if !due || self.store.session.barrier_busy || !may {
