--- a/src/controller/autoscaler/free_cores.rs
+++ b/src/controller/autoscaler/free_cores.rs
@@ -41,3 +41,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/controller/cloud.rs
+++ b/src/controller/cloud.rs
@@ -367,3 +367,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/controller/releases.rs
+++ b/src/controller/releases.rs
@@ -61,3 +61,6 @@
         self.is_released(machine) || self.in_flight.contains(machine)
     }
 }
+
+#[cfg(test)]
+mod tests;
