--- a/src/controller/agents/release.rs
+++ b/src/controller/agents/release.rs
@@ -27,8 +27,8 @@
 impl Controller {
     /// Gives machines back to the cloud.
     pub(in crate::controller) fn release(&mut self, machines: Vec<String>) {
-        self.cloud.rate.charge(self.now, 1.0);
-        self.releases.in_flight.extend(machines.iter().cloned());
+        self.cloud.charge_request(self.now);
+        self.releases.begin(&machines);
         let body = encode(&ReleaseRequest { machines: machines.as_slice().into() });
         let timeout = self.heartbeat_intervals(RELEASE_TIMEOUT);
         self.call(Target::Cloud, "POST", RELEASE.into(), Some(body), timeout, Purpose::Release { machines });
@@ -38,10 +38,9 @@
     pub(in crate::controller) fn release_answer(&mut self, machines: Vec<String>, result: Result<Reply, NoAnswer>) {
         let is_released = result.is_ok_and(|reply| reply.status == 200);
         for name in machines {
-            self.releases.in_flight.remove(&name);
+            self.releases.finish(&name, is_released);
             if is_released {
-                self.autoscaler.rented.remove(&name);
-                self.releases.gone.insert(name);
+                self.autoscaler.forget_rental(&name);
             } else {
                 self.agents.set_releasing(&name, false);
             }
@@ -53,12 +52,12 @@
     pub(super) fn clear_empty(&mut self) {
         let expiry = self.lease_expiry();
         let is_empty = |(name, machine): &(&String, &Machine)| {
-            self.releases.gone.contains(*name) || machine.lapsed(self.now, expiry.lease, expiry.cancel)
+            self.releases.is_released(name) || machine.lapsed(self.now, expiry.lease, expiry.cancel)
         };
         let empty: Vec<String> = self.agents.machines().filter(is_empty).map(|(name, _)| name.clone()).collect();
         let mut released = Vec::new();
         for name in empty {
-            if !self.give_places_up(&name) && self.releases.gone.contains(&name) {
+            if !self.give_places_up(&name) && self.releases.is_released(&name) {
                 released.push(name);
             }
         }
--- a/src/controller/agents/suspicion.rs
+++ b/src/controller/agents/suspicion.rs
@@ -100,7 +100,7 @@
         let due: Vec<(String, ReleaseReason)> = machines
             .filter_map(|(name, machine)| Some((name.clone(), self.release_reason(name, machine, &limits, &silence)?)))
             .collect();
-        if self.may_ask(Retry::Release) {
+        if self.may_call_cloud(Retry::Release) {
             self.release_due(due);
         }
     }
@@ -122,10 +122,7 @@
 
     fn refill_release_tokens(&mut self) {
         let most = (self.agents.machines.len() as f64 * RELEASED_SHARE).max(1.0);
-        let passed_s = self.now.saturating_sub(self.releases.refilled_at).as_secs_f64();
-        let refill = passed_s * most / self.config.settings.workers.lease_s;
-        self.releases.tokens = (self.releases.tokens + refill).min(most);
-        self.releases.refilled_at = self.now;
+        self.releases.refill(self.now, most, self.config.settings.workers.lease_s);
     }
 
     /// How much of the shard, and of its part in each zone, was heard of late.
@@ -214,11 +211,8 @@
             if names.len() == RELEASE_LIMIT {
                 break;
             }
-            if reason.is_limited() {
-                if self.releases.tokens < 1.0 {
-                    continue;
-                }
-                self.releases.tokens -= 1.0;
+            if reason.is_limited() && !self.releases.try_acquire() {
+                continue;
             }
             tracing::info!(machine = %name, reason = reason.name(), "machine_released");
             self.agents.set_releasing(&name, true);
--- a/src/controller/api.rs
+++ b/src/controller/api.rs
@@ -14,11 +14,18 @@
 #[derive(Debug, Default)]
 pub(super) struct Api {
     /// Requests that were not answered yet.
-    pub(super) requests: Requests,
+    requests: Requests,
     /// Spreads the times at which refused clients come back.
-    pub(super) retry_after: Returns,
-    /// What the last health check was told.
-    pub(super) was_healthy: Option<bool>,
+    retry_after: Returns,
+    /// The last answer to a health check.
+    was_healthy: Option<bool>,
+}
+
+impl Api {
+    /// Whether requests wait for a fresh read of the store.
+    pub(super) fn awaits_read(&self) -> bool {
+        self.requests.queued()
+    }
 }
 
 /// Seconds after which a client is told to come back.
@@ -97,7 +104,7 @@
             let uid = spec.uid.clone();
             return self.poll(conn, &uid);
         }
-        if !self.store.session.following() || self.cloud.types.is_empty() {
+        if !self.store.session.following() || self.cloud.catalog().is_empty() {
             return self.refuse(conn, 503, "not ready");
         }
         let key = records::job_key(&spec.uid);
@@ -151,7 +158,7 @@
         if spec.zone_affinity && spec.zone_anti_affinity && spec.task_count > 1 {
             return true;
         }
-        !self.cloud.types.iter().any(|t| {
+        !self.cloud.catalog().iter().any(|t| {
             spec.machine_types.as_ref().is_none_or(|b| b.contains(&t.label))
                 && spec.zone.as_ref().is_none_or(|s| t.zones.contains(s))
                 && t.cores >= spec.cores
--- a/src/controller/maintenance.rs
+++ b/src/controller/maintenance.rs
@@ -13,11 +13,11 @@
 #[derive(Debug, Default)]
 pub(super) struct Maintenance {
     /// Tickets whose replica was placed elsewhere, and since when.
-    pub(super) settling: BTreeMap<Ticket, Instant>,
+    settling: BTreeMap<Ticket, Instant>,
     /// Tickets for machines of ours, and since when they are known.
-    pub(super) ticketed: BTreeMap<Ticket, Instant>,
+    ticketed: BTreeMap<Ticket, Instant>,
     /// What the campaign waited for when it was last logged.
-    pub(super) wait: Option<Wait>,
+    wait: Option<Wait>,
 }
 
 /// A replica that was placed elsewhere, with its image there, runs after so many report
@@ -96,7 +96,7 @@
     /// wanted no more, go back to the budget.
     fn return_tickets(&mut self, rec: &mut MaintenanceRecord) {
         let settle = self.heartbeat_intervals(SETTLE_REPORTS);
-        let pull = self.cloud.types.iter().map(|t| t.pull_gb_per_s).fold(f64::INFINITY, f64::min);
+        let pull = self.cloud.slowest_pull_gb_per_s();
         let now = self.now;
         let mut moved = std::mem::take(&mut self.maintenance.settling);
         moved.retain(|t, _| rec.tickets.contains(t));
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -6,6 +6,7 @@
 mod api;
 mod autoscaler;
 mod capacity;
+mod cloud;
 mod connectivity;
 mod journal;
 mod leadership;
@@ -14,6 +15,7 @@
 mod process;
 mod quota;
 mod registration;
+mod releases;
 mod scheduler;
 mod service_levels;
 mod sharding;
@@ -41,8 +43,9 @@
 use crate::state::records::{self, Versioned};
 use agents::Agents;
 use api::Api;
-use autoscaler::{Autoscaler, CloudAccess, Releases};
+use autoscaler::Autoscaler;
 use capacity::Counted;
+use cloud::CloudAccess;
 use connectivity::Connectivity;
 use hdrhistogram::Histogram;
 use journal::Journal;
@@ -51,6 +54,7 @@
 use outbox::Outbox;
 use process::Process;
 use quota::QuotaReservations;
+use releases::Releases;
 use scheduler::Scheduler;
 use service_levels::ServiceLevels;
 use sharding::Sharding;
@@ -237,7 +241,7 @@
             }
             Event::Peer { member, frame: Frame::PeerHeartbeat(heartbeat) } => {
                 self.note_images(&heartbeat);
-                self.note_young(&heartbeat.provisioned);
+                self.update_newly_provisioned(&heartbeat.provisioned);
                 self.agents.mark_unlisted(&heartbeat.unlisted);
                 self.connectivity.receive(&member, &heartbeat, now);
                 // True whenever it was said, and however late it comes.
@@ -271,9 +275,7 @@
         self.pause_tick();
         self.sync_tick();
         self.requests_tick();
-        if self.cloud.types.is_empty() || self.now >= self.cloud.types_next {
-            self.fetch_types();
-        }
+        self.read_catalog();
         let heartbeat_interval = Self::heartbeat_interval(self.heartbeat_intervals(1.0));
         if self.connectivity.begin_heartbeat(self.now, heartbeat_interval) {
             self.send_heartbeat();
@@ -287,13 +289,12 @@
             self.diagnose_partitions();
             self.check_agents();
             self.check_jobs();
-            self.note_overdue();
+            self.record_overdue();
         }
         self.close_tick();
         self.lead_tick();
-        if self.now >= self.service_levels.summary_next {
-            self.service_levels.summary_next = self.now + self.heartbeat_intervals(4.0);
-            self.summary();
+        if self.service_levels.summary_due(self.now, self.heartbeat_intervals(4.0)) {
+            self.log_summary();
         }
     }
 
@@ -312,7 +313,7 @@
             .is_some_and(|t| self.now.saturating_sub(t) < self.heartbeat_intervals(CROWD_REPORTS));
         let (parts, of) = if alike { (1.0, live) } else { (parts, live + 1.0) };
         self.transactions.rate.rate = p.state.write_rps * WRITE_SHARE * parts / of;
-        self.cloud.rate.rate = p.cloud.rps * cloud;
+        self.cloud.set_request_rate(p.cloud.rps * cloud);
     }
 
     fn secs(&self, s: f64) -> Duration {
@@ -356,7 +357,7 @@
     }
 
     fn machine_type(&self, machine_type: &str) -> Option<&MachineType> {
-        self.cloud.types.iter().find(|t| t.label == machine_type)
+        self.cloud.machine_type(machine_type)
     }
 
     fn call(
@@ -409,10 +410,9 @@
         if self.leadership.led_since.is_none() && self.state.leader.is_some() {
             self.leadership.led_since = Some(self.now);
         }
-        if self.service_levels.fleet_since_ms.is_none() && self.state.machines.keys().any(|h| self.is_up(h)) {
-            self.service_levels.fleet_since_ms = Some(self.wall_ms());
-            let boot = self.cloud.types.iter().map(|t| t.startup_s).fold(f64::INFINITY, f64::min);
-            self.service_levels.fleet_cold = self.now.as_secs_f64() > boot / 2.0;
+        if !self.service_levels.has_seen_machines() && self.state.machines.keys().any(|h| self.is_up(h)) {
+            let (wall_ms, startup_s) = (self.wall_ms(), self.cloud.shortest_startup_s());
+            self.service_levels.record_first_machine(self.now, wall_ms, startup_s);
         }
         for uid in std::mem::take(&mut self.state.complete) {
             if self.ends(&uid) {
@@ -420,14 +420,7 @@
             }
         }
         for (spec, at_ms) in std::mem::take(&mut self.state.finished) {
-            if self.am_leader() {
-                let took_s = self.wall_ms().saturating_sub(at_ms) as f64 / 1000.0;
-                let aim_s = self.service_levels.objectives.end_within(&spec);
-                tracing::debug!(job = %spec.uid, class = %spec.class, took_s, aim_s, "done");
-            }
-            if !self.service_levels.missed.remove(&spec.uid) {
-                self.note_end(&spec, at_ms);
-            }
+            self.record_finished(&spec, at_ms);
         }
         for uid in std::mem::take(&mut self.state.let_go) {
             self.stop(&uid);
--- a/src/controller/scheduler/mod.rs
+++ b/src/controller/scheduler/mod.rs
@@ -132,7 +132,7 @@
             journal: &self.journal,
             agents: &self.agents,
             objectives: &self.service_levels.objectives,
-            machine_types: &self.cloud.types,
+            machine_types: self.cloud.catalog(),
         }
     }
 
--- a/src/controller/sharding.rs
+++ b/src/controller/sharding.rs
@@ -124,7 +124,7 @@
     /// brought together. One gang at a time.
     fn gather_moves(&self) -> Vec<shards::Move> {
         // Until then machines that were rented for it may still come up together.
-        let boot = self.cloud.types.iter().map(|t| t.startup_s).fold(0.0, f64::max);
+        let boot = self.cloud.longest_startup_s();
         let waits = |uid: &String| self.scheduler.waited(uid, self.now).is_some_and(|t| t > self.secs(boot));
         let whole = |j: &Job| j.spec.kind == JobKind::Gang && j.spec.task_count > 1 && j.placed == 0;
         let mut gangs: Vec<&Job> = self
--- a/src/controller/store_sync.rs
+++ b/src/controller/store_sync.rs
@@ -64,7 +64,7 @@
     /// Reads what proves the view fresh, where somebody waits for it or it is time.
     fn barrier_tick(&mut self) {
         let now = self.now;
-        let due = self.api.requests.queued()
+        let due = self.api.awaits_read()
             || self.store.session.staleness(now).is_none_or(|s| s > self.heartbeat_intervals(0.25));
         let may = self.store.session.barrier_pace.may(now) && self.retry.may(Retry::Barrier, now);
         if !due || self.store.session.barrier_busy || !may {
@@ -222,9 +222,9 @@
         self.agents.forget_followed_records();
         self.store.session.load = Load::Following;
         self.startup.loaded(self.now);
-        if let Some(c) = self.state.catalog.as_ref().filter(|_| self.cloud.types.is_empty()) {
+        if let Some(c) = self.state.catalog.as_ref().filter(|_| self.cloud.catalog().is_empty()) {
             // Until the cloud answers; it is asked all the same.
-            self.cloud.types.clone_from(&c.rec.types);
+            self.cloud.load_stored_catalog(&c.rec.types);
         }
         self.scheduler.request_round();
         tracing::info!(
