--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -58,7 +58,8 @@
         #[arg(long, value_name = "SECONDS")]
         limit: Option<f64>,
     },
-    /// Withdraw a job: none of its tasks starts any more and those that run are stopped.
+    /// Cancel a job: none of its tasks starts any more and those that run are stopped.
+    #[command(name = "withdraw")]
     Cancel { id: String },
     /// List the jobs that this user submitted.
     List {
