--- a/crates/client/tests/scripted.rs
+++ b/crates/client/tests/scripted.rs
@@ -117,7 +117,7 @@
 }
 
 /// A poll that failed just before the limit once made `wait` return a job that
-/// still ran as if it had ended; found by a emulator that killed the store.
+/// still ran as if it had ended; found by an emulator run that killed the store.
 #[tokio::test]
 async fn a_failed_last_poll_is_no_end() {
     let script = vec![response(503, "", b""), response(200, "", &state(Status::Running))];
--- a/crates/emulator/src/cloud/machine.rs
+++ b/crates/emulator/src/cloud/machine.rs
@@ -38,7 +38,7 @@
     pub worker_port: u16,
 }
 
-/// What a emulator may do to the cloud while it runs.
+/// What the emulator may do to the cloud while it runs.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Fault {
     Outage(bool),
--- a/crates/emulator/src/history.rs
+++ b/crates/emulator/src/history.rs
@@ -1,4 +1,4 @@
-//! The history of a emulator: what users, machines and the emulated services
+//! The history of a run: what users, machines and the emulated services
 //! saw, one JSON line each, in the order it happened. The checker and the
 //! reports read it and nothing else.
 
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,6 +1,6 @@
-//! Rehearsals of finchquay on one machine: an emulator of everything around
-//! the controllers (state service, cloud, machines), real controllers as child
-//! processes, load, faults, and a checker of the history that they leave.
+//! Runs finchquay on one machine: emulates everything around the controllers
+//! (state store, cloud, machines), starts real controllers as child processes,
+//! submits load, injects faults, and checks the recorded history.
 
 pub mod bucket;
 pub mod checker;
--- a/crates/emulator/src/main.rs
+++ b/crates/emulator/src/main.rs
@@ -22,11 +22,11 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::Notify;
 
-/// Rehearses finchquay on one machine: an emulated cloud, state service and
+/// Runs finchquay on one machine: an emulated cloud, state service and
 /// machines around real controllers, with load and faults, and a checker of
 /// what happened. Everything stays on loopback addresses.
 ///
-/// Exit codes: 0 rules held; 1 a rule was broken or the emulator failed;
+/// Exit codes: 0 rules held; 1 a rule was broken or the run failed;
 /// 2 bad arguments, a bad scenario, an address in use or no controller program.
 #[derive(Parser)]
 #[command(name = "finchquay-emulator", version, about)]
@@ -81,7 +81,7 @@
         names: Vec<String>,
         #[arg(long, default_value_t = 4)]
         jobs: usize,
-        #[arg(long, value_name = "DIR", default_value = "rehearsal-suite")]
+        #[arg(long, value_name = "DIR", default_value = "emulator-suite")]
         out: PathBuf,
     },
     /// Judge a history, or those of several runs on one folder in their order.
@@ -260,19 +260,19 @@
     Ok(Options { scenario, seed, dir, controller, public_port, front, watcher })
 }
 
-/// Where a play leaves its files: the folder asked for, or the first of its
-/// name that is free. One that holds a emulator is never played over.
+/// The folder that a run writes to: the one asked for, or the first of the
+/// scenario's name that is free. A folder that holds a run is never overwritten.
 fn fresh_folder(out: Option<PathBuf>, name: &str) -> Result<PathBuf, MainError> {
     let used = |dir: &Path| dir.join("history-1.jsonl").exists();
     match out {
         Some(dir) if used(&dir) => {
-            Err(MainError::Usage(format!("{}: holds a rehearsal already; name another folder", dir.display())))
+            Err(MainError::Usage(format!("{}: holds a run already; name another folder", dir.display())))
         }
         Some(dir) => Ok(dir),
         None => {
             let mut dirs = (1..).map(|i| match i {
-                1 => PathBuf::from(format!("rehearsal-{name}")),
-                _ => PathBuf::from(format!("rehearsal-{name}-{i}")),
+                1 => PathBuf::from(format!("emulator-{name}")),
+                _ => PathBuf::from(format!("emulator-{name}-{i}")),
             });
             dirs.find(|d| !used(d)).ok_or_else(|| MainError::Usage("no free folder".into()))
         }
--- a/crates/emulator/src/report.rs
+++ b/crates/emulator/src/report.rs
@@ -412,11 +412,11 @@
         html lang="en" {
             head {
                 meta charset="utf-8";
-                title { "Rehearsal " (r.scenario) }
+                title { "Emulator run of " (r.scenario) }
                 style { "body{font:15px sans-serif;max-width:60em;margin:2em auto}td,th{padding:.2em .7em;text-align:right}th:first-child,td:first-child{text-align:left}pre{white-space:pre-wrap}" }
             }
             body {
-                h1 { "Rehearsal " (r.scenario) ", seed " (r.seed) }
+                h1 { "Emulator run of " (r.scenario) ", seed " (r.seed) }
                 p { "Simulated machines on one host; the controllers are real processes." }
                 pre { (text(r)) }
                 (PreEscaped(machines))
--- a/crates/emulator/src/run.rs
+++ b/crates/emulator/src/run.rs
@@ -64,7 +64,7 @@
     pub watcher: Option<Watcher>,
 }
 
-/// What a emulator left.
+/// What a run left.
 pub struct Outcome {
     pub history: PathBuf,
     pub lines: Vec<Line>,
@@ -167,7 +167,7 @@
     recorder.record(Event::Over { settled });
     background.shutdown().await;
     let names: Vec<String> = lock(&world.cloud).alive().map(|(n, _)| n.clone()).collect();
-    names.iter().for_each(|n| world.driver.vanish(n, "the rehearsal is over"));
+    names.iter().for_each(|n| world.driver.vanish(n, "the run is over"));
     let handle = lock(&world.state).handle.take();
     if let Some(h) = handle {
         h.stop().await;
--- a/crates/emulator/src/scenario.rs
+++ b/crates/emulator/src/scenario.rs
@@ -1,4 +1,4 @@
-//! Scenarios: what a emulator plays, read from HCL. Everything is judged
+//! Scenarios: what the emulator plays, read from HCL. Everything is judged
 //! here; the rest of the program sees only values that passed.
 
 use finchquay_hcl::{File, HclError};
--- a/crates/emulator/src/state/service.rs
+++ b/crates/emulator/src/state/service.rs
@@ -42,7 +42,7 @@
     pub count: u32,
 }
 
-/// What a emulator may do to the service while it runs.
+/// What the emulator may do to the service while it runs.
 #[derive(Debug)]
 pub enum Fault {
     /// Nothing is served, and leases stand still, until it is lifted.
--- a/crates/emulator/src/view.rs
+++ b/crates/emulator/src/view.rs
@@ -1,4 +1,4 @@
-//! What a person sees while a emulator plays: a terminal view, or plain lines
+//! What a person sees while the emulator runs: a terminal view, or plain lines
 //! where there is no terminal. Fed by the history's lines and nothing else.
 
 use crate::history::{Asked, Event, Line};
@@ -173,7 +173,7 @@
             Constraint::Min(3),
         ])
         .areas(frame.area());
-        let title = format!("finchquay rehearsal: {}  {:.0} s  (Ctrl-C or q ends it)", self.scenario, self.t);
+        let title = format!("finchquay emulator: {}  {:.0} s  (Ctrl-C or q ends it)", self.scenario, self.t);
         frame.render_widget(TextLine::from(title).bold(), head);
         let [left, right] = Layout::horizontal([Constraint::Percentage(60), Constraint::Percentage(40)]).areas(middle);
         let rows = self.controllers.iter().map(|(name, (address, state, mb, cpu))| {
--- a/crates/emulator/tests/program.rs
+++ b/crates/emulator/tests/program.rs
@@ -36,7 +36,7 @@
         (vec!["run", "kind.hcl", "--controller", here], ["kind.hcl:", "fault.late-store.kind"]),
         (vec!["run", "missing.hcl", "--controller", here], ["missing.hcl: ", "cannot be read"]),
         (vec!["run", "good.hcl", "--controller", "nowhere"], ["nowhere: ", "no controller program"]),
-        (vec!["run", "good.hcl", "--controller", here, "--out", "used"], ["used: ", "holds a rehearsal already"]),
+        (vec!["run", "good.hcl", "--controller", here, "--out", "used"], ["used: ", "holds a run already"]),
         (vec!["suite", "no-such"], ["no scenario \"no-such\"", "filing-eve"]),
         (vec!["check", "missing.jsonl"], ["missing.jsonl", ""]),
         (vec!["probe", "192.0.2.1:1"], ["192.0.2.1:1", "loopback"]),
@@ -180,7 +180,7 @@
     child.wait().unwrap();
 }
 
-/// However a emulator is asked to end, no child may be left behind.
+/// However the emulator is asked to end, no child may be left behind.
 #[test]
 fn ending_it_ends_every_child() {
     use std::os::unix::fs::PermissionsExt;
