--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -12,10 +12,12 @@
 //! # Ok(()) }
 //! ```
 
+#![warn(missing_docs)]
+
 mod endpoints;
 pub mod retry;
 
-use endpoints::Endpoints;
+use endpoints::{CallOutcome, Endpoints};
 use finchquay_protocol::user::{ErrorBody, JobSpec, JobState, Status, valid_uid};
 use finchquay_protocol::{BODY_LIMIT, decode, encode};
 use retry::{Budget, Policy};
@@ -29,21 +31,36 @@
 pub enum ClientError {
     /// The service will never take this; repeating it is of no use.
     #[error("refused with status {status}: {what}")]
-    Refused { status: u16, what: String },
+    Refused {
+        /// HTTP status.
+        status: u16,
+        /// The reason that the service gave.
+        what: String,
+    },
     /// Every try failed until the time for tries was used up. What was asked
     /// may have been carried out, or may still be: the same call may be made again.
     #[error("no answer after {tries} tries in {:.1} s, the last: {last}", within.as_secs_f64())]
-    Exhausted { tries: u32, within: Duration, last: String },
+    Exhausted {
+        /// Number of tries.
+        tries: u32,
+        /// Time from the first try to the last.
+        within: Duration,
+        /// Why the last try failed.
+        last: String,
+    },
     /// The job is not known to the service.
     #[error("no such job")]
     NotFound,
     /// `wait` reached the caller's limit; the job goes on.
     #[error("the job is still {:?}", .0.status)]
     Unfinished(JobState<'static>),
+    /// The id has not the form of a job's id; nothing was sent.
     #[error("{0:?} is not a job id: `run-` and 1 to 18 digits")]
     BadUid(String),
+    /// The client was built without any controller.
     #[error("no controller address was given")]
     NoAddress,
+    /// The HTTP client could not be built.
     #[error("the HTTP client cannot be set up: {0}")]
     Setup(reqwest::Error),
 }
@@ -51,20 +68,28 @@
 /// What is asked of the service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Operation {
+    /// Submit a job.
     Submit,
+    /// Read a job's state.
     Poll,
+    /// Cancel a job.
     Cancel,
 }
 
 /// One try of one call, as an observer sees it.
 #[derive(Debug, Clone)]
 pub struct Attempt {
+    /// What was asked.
     pub operation: Operation,
+    /// The job's id.
     pub uid: String,
+    /// The controller that was called.
     pub address: SocketAddr,
+    /// When the request was sent.
     pub began: Instant,
+    /// When the answer was complete, or the attempt failed.
     pub ended: Instant,
-    /// `None`: no answer.
+    /// HTTP status; `None`: no answer.
     pub status: Option<u16>,
     /// The job's state, where the answer told it.
     pub state: Option<JobState<'static>>,
@@ -72,6 +97,7 @@
 
 /// Told of every attempt; for metrics, traces and histories.
 pub trait Observer: Send + Sync {
+    /// Called when an attempt ended, in the task that made it.
     fn attempt(&self, attempt: &Attempt);
 }
 
@@ -84,6 +110,7 @@
     pub poll: Duration,
     /// Pause between polls while waiting for a job's end.
     pub poll_every: Duration,
+    /// When a failed call is made again.
     pub retry: Policy,
 }
 
@@ -98,7 +125,7 @@
     }
 }
 
-/// Cheap to clone; clones share connections and what is known of controllers.
+/// A client of the service. Cheap to clone; clones share connections and what is known of controllers.
 #[derive(Clone)]
 pub struct Client {
     inner: Arc<Inner>,
@@ -142,6 +169,10 @@
         Client::with(controllers, Times::default(), None)
     }
 
+    /// A client with its own times, and an observer that is told of every attempt.
+    ///
+    /// # Errors
+    /// [`ClientError::NoAddress`] and [`ClientError::Setup`].
     pub fn with(
         controllers: impl IntoIterator<Item = SocketAddr>,
         times: Times,
@@ -200,7 +231,7 @@
             };
             let pause = self.inner.times.poll_every.mul_f64(rand::random_range(0.9..1.1));
             if end.is_some_and(|e| Instant::now() + pause > e) {
-                // Where the last poll failed, one answer is still owed.
+                // Where the last poll failed, the caller still gets the job's state.
                 let state = match last {
                     Some(s) => s,
                     None => self.status(uid).await?,
@@ -211,7 +242,7 @@
         }
     }
 
-    /// Withdraws a job. The answer says how it ended: `cancelled`, or `done`
+    /// Cancels a job. The answer says how it ended: `cancelled`, or `done`
     /// where that came first.
     pub async fn cancel(&self, uid: &str) -> Result<JobState<'static>, ClientError> {
         check(uid)?;
@@ -256,8 +287,12 @@
         let (index, address) = self.endpoints(|e, now| e.pick(now, rand::random()));
         let began = Instant::now();
         let result = self.exchange(operation, uid, address, body).await;
-        let served = result.as_ref().is_ok_and(|a| a.status < 500 && a.status != 429);
-        self.endpoints(|e, now| e.note(index, now, served, result.is_ok()));
+        let outcome = match &result {
+            Ok(answer) if answer.status < 500 && answer.status != 429 => CallOutcome::Served,
+            Ok(_) => CallOutcome::Refused,
+            Err(_) => CallOutcome::Unanswered,
+        };
+        self.endpoints(|endpoints, now| endpoints.record(index, now, outcome));
         if let Some(observer) = &self.inner.observer {
             observer.attempt(&Attempt {
                 operation,
--- a/crates/explorer/src/lib.rs
+++ b/crates/explorer/src/lib.rs
@@ -3,36 +3,50 @@
 //! invariant is a shortest one. For models of what real code agrees on by messages
 //! that are lost, late and reordered; a model says which code it stands for.
 
-use std::collections::HashMap;
-use std::collections::hash_map::Entry;
+#![warn(missing_docs)]
+
+use std::collections::HashSet;
 use std::fmt;
 use std::hash::Hash;
 
 /// A state machine with invariants.
 pub trait Model {
+    /// A state; equal states are visited once.
     type State: Clone + Eq + Hash;
 
+    /// The state that exploration begins with.
     fn start(&self) -> Self::State;
 
-    /// All that may happen next, with a name for each.
+    /// Adds to `out` every event that may happen next, by name, with the state
+    /// that it leads to.
     fn next(&self, state: &Self::State, out: &mut Vec<(String, Self::State)>);
 
-    /// Says what is wrong with a state, if anything is.
+    /// Checks the invariants.
+    ///
+    /// # Errors
+    /// What is wrong with the state.
     fn check(&self, state: &Self::State) -> Result<(), String>;
 }
 
-/// All states were visited and hold.
+/// Size of a state space whose states were all visited and hold.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Explored {
+    /// Number of distinct states.
     pub states: usize,
-    /// Events on the longest of the shortest ways to a state.
+    /// Number of events on the longest of the shortest paths to a state.
     pub depth: usize,
 }
 
+/// Why an exploration ended early.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Failed {
-    /// An invariant does not hold after these events.
-    Broken { what: String, path: Vec<String> },
+    /// An invariant does not hold.
+    Broken {
+        /// What the model's check said.
+        what: String,
+        /// Events from the first state to the broken one, in order.
+        path: Vec<String>,
+    },
     /// There are more states than were allowed.
     TooMany(usize),
 }
@@ -48,89 +62,63 @@
 
 impl std::error::Error for Failed {}
 
-/// Visits every state of the model, `most` at the most.
-pub fn explore<M: Model>(model: &M, most: usize) -> Result<Explored, Failed> {
+/// A state that was found: the last step of a shortest path to it.
+struct Discovery {
+    /// Index of the state that it was reached from.
+    parent: usize,
+    /// Name of the event that led to it.
+    event: String,
+    /// Number of events from the first state.
+    depth: usize,
+}
+
+/// Visits every state of the model.
+///
+/// # Errors
+/// [`Failed::Broken`] with a shortest path where an invariant does not hold,
+/// [`Failed::TooMany`] where there are more than `limit` states.
+pub fn explore<M: Model>(model: &M, limit: usize) -> Result<Explored, Failed> {
     let first = model.start();
-    let mut known: HashMap<M::State, usize> = HashMap::from([(first.clone(), 0)]);
-    // How each state was come to first: from which, by what, at which depth.
-    let mut ways: Vec<(usize, String, usize)> = vec![(0, String::new(), 0)];
+    let mut known: HashSet<M::State> = HashSet::from([first.clone()]);
+    let mut discoveries = vec![Discovery { parent: 0, event: String::new(), depth: 0 }];
     let mut layer = vec![(0, first)];
     let mut depth = 0;
-    let mut next = Vec::new();
+    let mut successors = Vec::new();
     while !layer.is_empty() {
-        let mut after = Vec::new();
-        for (at, state) in layer {
+        let mut next_layer = Vec::new();
+        for (index, state) in layer {
             if let Err(what) = model.check(&state) {
-                return Err(Failed::Broken { what, path: path(&ways, at) });
+                return Err(Failed::Broken { what, path: path(&discoveries, index) });
             }
-            model.next(&state, &mut next);
-            for (event, state) in next.drain(..) {
-                let number = ways.len();
-                if let Entry::Vacant(v) = known.entry(state.clone()) {
-                    if number >= most {
-                        return Err(Failed::TooMany(most));
-                    }
-                    v.insert(number);
-                    ways.push((at, event, depth + 1));
-                    after.push((number, state));
+            model.next(&state, &mut successors);
+            for (event, successor) in successors.drain(..) {
+                if known.contains(&successor) {
+                    continue;
                 }
+                if discoveries.len() >= limit {
+                    return Err(Failed::TooMany(limit));
+                }
+                known.insert(successor.clone());
+                next_layer.push((discoveries.len(), successor));
+                discoveries.push(Discovery { parent: index, event, depth: depth + 1 });
             }
         }
-        depth += usize::from(!after.is_empty());
-        layer = after;
+        depth += usize::from(!next_layer.is_empty());
+        layer = next_layer;
     }
-    Ok(Explored { states: ways.len(), depth })
+    Ok(Explored { states: discoveries.len(), depth })
 }
 
-fn path(ways: &[(usize, String, usize)], mut at: usize) -> Vec<String> {
-    let mut out = Vec::new();
-    while ways[at].2 > 0 {
-        out.push(ways[at].1.clone());
-        at = ways[at].0;
+/// The events that lead from the first state to the one at `index`.
+fn path(discoveries: &[Discovery], mut index: usize) -> Vec<String> {
+    let mut events = Vec::new();
+    while discoveries[index].depth > 0 {
+        events.push(discoveries[index].event.clone());
+        index = discoveries[index].parent;
     }
-    out.reverse();
-    out
+    events.reverse();
+    events
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    /// Two counters up to three, of which the sum must not be `bad`.
-    struct Counters {
-        bad: u8,
-    }
-
-    impl Model for Counters {
-        type State = (u8, u8);
-
-        fn start(&self) -> (u8, u8) {
-            (0, 0)
-        }
-
-        fn next(&self, s: &(u8, u8), out: &mut Vec<(String, (u8, u8))>) {
-            if s.0 < 3 {
-                out.push(("left".into(), (s.0 + 1, s.1)));
-            }
-            if s.1 < 3 {
-                out.push(("right".into(), (s.0, s.1 + 1)));
-            }
-        }
-
-        fn check(&self, s: &(u8, u8)) -> Result<(), String> {
-            if s.0 + s.1 == self.bad { Err(format!("sum is {}", self.bad)) } else { Ok(()) }
-        }
-    }
-
-    #[test]
-    fn every_state_is_visited_once() {
-        assert_eq!(explore(&Counters { bad: 99 }, 100), Ok(Explored { states: 16, depth: 6 }));
-        assert_eq!(explore(&Counters { bad: 99 }, 10), Err(Failed::TooMany(10)));
-    }
-
-    #[test]
-    fn the_way_to_a_broken_state_is_a_shortest_one() {
-        let Err(Failed::Broken { path, .. }) = explore(&Counters { bad: 4 }, 100) else { panic!("not found") };
-        assert_eq!(path.len(), 4);
-    }
-}
+mod tests;
