--- a/src/reconciliation/mod.rs
+++ b/src/reconciliation/mod.rs
@@ -1,7 +1,9 @@
-//! A start: the stored state and the workers' reports are squared, machine by
-//! machine, and what needs the whole fleet waits until enough of it is known.
-//! Pure: facts and the time come in, phases, cases and acts go out. Why it is
-//! done so stands in `docs/notes/cold-start.md`.
+//! Reconciliation of the recorded state with what the agents report, machine by machine,
+//! and the startup of a controller, in which decisions that depend on the whole fleet wait
+//! until enough of it is known.
+//!
+//! Pure logic: observations and the time are inputs; phases, differences and remedies are
+//! outputs. `docs/notes/cold-start.md` explains the design.
 
 pub mod difference;
 pub mod phase;
--- /dev/null
+++ b/src/reconciliation/phase/tests.rs
@@ -0,0 +1,101 @@
+//! Startups with absent controllers, silent machines, outages and pauses.
+
+use super::*;
+
+fn s(x: f64) -> Duration {
+    Duration::from_secs_f64(x)
+}
+
+fn heard(heard: usize, all: usize) -> Heard {
+    Heard { heard, all }
+}
+
+fn facts(members: (usize, usize), fleet: (usize, usize)) -> Facts {
+    let shard = heard(fleet.0 / 3, fleet.1 / 3);
+    Facts { fresh: true, members: heard(members.0, members.1), shard, fleet: heard(fleet.0, fleet.1) }
+}
+
+/// The leader returned idle machines that had not had the time for a heartbeat, and
+/// assigned every machine to itself before the other controllers were back.
+#[test]
+fn silence_counts_only_after_most_machines_were_heard() {
+    let mut start = Start::new(s(18.0), s(9.0));
+    start.loaded(s(1.0));
+    assert_eq!(start.look(s(1.1), &facts((1, 3), (0, 900))), None);
+    assert!(!start.members_known() && !start.fleet_known());
+    assert_eq!(start.look(s(2.0), &facts((3, 3), (700, 900))), None);
+    assert!(start.members_known() && !start.fleet_known());
+    assert_eq!(start.look(s(3.0), &facts((3, 3), (810, 900))), Some(Phase::Reconciling));
+    assert!(start.fleet_known());
+    assert_eq!(start.look(s(4.0), &facts((3, 3), (900, 900))), Some(Phase::Settled));
+}
+
+/// One controller never returns, and a tenth of the machines has failed.
+#[test]
+fn absent_controllers_and_machines_are_not_awaited_for_ever() {
+    let mut start = Start::new(s(18.0), s(9.0));
+    start.loaded(s(0.0));
+    start.look(s(2.9), &facts((2, 3), (500, 900)));
+    assert!(!start.members_known());
+    start.look(s(3.0), &facts((2, 3), (600, 900)));
+    assert!(start.members_known() && !start.fleet_known());
+    assert_eq!(start.look(s(18.0), &facts((2, 3), (700, 900))), Some(Phase::Settled));
+}
+
+/// A fifth of the fleet hung when all controllers restarted: for a whole lease no machine
+/// was rented for arrays and no queue reassigned.
+#[test]
+fn machines_that_failed_before_the_startup_delay_nothing_else() {
+    let mut start = Start::new(s(36.0), s(15.5));
+    start.loaded(s(0.0));
+    start.look(s(8.0), &facts((7, 7), (800, 1000)));
+    assert_eq!(start.look(s(15.0), &facts((7, 7), (804, 1000))), None, "some may still arrive");
+    assert_eq!(start.look(s(15.6), &facts((7, 7), (806, 1000))), Some(Phase::Settled));
+    assert!(!start.all_came(), "no machine counts as never started");
+}
+
+/// Agents that do not reach their controller try the others one after the other: the
+/// fleet arrives late, but it arrives.
+#[test]
+fn a_fleet_that_is_still_arriving_is_awaited() {
+    let mut start = Start::new(s(36.0), s(15.5));
+    start.loaded(s(0.0));
+    for t in 1..30 {
+        let heard = 25 * t as usize;
+        assert_eq!(start.look(s(f64::from(t)), &facts((7, 7), (heard, 1000))), None, "{t}");
+    }
+    assert_eq!(start.look(s(34.0), &facts((7, 7), (730, 1000))), Some(Phase::Settled));
+}
+
+/// The store fails while machines send heartbeats: none can be answered, so the silence
+/// of a machine means nothing.
+#[test]
+fn time_does_not_count_during_a_store_outage() {
+    let mut start = Start::new(s(18.0), s(9.0));
+    start.loaded(s(0.0));
+    let away = Facts { fresh: false, ..facts((3, 3), (100, 900)) };
+    (1..60).for_each(|t| assert_eq!(start.look(s(f64::from(t)), &away), None));
+    assert_eq!(start.look(s(60.5), &facts((3, 3), (100, 900))), None);
+    assert!(!start.fleet_known());
+}
+
+/// A cluster that begins without machines rents them at once.
+#[test]
+fn an_empty_fleet_is_settled_at_once() {
+    let mut start = Start::new(s(36.0), s(15.0));
+    start.loaded(s(0.2));
+    assert_eq!(start.look(s(0.3), &facts((7, 7), (0, 0))), Some(Phase::Settled));
+}
+
+/// Heartbeats from before a long pause of the process do not count after it.
+#[test]
+fn a_suspended_process_gathers_heartbeats_again() {
+    let mut start = Start::new(s(18.0), s(9.0));
+    start.loaded(s(0.0));
+    start.look(s(1.0), &facts((3, 3), (9, 9)));
+    assert_eq!(start.phase(), Phase::Settled);
+    start.paused(s(43.0));
+    assert_eq!(start.phase(), Phase::Gathering);
+    assert_eq!(start.look(s(44.0), &facts((3, 3), (1, 9))), None);
+    assert!(!start.fleet_known());
+}
--- a/src/requests/tests.rs
+++ b/src/requests/tests.rs
@@ -1,10 +1,11 @@
-//! Every pair of stage and event, for everything that can be asked and known.
+//! Every combination of request, stage, event and known status.
 
+use super::transitions::{Next, step};
 use super::*;
 use std::time::Duration;
 
 const ASKED: [Asked; 4] = [Asked::Submitted, Asked::Impossible, Asked::State, Asked::Cancelled];
-const STAGES: [Stage; 4] = [Stage::Queued, Stage::Reading, Stage::Need(7), Stage::Writing];
+const STAGES: [Stage; 4] = [Stage::Queued, Stage::Reading, Stage::AwaitingRevision(7), Stage::Writing];
 const KNOWN: [Known; 4] = [Known::Nothing, Known::Queued, Known::Running, Known::Over];
 const EVENTS: [Event; 10] = [
     Event::ReadSent,
@@ -19,86 +20,88 @@
     Event::Due,
 ];
 
-fn every(mut f: impl FnMut(Asked, Stage, Event, Known, Next, &str)) {
+fn for_every_combination(mut check: impl FnMut(Asked, Stage, Event, Known, Next, &str)) {
     for asked in ASKED {
         for stage in STAGES {
             for event in EVENTS {
                 for known in KNOWN {
                     let next = step(asked, stage, event, known);
-                    f(asked, stage, event, known, next, &format!("{asked:?} {stage:?} {event:?} {known:?}: {next:?}"));
+                    let combination = format!("{asked:?} {stage:?} {event:?} {known:?}: {next:?}");
+                    check(asked, stage, event, known, next, &combination);
                 }
             }
         }
     }
 }
 
-/// Each line is a rule that was, or would be, broken by the answer it forbids.
+/// Each assertion is a rule that a forbidden answer broke, or would break.
 #[test]
-fn no_pair_allows_what_a_rule_forbids() {
-    every(|asked, stage, event, known, next, told| {
-        let read = matches!((stage, event), (Stage::Need(n), Event::ClusterState(r)) if r >= n);
+fn no_combination_allows_a_forbidden_answer() {
+    for_every_combination(|asked, stage, event, known, next, combination| {
+        let read = matches!((stage, event), (Stage::AwaitingRevision(n), Event::ClusterState(r)) if r >= n);
         let stored = stage == Stage::Writing && event == Event::Written(Written::Done);
-        // went_back: what is over is said to be over, by whatever is known first.
+        // went_back: a final status is answered as soon as it is known.
         if known == Known::Over {
-            assert_eq!(next, Next::Answer(Answer::Tell), "{told}");
+            assert_eq!(next, Next::Answer(Answer::Tell), "{combination}");
             return;
         }
-        // An older answer than others gave: a state that can still change is told only
-        // after a read, or by our own write for this request.
+        // A status older than one answered before: a status that can still change is
+        // answered only after a read, or because of our own write for this request.
         if matches!(next, Next::Answer(Answer::Tell | Answer::Accepted)) {
-            assert!(read || stored, "{told}");
+            assert!(read || stored, "{combination}");
         }
-        // How far the view has to come is said by a read alone, not by what voided a write.
-        if let Next::Stage(Stage::Need(n)) = next {
-            let said = stage == Stage::Reading && event == Event::Read(n);
-            assert!(said || next == Next::Stage(stage), "{told}");
+        // The revision to wait for comes from a read, not from a failed compare-and-swap.
+        if let Next::Stage(Stage::AwaitingRevision(n)) = next {
+            let from_read = stage == Stage::Reading && event == Event::Read(n);
+            assert!(from_read || next == Next::Stage(stage), "{combination}");
         }
         // forgotten: 404 and 422 only after a read that shows no such job.
         if matches!(next, Next::Answer(Answer::Unknown | Answer::NeverRuns)) {
-            assert!(read && known == Known::Nothing && asked != Asked::Submitted, "{told}");
+            assert!(read && known == Known::Nothing && asked != Asked::Submitted, "{combination}");
         }
-        assert!(next != Next::Answer(Answer::NeverRuns) || asked == Asked::Impossible, "{told}");
-        // invented: 201 only by our write, to who submitted it.
-        assert!(next != Next::Answer(Answer::Accepted) || (stored && asked == Asked::Submitted), "{told}");
-        // Nor is less told than the view has.
-        assert!(next != Next::Answer(Answer::Accepted) || known != Known::Running, "{told}");
-        // A cancellation is told by the view's state alone, once it is written.
-        let lives = matches!(known, Known::Queued | Known::Running);
+        assert!(next != Next::Answer(Answer::NeverRuns) || asked == Asked::Impossible, "{combination}");
+        // invented: 201 only because of our write, to the user who submitted the job.
+        assert!(next != Next::Answer(Answer::Accepted) || (stored && asked == Asked::Submitted), "{combination}");
+        // The answer is not older than the replica.
+        assert!(next != Next::Answer(Answer::Accepted) || known != Known::Running, "{combination}");
+        // A cancellation is answered with a status only once it is written.
+        let is_live = matches!(known, Known::Queued | Known::Running);
         if asked == Asked::Cancelled && next == Next::Answer(Answer::Tell) {
-            assert!(stored, "{told}");
+            assert!(stored, "{combination}");
         }
-        // Only what the view has can be written over.
+        // Only a job that the replica has can be cancelled.
         if next == Next::Stage(Stage::Writing) && stage != Stage::Writing {
-            assert!(asked == Asked::Cancelled && read && lives, "{told}");
+            assert!(asked == Asked::Cancelled && read && is_live, "{combination}");
         }
-        // Nobody waits beyond his time.
-        assert!(event != Event::Due || next == Next::Answer(Answer::Later), "{told}");
+        // No request waits beyond its deadline.
+        assert!(event != Event::Due || next == Next::Answer(Answer::Later), "{combination}");
     });
 }
 
-/// What has nothing to do with the stage changes nothing.
+/// An event that does not concern the current stage changes nothing.
 #[test]
-fn other_events_leave_a_request_where_it_is() {
-    every(|asked, stage, event, known, next, told| {
+fn unrelated_events_leave_the_stage_unchanged() {
+    for_every_combination(|asked, stage, event, known, next, combination| {
         let concerns = match (stage, event) {
             (_, Event::Due) | (Stage::Queued, Event::ReadSent) | (Stage::Writing, Event::Written(_)) => true,
             (Stage::Reading, Event::Read(_) | Event::ReadFailed) => true,
-            (Stage::Need(n), Event::ClusterState(r)) => r >= n,
+            (Stage::AwaitingRevision(n), Event::ClusterState(r)) => r >= n,
             (Stage::Writing, Event::ClusterState(_)) => asked == Asked::Cancelled && known == Known::Nothing,
             _ => false,
         };
         if !concerns && known != Known::Over {
-            assert_eq!(next, Next::Stage(stage), "{told}");
+            assert_eq!(next, Next::Stage(stage), "{combination}");
         } else {
-            assert_ne!(next, Next::Stage(stage), "{told}");
+            assert_ne!(next, Next::Stage(stage), "{combination}");
         }
     });
 }
 
-/// A repeated submission came while ours was under way, joined it, and was told that the
-/// job is pending when the answer came, though others had told of its cancellation since.
+/// A repeated submission arrived while our write was in flight, was answered together with
+/// the first one, and so got `pending` although another controller had already answered
+/// that the job is cancelled.
 #[test]
-fn a_repeated_request_gets_what_a_read_shows() {
+fn a_repeated_submission_is_answered_after_a_read() {
     let s = Duration::from_secs;
     let mut r = Requests::default();
     r.came(1, "run-1", Asked::Submitted, Stage::Writing, s(2));
@@ -112,8 +115,10 @@
     assert_eq!(second.iter().map(|(r, a)| (r.conn, *a)).collect::<Vec<_>>(), vec![(2, Answer::Tell)]);
 }
 
+/// A request whose write gets no response is answered at its deadline, and one whose job is
+/// missing from a replica that was read again waits for another read.
 #[test]
-fn a_request_that_waits_too_long_gets_a_retry_time() {
+fn a_request_past_its_deadline_gets_a_retry_time() {
     let s = Duration::from_secs;
     let mut r = Requests::default();
     r.came(1, "run-1", Asked::Submitted, Stage::Writing, s(2));
@@ -122,7 +127,7 @@
     let late = r.due(s(2), |_| Known::Queued);
     assert_eq!(late.iter().map(|(r, a)| (r.conn, *a)).collect::<Vec<_>>(), vec![(1, Answer::Later)]);
     assert!(r.due(s(2), |_| Known::Queued).is_empty());
-    // Its record was moved; the view read anew has nothing of it yet.
+    // The replica was read again and does not have the job yet.
     assert!(r.event(Event::ClusterState(1), |_| Known::Nothing).is_empty());
     assert!(r.queued() && r.cancelling().is_empty());
 }
--- a/src/state/cluster_state.rs
+++ b/src/state/cluster_state.rs
@@ -186,3 +186,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/state/job.rs
+++ b/src/state/job.rs
@@ -53,7 +53,7 @@
     }
 
     /// The number of checkpoints of `size` tasks that the job's tasks take.
-    pub fn chunk_count(&self, size: u32) -> u32 {
+    pub fn checkpoint_count(&self, size: u32) -> u32 {
         self.spec.task_count.div_ceil(size)
     }
 
--- a/src/state/log_replay.rs
+++ b/src/state/log_replay.rs
@@ -95,7 +95,7 @@
         let size = self.chunk_size;
         let Some(job) = self.jobs.get_mut(uid) else { return };
         let task_count = job.spec.task_count;
-        let range_count = job.chunk_count(size);
+        let range_count = job.checkpoint_count(size);
         for number in entries.chunks(size).into_iter().filter(|number| *number < range_count) {
             let range = job.chunks.entry(number).or_default();
             if version <= range.rec.as_of_revision {
@@ -185,3 +185,6 @@
     }
     touched
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/state/log_replay/tests.rs
@@ -0,0 +1,218 @@
+//! Replicas that follow the watch against replicas that read the whole store.
+
+use super::*;
+use crate::protocol::user::JobSpec;
+use crate::state::TaskRangeState;
+use crate::state::keys::{RING, chunk_key, job_key, log_key};
+use crate::state::records::JobRecord;
+use crate::state::task_placement::Placement;
+use crate::state::versioned::to_value;
+use ciborium::{Value, cbor};
+use rand::rngs::StdRng;
+use rand::{RngExt, SeedableRng};
+use std::ops::Bound;
+
+const CHECKPOINT_SIZE: u32 = 8;
+const TASK_COUNT: u32 = 40;
+const JOBS: [&str; 2] = ["run-1", "run-2"];
+const MEMBERS: [&str; 2] = ["a", "b"];
+const STEPS: u32 = 1200;
+
+/// A store: its current records and all changes that its watch delivers.
+#[derive(Default)]
+struct Store {
+    keys: BTreeMap<String, (Value, u64)>,
+    changes: Vec<(String, Value, u64)>,
+}
+
+impl Store {
+    fn put(&mut self, key: String, data: Value) -> u64 {
+        let version = self.changes.len() as u64 + 1;
+        self.keys.insert(key.clone(), (data.clone(), version));
+        self.changes.push((key, data, version));
+        version
+    }
+
+    /// Delivers all changes that the replica has not applied.
+    fn watch(&self, replica: &mut ClusterState) {
+        for (key, data, version) in self.changes.iter().skip(replica.revision as usize) {
+            replica.revision = version - 1;
+            replica.put(key, data, *version);
+            replica.revision = *version;
+        }
+    }
+}
+
+/// The tasks of a replica in a comparable form.
+fn task_states(replica: &ClusterState) -> Vec<String> {
+    let range_state = |(number, range): (&u32, &TaskRangeState)| {
+        let mut on = range.rec.on.clone();
+        on.sort_by_key(|placement| placement.index);
+        format!("{number} {:?} {on:?} {}", range.rec.done, range.rec.highest_attempt)
+    };
+    let jobs = replica.jobs.iter().map(|(uid, job)| {
+        let ranges: Vec<String> = job.chunks.iter().filter(|(_, range)| range.last > 0).map(range_state).collect();
+        format!("{uid} {} {} {ranges:?}", job.done, job.placed)
+    });
+    let mut placed: Vec<String> =
+        replica.placed.iter().map(|(machine, tasks)| format!("{machine} {tasks:?}")).collect();
+    placed.sort();
+    jobs.chain(placed).collect()
+}
+
+/// A replica that is being read from the store.
+struct StoreRead {
+    replica: ClusterState,
+    /// The last key of its first page, until the rest is read.
+    after: Option<String>,
+}
+
+impl StoreRead {
+    /// Reads the first half of the store.
+    fn begin(store: &Store, revision: u64) -> StoreRead {
+        let all: Vec<(&String, &(Value, u64))> = store.keys.iter().collect();
+        let mut replica = ClusterState::loading(CHECKPOINT_SIZE, revision);
+        let page = &all[..all.len() / 2];
+        page.iter().for_each(|(key, (data, version))| replica.put(key, data, *version));
+        StoreRead { replica, after: page.last().map(|(key, _)| key.to_string()) }
+    }
+
+    /// Reads the rest, as it is by now.
+    fn finish(&mut self, store: &Store) {
+        let Some(after) = self.after.take() else { return };
+        for (key, (data, version)) in store.keys.range((Bound::Excluded(after), Bound::Unbounded)) {
+            self.replica.put(key, data, *version);
+        }
+        self.replica.loaded();
+    }
+}
+
+/// Entries of one controller on a job: it starts tasks of its half of the indexes, and ends
+/// some of those that its machines run.
+fn random_entries(rng: &mut StdRng, job: &Job, writer: usize, step: u32) -> Facts {
+    let mut entries = Facts::default();
+    let highest_attempt = job.chunks.values().map(|range| range.rec.highest_attempt).max().unwrap_or(0);
+    for _ in 0..3 {
+        let index = rng.random_range(0..TASK_COUNT / 2) + writer as u32 * TASK_COUNT / 2;
+        let taken = entries.starts.iter().any(|placement| placement.index == index);
+        if !taken && !job.is_done(index, CHECKPOINT_SIZE) && job.place(index, CHECKPOINT_SIZE).is_none() {
+            let machine = format!("m-{}{}", MEMBERS[rng.random_range(0..2)], index % 3);
+            entries.starts.push(Placement { index, machine, attempt: highest_attempt + 1 });
+        }
+    }
+    let own_prefix = ["m-a", "m-b"][writer];
+    let placements = job.chunks.values().flat_map(|range| &range.rec.on);
+    for placement in placements.filter(|p| p.machine.starts_with(own_prefix) && rng.random_bool(0.5)) {
+        if placement.index % 7 == 0 && step > 900 {
+            entries.done.insert(placement.index);
+        } else {
+            entries.gone.insert((placement.index, placement.attempt));
+        }
+    }
+    entries
+}
+
+/// Writes checkpoints of what the segment contains that `seq` is about to overwrite.
+fn checkpoint_overwritten_segment(store: &mut Store, replica: &mut ClusterState, member: &str, seq: u64) {
+    let Some(slot) = replica.logs.get(member).and_then(|log| log.slots.get(&(seq % RING))).cloned() else { return };
+    store.watch(replica);
+    for (uid, number) in &slot.touched {
+        let range = &replica.jobs[uid].chunks[number];
+        if range.rec.as_of_revision < slot.version {
+            assert!(range.last <= replica.revision);
+            let checkpoint = TaskRangeCheckpoint { as_of_revision: replica.revision, ..range.rec.clone() };
+            store.put(chunk_key(uid, *number), to_value(&checkpoint));
+            store.watch(replica);
+        }
+    }
+}
+
+/// Two controllers write their logs, one of them ahead of its own watch, slots are
+/// overwritten and checkpoints written now and then. A replica that reads the store at any
+/// point, while writes go on between its pages, and follows the watch from there, has the
+/// state of one that followed from the beginning. A placement that reappeared from an old
+/// segment would be started a second time.
+#[test]
+fn a_read_of_the_store_gives_the_same_state_as_the_watch() {
+    for seed in 0..12 {
+        let mut rng = StdRng::seed_from_u64(seed);
+        let mut store = Store::default();
+        for uid in JOBS {
+            store.put(job_key(uid), to_value(&job_record(uid, TASK_COUNT)));
+        }
+        let mut writers = [ClusterState::new(CHECKPOINT_SIZE), ClusterState::new(CHECKPOINT_SIZE)];
+        let mut seqs = [0u64; 2];
+        let mut watcher = ClusterState::new(CHECKPOINT_SIZE);
+        let mut reads: Vec<StoreRead> = Vec::new();
+        for step in 0..STEPS {
+            // One log wraps around while the other still has the segments that it contradicts.
+            let writer = usize::from(step % 5 != 0);
+            let replica = &mut writers[writer];
+            // The writer follows the watch only now and then.
+            if rng.random_bool(0.6) {
+                store.watch(replica);
+            }
+            let uid = JOBS[rng.random_range(0..2)];
+            let Some(job) = replica.jobs.get(uid) else {
+                store.watch(replica);
+                continue;
+            };
+            let entries = random_entries(&mut rng, job, writer, step);
+            seqs[writer] += 1;
+            let (member, seq) = (MEMBERS[writer], seqs[writer]);
+            checkpoint_overwritten_segment(&mut store, replica, member, seq);
+            let key = log_key(member, seq);
+            let segment = to_value(&LogSegmentRecord::of(seq, &[(uid.to_string(), entries)].into()));
+            let version = store.put(key.clone(), segment.clone());
+            replica.put(&key, &segment, version);
+            // A read gets its first page now, and the rest later.
+            if step % 50 == 13 {
+                reads.push(StoreRead::begin(&store, version));
+            }
+            if step % 50 == 20
+                && let Some(read) = reads.last_mut()
+            {
+                read.finish(&store);
+            }
+        }
+        store.watch(&mut watcher);
+        assert!(watcher.jobs["run-1"].done > 0 && !watcher.placed.is_empty());
+        for replica in &mut writers {
+            store.watch(replica);
+            assert_eq!(task_states(replica), task_states(&watcher), "seed {seed}: a writer");
+        }
+        assert!(reads.len() > 10);
+        for (number, read) in reads.iter_mut().enumerate() {
+            if read.after.is_none() {
+                store.watch(&mut read.replica);
+                assert_eq!(task_states(&read.replica), task_states(&watcher), "seed {seed}: read {number}");
+            }
+        }
+    }
+}
+
+fn job_record(uid: &str, task_count: u32) -> JobRecord {
+    let spec = JobSpec { task_count, ..JobSpec::example(uid) };
+    JobRecord { spec: Some(spec), end: None, task_count, at_ms: 0, task_ranges: Vec::new() }
+}
+
+/// State of versions without task logs is read: a checkpoint without a revision has the
+/// revision of its record, and segments continue from there.
+#[test]
+fn records_of_earlier_versions_are_read() {
+    let mut state = ClusterState::loading(8, 20);
+    let spec = JobSpec::example("run-1");
+    let rec = JobRecord { task_count: spec.task_count, spec: Some(spec), end: None, at_ms: 0, task_ranges: Vec::new() };
+    state.put("fq/j/run-1", &to_value(&rec), 1);
+    let old = cbor!({"done" => [], "on" => [{"i" => 0, "m" => "m", "a" => 1}], "tries" => 1}).unwrap();
+    state.put("fq/t/run-1/0", &old, 7);
+    state.put("fq/term", &cbor!({"term" => 4}).unwrap(), 2);
+    let gone = Facts { gone: [(0, 1)].into(), ..Facts::default() };
+    let segment = |seq, f: &Facts| to_value(&LogSegmentRecord::of(seq, &[("run-1".to_string(), f.clone())].into()));
+    // The checkpoint contains the segments that are older than it.
+    state.put("fq/l/a/1", &segment(1, &gone), 5);
+    state.loaded();
+    assert_eq!((state.jobs["run-1"].placed, state.format_version(), state.revision), (1, 0, 20));
+    state.put("fq/l/a/2", &segment(2, &gone), 21);
+    assert_eq!(state.jobs["run-1"].placed, 0);
+}
--- a/src/state/machine_groups.rs
+++ b/src/state/machine_groups.rs
@@ -122,3 +122,6 @@
         self.is_live(&machine.owner, machine.incarnation)
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/state/machine_groups/tests.rs
@@ -0,0 +1,68 @@
+//! Which grant applies to the machines of a group.
+
+use super::*;
+use crate::state::records::MemberRecord;
+use crate::state::versioned::{from_value, to_value};
+
+/// The record of a group of the machines `m-1` and `m-2`.
+fn group(owner: &str, incarnation: u64) -> Value {
+    let names = ["m-1", "m-2"].map(String::from).to_vec();
+    let (machine_type, zone) = ("std".to_string(), "a".to_string());
+    let owner = owner.to_string();
+    let rec = MachineGroupRecord {
+        machine_type,
+        zone,
+        spot: false,
+        owner,
+        incarnation,
+        term: 1,
+        epoch: 0,
+        base: false,
+        machines: names,
+        drain: vec!["m-2".into()],
+    };
+    to_value(&rec)
+}
+
+/// The newer of a group's own grant and the grant of its owner's shard applies: the older
+/// one would let commands of an earlier incarnation pass.
+#[test]
+fn the_newest_grant_applies() {
+    let mut state = ClusterState::new(8);
+    state.put("fq/m/a", &to_value(&MemberRecord { incarnation: 7 }), 3);
+    state.put("fq/h/m-1", &group("a", 5), 4);
+    assert!(!state.owned(&state.machines["m-1"].rec));
+    assert_eq!(state.restarted(), ["a"]);
+    state.put("fq/b/a", &to_value(&ShardGrantRecord { incarnation: 7, term: 2, epoch: 9 }), 6);
+    let machine = &state.machines["m-2"];
+    assert!(state.owned(&machine.rec) && machine.rec.drain);
+    assert_eq!((machine.version, machine.rec.granted, machine.rec.term, machine.rec.epoch), (4, 6, 2, 9));
+    assert!(state.restarted().is_empty());
+    // A machine of the group was marked for draining: written with its own old grant, the
+    // group went back to the earlier incarnation, and the whole shard was granted again
+    // and again.
+    let marked = state.in_force(&state.machine_groups["m-1"]);
+    state.put("fq/h/m-1", &to_value(&marked), 7);
+    let machine = &state.machines["m-2"];
+    assert!(state.owned(&machine.rec) && state.restarted().is_empty());
+    assert_eq!((machine.rec.term, machine.rec.epoch), (2, 9));
+    state.put("fq/h/m-1", &group("b", 1), 8);
+    assert_eq!((state.machines["m-1"].rec.owner.as_str(), state.machines["m-1"].rec.term), ("b", 1));
+    state.delete("fq/h/m-1", 9);
+    assert!(state.machines.is_empty());
+}
+
+/// The grant of a shard got no response, and was executed after a group had been added to
+/// the shard under a later epoch: the tokens of its machines decreased, and the machines
+/// obeyed no controller.
+#[test]
+fn a_delayed_shard_grant_does_not_decrease_tokens() {
+    let mut state = ClusterState::new(8);
+    state.put("fq/m/a", &to_value(&MemberRecord { incarnation: 7 }), 3);
+    let rec = MachineGroupRecord { epoch: 6, incarnation: 7, term: 2, ..from_value(&group("a", 7)).unwrap() };
+    state.put("fq/h/m-1", &to_value(&rec), 5);
+    state.put("fq/b/a", &to_value(&ShardGrantRecord { incarnation: 7, term: 2, epoch: 5 }), 6);
+    let machine = &state.machines["m-1"].rec;
+    assert!(state.owned(machine));
+    assert_eq!((machine.granted, machine.term, machine.epoch), (5, 2, 6));
+}
--- a/src/state/machine_load.rs
+++ b/src/state/machine_load.rs
@@ -136,3 +136,6 @@
         load.remove_task(spec);
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -24,6 +24,3 @@
 pub use log_replay::{LogSlot, MemberLog};
 pub use machine_load::{ImageLoad, Images, MachineLoad, PlacedTasks};
 pub use resources::Resources;
-
-#[cfg(test)]
-mod tests;
--- a/src/state/objectives/tests.rs
+++ b/src/state/objectives/tests.rs
@@ -2,16 +2,21 @@
 
 use super::*;
 
-#[test]
-fn misses_show_and_fade() {
-    let o = Objective {
+/// An objective that eight of ten jobs shall complete within a time.
+fn completion_within(within_s: f64) -> Objective {
+    Objective {
         kind: "finished".into(),
         class: Some("c".into()),
-        within_s: Some(10.0),
+        within_s: Some(within_s),
         share: Some(0.8),
         times: None,
-    };
-    let mut aims = Aims::new(vec![o]);
+    }
+}
+
+/// A few misses show at once, and later jobs in time make up for them.
+#[test]
+fn recent_misses_count_and_are_forgotten() {
+    let mut aims = Aims::new(vec![completion_within(10.0)]);
     let spec = JobSpec::example("run-1");
     assert_eq!(aims.end_within(&spec), Some(10.0));
     assert!(!aims.behind());
@@ -25,18 +30,11 @@
     assert!(!aims.behind());
 }
 
-/// Arrays that missed the first of two aims counted as lost, and waited
-/// behind all others until they had missed the second.
+/// Arrays that missed the first of two objectives counted as lost, and waited behind all
+/// others until they had missed the second.
 #[test]
-fn after_one_aim_comes_the_next() {
-    let o = |within_s| Objective {
-        kind: "finished".into(),
-        class: Some("c".into()),
-        within_s: Some(within_s),
-        share: Some(0.8),
-        times: None,
-    };
-    let aims = Aims::new(vec![o(40.0), o(20.0)]);
+fn a_job_that_missed_one_objective_has_the_next_to_meet() {
+    let aims = Aims::new(vec![completion_within(40.0), completion_within(20.0)]);
     let spec = JobSpec::example("run-1");
     let from = |age_s| aims.end_from(&spec, age_s, 7.0);
     assert_eq!((from(0.0), from(14.0), from(50.0)), (Some(20.0), Some(40.0), Some(40.0)));
--- a/src/state/records.rs
+++ b/src/state/records.rs
@@ -5,7 +5,7 @@
     BARRIER_KEY, CATALOG_KEY, Key, LEADER_KEY, MACHINE_GROUPS_KEY, MAINTENANCE_KEY, PREFIX, SHARD_GRANTS, TEAMS,
     TERM_KEY, chunk_key, job_key, lasts, log_key, machine_group_key, member_key, parse_key, shard_grant_key, team_key,
 };
-pub use super::sizing::{chunk_bytes, chunk_size, lease_size};
+pub use super::sizing::{checkpoint_bytes, chunk_size, lease_size};
 pub use super::task_placement::Placement;
 pub use super::versioned::{Versioned, Versions, from_value, to_value};
 
--- a/src/state/service_levels.rs
+++ b/src/state/service_levels.rs
@@ -1,143 +1,166 @@
-//! What became of the jobs of each class, of each team and of the largest jobs of each
-//! class, as this process saw it: ends since it started, and from the live jobs of the
-//! moment how much of them runs, and how long those wait that have not begun.
+//! Service levels by job class, by team and of the largest jobs of each class: the jobs
+//! that ended since this process started, and of the live jobs how much of them runs and
+//! how long those wait that have not started.
 //!
-//! An operator looks at shares by class; whose work it was shows only by team, and a
-//! team, or all large jobs, may be shut out while each class as a whole does well.
+//! Shares by class do not show whose jobs they are: a team, or all large jobs, may get no
+//! resources while each class as a whole does well.
 
 use super::Job;
 use crate::protocol::user::{JobKind, JobSpec};
 use hdrhistogram::Histogram;
 use std::collections::BTreeMap;
 
-/// Below this share a class or team counts as hardly served.
+/// A class or team with a share below this counts as hardly served.
 pub const HALF: f64 = 0.5;
-/// Jobs that a share has to rest on before it is told as one.
-const ENOUGH: u32 = 8;
-
-/// The largest jobs of a class are those above this part of it.
-const LARGEST: f64 = 0.9;
+/// The least number of jobs for which a share is reported.
+const FEWEST_JOBS: u32 = 8;
+/// The quantile of a class above which its jobs count as the largest.
+const LARGEST_QUANTILE: f64 = 0.9;
+const MEDIAN: f64 = 0.5;
+/// The precision of the size histograms.
+const SIGNIFICANT_DIGITS: u8 = 2;
 
 /// A class, a team, or the largest jobs of a class.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Who {
+pub enum JobGroup {
     Class(String),
     Team(String),
     Largest(String),
 }
 
-/// How wide the jobs of a class are, and how much they take, in thousandths.
+/// The sizes of the jobs of a class in thousandths: number of tasks, cores and memory.
 #[derive(Debug, Clone)]
-struct Sizes([Histogram<u64>; 3]);
+struct JobSizes([Histogram<u64>; 3]);
 
-impl Sizes {
-    fn new() -> Sizes {
-        Sizes([(); 3].map(|()| Histogram::new(2).expect("two digits are few enough")))
+impl JobSizes {
+    fn new() -> JobSizes {
+        let new_histogram = || Histogram::new(SIGNIFICANT_DIGITS).expect("at most five digits are allowed");
+        JobSizes([(); 3].map(|()| new_histogram()))
     }
 
     fn of(spec: &JobSpec) -> [u64; 3] {
-        let all = |each: f64| (each * f64::from(spec.task_count) * 1000.0) as u64;
-        [all(1.0), all(spec.cores), all(spec.mem_gb)]
+        let total = |each: f64| (each * f64::from(spec.task_count) * 1000.0) as u64;
+        [total(1.0), total(spec.cores), total(spec.mem_gb)]
     }
 
-    fn note(&mut self, spec: &JobSpec) {
-        for (h, size) in self.0.iter_mut().zip(Sizes::of(spec)) {
-            h.record(size).expect("it grows by itself");
+    fn record(&mut self, spec: &JobSpec) {
+        for (histogram, size) in self.0.iter_mut().zip(JobSizes::of(spec)) {
+            histogram.record(size).expect("the histogram resizes itself");
         }
     }
 
-    /// Among the widest of its class, or the greatest by cores or memory. Where all are
-    /// alike none is large.
-    fn large(&self, spec: &JobSpec) -> bool {
-        let above = |(h, size): (&Histogram<u64>, u64)| {
-            let bound = h.value_at_quantile(LARGEST);
-            size >= h.lowest_equivalent(bound) && bound > h.value_at_quantile(0.5)
-        };
-        self.0.iter().zip(Sizes::of(spec)).any(above)
+    /// Whether the job is among the largest of its class by tasks, cores or memory. Where
+    /// all jobs have about the same size none is.
+    fn is_large(&self, spec: &JobSpec) -> bool {
+        self.0.iter().zip(JobSizes::of(spec)).any(|(histogram, size)| {
+            let bound = histogram.value_at_quantile(LARGEST_QUANTILE);
+            size >= histogram.lowest_equivalent(bound) && bound > histogram.value_at_quantile(MEDIAN)
+        })
     }
 }
 
+/// The service level of a group of jobs.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ServiceTally {
-    /// Jobs that ended or missed their aim, of those that have an aim; each once.
+    /// Jobs with an objective that ended or missed it; each counts once.
     pub judged: u32,
-    /// Of them, those that were over in time.
+    /// Those of them that met it.
     pub in_time: u32,
-    /// Live jobs, and those of which no task is placed.
+    /// Live jobs.
     pub live: u32,
+    /// Those of them without any started task.
     pub untouched: u32,
     /// How long the oldest of these has waited, in seconds.
     pub waits_s: u64,
-    /// Replicas that live services want, and those that are placed.
+    /// The replicas of live services.
     pub replicas: u32,
+    /// Those of them that are placed.
     pub placed: u32,
 }
 
 impl ServiceTally {
-    /// The least of its shares that rests on enough jobs; none where none does.
+    /// The least of the shares that at least `FEWEST_JOBS` jobs or replicas contribute to.
     pub fn least_share(&self) -> Option<f64> {
-        let share = |part: u32, all: u32| (all >= ENOUGH).then(|| f64::from(part) / f64::from(all));
-        let task_ranges = [
+        let shares = [
             share(self.in_time, self.judged),
             share(self.live - self.untouched.min(self.live), self.live),
             share(self.placed.min(self.replicas), self.replicas),
         ];
-        task_ranges.into_iter().flatten().reduce(f64::min)
+        shares.into_iter().flatten().reduce(f64::min)
     }
 }
 
+fn share(part: u32, all: u32) -> Option<f64> {
+    (all >= FEWEST_JOBS).then(|| f64::from(part) / f64::from(all))
+}
+
+/// Jobs with an objective that ended or missed it.
+#[derive(Debug, Clone, Copy, Default)]
+struct EndedCount {
+    judged: u32,
+    in_time: u32,
+}
+
+/// The jobs that ended since this process started.
 #[derive(Debug, Default)]
 pub struct Served {
-    ends: BTreeMap<Who, (u32, u32)>,
-    /// Of the jobs that ended, by class.
-    sizes: BTreeMap<String, Sizes>,
+    ended: BTreeMap<JobGroup, EndedCount>,
+    /// By class.
+    sizes: BTreeMap<String, JobSizes>,
 }
 
 impl Served {
-    fn who(sizes: &BTreeMap<String, Sizes>, spec: &JobSpec) -> Vec<Who> {
-        let mut all = vec![Who::Class(spec.class.clone()), Who::Team(spec.team.clone())];
-        if sizes.get(&spec.class).is_some_and(|s| s.large(spec)) {
-            all.push(Who::Largest(spec.class.clone()));
+    /// The groups that a job belongs to.
+    fn groups(sizes: &BTreeMap<String, JobSizes>, spec: &JobSpec) -> Vec<JobGroup> {
+        let mut groups = vec![JobGroup::Class(spec.class.clone()), JobGroup::Team(spec.team.clone())];
+        if sizes.get(&spec.class).is_some_and(|class_sizes| class_sizes.is_large(spec)) {
+            groups.push(JobGroup::Largest(spec.class.clone()));
         }
-        all
+        groups
     }
 
-    /// A job with an aim is over, or its aim has passed.
+    /// Records a job with an objective that has ended or has missed it.
     pub fn note(&mut self, spec: &JobSpec, in_time: bool) {
-        self.sizes.entry(spec.class.clone()).or_insert_with(Sizes::new).note(spec);
-        for who in Served::who(&self.sizes, spec) {
-            let (judged, met) = self.ends.entry(who).or_default();
-            *judged += 1;
-            *met += u32::from(in_time);
+        self.sizes.entry(spec.class.clone()).or_insert_with(JobSizes::new).record(spec);
+        for group in Served::groups(&self.sizes, spec) {
+            let count = self.ended.entry(group).or_default();
+            count.judged += 1;
+            count.in_time += u32::from(in_time);
         }
     }
 
-    /// The tallies of all that have ended or live.
-    pub fn tallies<'a>(&self, jobs: impl Iterator<Item = &'a Job>, now_ms: u64) -> BTreeMap<Who, ServiceTally> {
-        let ended = |(who, (judged, in_time)): (&Who, &(u32, u32))| {
-            (who.clone(), ServiceTally { judged: *judged, in_time: *in_time, ..ServiceTally::default() })
-        };
-        let mut out: BTreeMap<Who, ServiceTally> = self.ends.iter().map(ended).collect();
-        let live: Vec<&Job> = jobs.filter(|j| !j.cancelled()).collect();
+    /// The service levels of all groups, from the jobs that ended and the live `jobs`, at
+    /// `now_ms` milliseconds since the Unix epoch.
+    pub fn tallies<'a>(&self, jobs: impl Iterator<Item = &'a Job>, now_ms: u64) -> BTreeMap<JobGroup, ServiceTally> {
+        let mut tallies: BTreeMap<JobGroup, ServiceTally> = BTreeMap::new();
+        for (group, EndedCount { judged, in_time }) in &self.ended {
+            let tally = ServiceTally { judged: *judged, in_time: *in_time, ..ServiceTally::default() };
+            tallies.insert(group.clone(), tally);
+        }
+        let live: Vec<&Job> = jobs.filter(|job| !job.cancelled()).collect();
         let mut sizes = self.sizes.clone();
-        for j in &live {
-            sizes.entry(j.spec.class.clone()).or_insert_with(Sizes::new).note(&j.spec);
+        for job in &live {
+            sizes.entry(job.spec.class.clone()).or_insert_with(JobSizes::new).record(&job.spec);
         }
-        for j in live {
-            let untouched = j.placed == 0 && j.done == 0;
-            let age_s = now_ms.saturating_sub(j.rec.rec.at_ms) / 1000;
-            for who in Served::who(&sizes, &j.spec) {
-                let t = out.entry(who).or_default();
-                t.live += 1;
-                t.untouched += u32::from(untouched);
-                t.waits_s = t.waits_s.max(if untouched { age_s } else { 0 });
-                if j.spec.kind == JobKind::Service {
-                    t.replicas += j.spec.task_count;
-                    t.placed += j.placed;
-                }
+        for job in live {
+            for group in Served::groups(&sizes, &job.spec) {
+                add_live_job(tallies.entry(group).or_default(), job, now_ms);
             }
         }
-        out
+        tallies
+    }
+}
+
+fn add_live_job(tally: &mut ServiceTally, job: &Job, now_ms: u64) {
+    tally.live += 1;
+    if job.placed == 0 && job.done == 0 {
+        let age_s = now_ms.saturating_sub(job.rec.rec.at_ms) / 1000;
+        tally.untouched += 1;
+        tally.waits_s = tally.waits_s.max(age_s);
+    }
+    if job.spec.kind == JobKind::Service {
+        tally.replicas += job.spec.task_count;
+        tally.placed += job.placed;
     }
 }
 
--- a/src/state/sizing.rs
+++ b/src/state/sizing.rs
@@ -35,7 +35,7 @@
 }
 
 /// The most bytes that a checkpoint of `size` tasks takes.
-pub fn chunk_bytes(size: u32) -> usize {
+pub fn checkpoint_bytes(size: u32) -> usize {
     (size * PLACEMENT_BYTES) as usize
 }
 
