--- /dev/null
+++ b/src/config/validation.rs
@@ -0,0 +1,116 @@
+//! Validation of both files: values with which the controller could not keep its rules
+//! are refused. The checks run in a fixed order, and the first failure is reported.
+
+use super::{Operator, Params, Settings, SettingsError, Team, Workers};
+use std::path::Path;
+
+/// Fewest sockets that a controller can work with.
+const MIN_CONNECTIONS: usize = 16;
+
+impl Settings {
+    pub(super) fn validate(&self, file: &Path) -> Result<(), SettingsError> {
+        let params = &self.settings;
+        require_positive(file, &positive_fields(params))?;
+        require(file, "member", !self.member.is_empty(), "must not be empty")?;
+        let zone_listed = params.zones.contains(&self.zone);
+        require(file, "settings.zones", zone_listed, "must list this controller's zone")?;
+        validate_cancel_time(file, &params.workers)?;
+        let enough = params.machine_limits.max_connections >= MIN_CONNECTIONS;
+        require(file, "settings.machine_limits.max_connections", enough, "must be at least 16")?;
+        for team in &params.teams {
+            validate_quota(file, team)?;
+        }
+        for other in &self.others {
+            require(file, "others.member", other.member != self.member, "names this controller itself")?;
+        }
+        Ok(())
+    }
+}
+
+/// Fields of the platform's file that must be above 0.
+fn positive_fields(params: &Params) -> [(&'static str, f64); 12] {
+    [
+        ("settings.workers.report_s", params.workers.heartbeat_interval_s),
+        ("settings.workers.lease_s", params.workers.lease_s),
+        ("settings.workers.gang_wait_s", params.workers.gang_wait_s),
+        ("settings.workers.gang_peer_s", params.workers.gang_peer_s),
+        ("settings.state.rps", params.state.rps),
+        ("settings.state.write_rps", params.state.write_rps),
+        ("settings.state.value_kb", params.state.value_kb),
+        ("settings.state.txn_ops", params.state.txn_ops as f64),
+        ("settings.cloud.rps", params.cloud.rps),
+        ("settings.cloud.list_lag_s", params.cloud.list_lag_s),
+        ("settings.machine_limits.core_share", params.machine_limits.core_share),
+        ("settings.machine_limits.ram_mb", params.machine_limits.ram_mb),
+    ]
+}
+
+fn validate_cancel_time(file: &Path, workers: &Workers) -> Result<(), SettingsError> {
+    let outlasts_lease =
+        workers.cancel_s.is_finite() && workers.cancel_s > workers.lease_s + workers.heartbeat_interval_s;
+    require(
+        file,
+        "settings.workers.cancel_s",
+        outlasts_lease,
+        "must be above lease_s and report_s together: a cancellation has to outlast a worker's lease",
+    )
+}
+
+fn validate_quota(file: &Path, team: &Team) -> Result<(), SettingsError> {
+    let field = format!("settings.teams.{}", team.name);
+    let amounts = [team.cpus, team.cpus_max, team.gpus, team.gpus_max];
+    let valid = amounts.iter().all(|amount| amount.is_finite() && *amount >= 0.0);
+    require(file, &field, valid, "must not be negative")?;
+    let within = |guaranteed: f64, limit: f64| limit == 0.0 || guaranteed <= limit;
+    let consistent = within(team.cpus, team.cpus_max) && within(team.gpus, team.gpus_max);
+    require(file, &field, consistent, "guarantees more than its limit allows")
+}
+
+impl Operator {
+    pub(super) fn validate(&self, file: &Path) -> Result<(), SettingsError> {
+        let positive = [
+            ("wait_limit_s", self.wait_limit_s),
+            ("window", self.window as f64),
+            ("step_mb", self.step_mb),
+            ("idle_boots", self.idle_boots),
+            ("late_boots", self.late_boots),
+            ("silent_reports", self.silent_reports),
+        ];
+        require_positive(file, &positive)?;
+        for (team, budget) in &self.budget {
+            let field = format!("budget.{team}.share");
+            require(file, &field, (0.0..=1.0).contains(&budget.share), "is a share, from 0 to 1")?;
+        }
+        for (name, campaign) in &self.campaign {
+            require(file, "campaign", !name.is_empty(), "needs a name")?;
+            let field = format!("campaign.{name}");
+            let valid = campaign.first > 0 && campaign.wave >= campaign.first;
+            require(file, &field, valid, "first must be above 0 and wave not below it")?;
+        }
+        let spare_valid = self.spare_share.is_finite() && self.spare_share >= 0.0;
+        require(file, "spare_share", spare_valid, "must not be negative")
+    }
+
+    /// Every budget must be of a known team.
+    pub(super) fn validate_teams(&self, file: &Path, teams: &[Team]) -> Result<(), SettingsError> {
+        for name in self.budget.keys() {
+            let known = teams.iter().any(|team| team.name == *name);
+            require(file, &format!("budget.{name}"), known, "no such team")?;
+        }
+        Ok(())
+    }
+}
+
+fn require_positive(file: &Path, fields: &[(&str, f64)]) -> Result<(), SettingsError> {
+    for (field, value) in fields {
+        require(file, field, value.is_finite() && *value > 0.0, "must be above 0")?;
+    }
+    Ok(())
+}
+
+fn require(file: &Path, field: &str, valid: bool, rule: &str) -> Result<(), SettingsError> {
+    if valid {
+        return Ok(());
+    }
+    Err(SettingsError::Field { file: file.into(), field: field.into(), what: rule.into() })
+}
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,10 +1,13 @@
-//! Command line of finchquay: reads settings, sets up logging, runs a controller.
+//! Command line of finchquay: reads the configuration, sets up logging, runs a controller.
 
 use clap::Parser;
 use finchquay::settings::Settings;
 use std::path::PathBuf;
 use std::process::ExitCode;
 
+/// Exit code when the settings are refused.
+const EXIT_BAD_SETTINGS: u8 = 2;
+
 /// A controller of the finchquay cluster scheduler.
 #[derive(Parser)]
 #[command(name = "finchquay", version, about)]
@@ -15,7 +18,7 @@
     /// The operator's own settings (HCL).
     #[arg(long, value_name = "FILE")]
     operator: Option<PathBuf>,
-    /// Read and judge the settings, start nothing.
+    /// Read and validate the settings, start nothing.
     #[arg(long)]
     check: bool,
 }
@@ -23,29 +26,34 @@
 fn main() -> ExitCode {
     let args = Args::parse();
     let settings = match Settings::load(&args.config, args.operator.as_deref()) {
-        Ok(s) => s,
-        Err(e) => {
-            eprintln!("finchquay: {e}");
-            return ExitCode::from(2);
+        Ok(settings) => settings,
+        Err(error) => {
+            eprintln!("finchquay: {error}");
+            return ExitCode::from(EXIT_BAD_SETTINGS);
         }
     };
     if args.check {
         println!("{}: settings are good", args.config.display());
         return ExitCode::SUCCESS;
     }
-    let level = std::env::var("LOG_LEVEL").ok().and_then(|l| l.parse().ok()).unwrap_or(tracing::Level::INFO);
+    set_up_logging();
+    match finchquay::transport::run(settings, args.operator) {
+        Ok(()) => ExitCode::SUCCESS,
+        Err(error) => {
+            tracing::error!(%error, "controller ends");
+            ExitCode::FAILURE
+        }
+    }
+}
+
+/// Logs to standard error, from the level in the environment variable `LOG_LEVEL` on.
+fn set_up_logging() {
+    let level = std::env::var("LOG_LEVEL").ok().and_then(|level| level.parse().ok());
     tracing_subscriber::fmt()
-        .with_max_level(level)
+        .with_max_level(level.unwrap_or(tracing::Level::INFO))
         .with_writer(std::io::stderr)
         .with_target(false)
         .with_ansi(false)
         .without_time()
         .init();
-    match finchquay::transport::run(settings, args.operator) {
-        Ok(()) => ExitCode::SUCCESS,
-        Err(e) => {
-            tracing::error!(error = %e, "controller ends");
-            ExitCode::FAILURE
-        }
-    }
 }
