--- a/src/controller/agents/heartbeats.rs
+++ b/src/controller/agents/heartbeats.rs
@@ -1,7 +1,7 @@
 //! Heartbeats of agents: who answers them, and what they change.
 
 use super::{Agents, HEARD_REPORTS};
-use crate::connectivity::hearing::News;
+use crate::connectivity::heartbeat_tracking::News;
 use crate::controller::Controller;
 use crate::effects::{ConnId, Instant};
 use crate::protocol::encode;
--- a/src/controller/agents/mod.rs
+++ b/src/controller/agents/mod.rs
@@ -10,7 +10,7 @@
 mod suspicion;
 
 use super::Controller;
-use crate::connectivity::hearing::{At, Hearing, News};
+use crate::connectivity::heartbeat_tracking::{At, Hearing, News};
 use crate::coordination::machine::Machine;
 use crate::effects::Instant;
 use crate::protocol::store::Condition;
--- a/src/controller/agents/suspicion.rs
+++ b/src/controller/agents/suspicion.rs
@@ -2,7 +2,7 @@
 //! and those that nothing is needed of any more.
 
 use super::{CUT_LEASES, HEARD_REPORTS, WORKER_MOVES_S};
-use crate::connectivity::account::{Group, Silence, of_silence};
+use crate::connectivity::partition_diagnosis::{Group, Silence, of_silence};
 use crate::controller::{Controller, DRIFT};
 use crate::coordination::machine::Machine;
 use crate::effects::Instant;
--- a/src/controller/connectivity/heartbeats.rs
+++ b/src/controller/connectivity/heartbeats.rs
@@ -1,7 +1,7 @@
 //! Heartbeats between controllers: what is said of this one's view, and what follows
 //! from that of the others.
 
-use crate::connectivity::fit::{self, Turns};
+use crate::connectivity::frame_fitting::{self, Turns};
 use crate::controller::Controller;
 use crate::effects::Action;
 use crate::protocol::peer::{FRAME_LIMIT, Frame, RecentMachine, PeerHeartbeat, Revocations};
@@ -39,7 +39,7 @@
         let sent = self.connectivity.heartbeats;
         self.add_images(&mut heartbeat, sent);
         let turns = Turns { heartbeats: sent, held: sent / HEARTBEATS_PER_ROUND };
-        fit::fit(&mut heartbeat, turns, |machine| self.must_be_told(machine));
+        frame_fitting::fit(&mut heartbeat, turns, |machine| self.must_be_told(machine));
         for other in &self.config.others {
             let frame = Frame::PeerHeartbeat(Box::new(heartbeat.clone()));
             self.outbox.actions.push(Action::Send { member: other.member.clone(), frame });
--- a/src/controller/connectivity/mod.rs
+++ b/src/controller/connectivity/mod.rs
@@ -1,15 +1,15 @@
 //! Which controllers and machines reach each other: heartbeats between controllers, and
 //! from them which controllers do not hear their machines and which machines are cut off
 //! from their owner. Hints only; no rule rests on them, but for the confirmation that a
-//! replica is current, whose proof is in `connectivity::table`.
+//! replica is current, whose proof is in `connectivity::peer_table`.
 
 mod heartbeats;
 mod partitions;
 mod probes;
 
 use super::Controller;
-use crate::connectivity::account::{Account, Deaf, Group};
-use crate::connectivity::table::Links;
+use crate::connectivity::partition_diagnosis::{Account, Deaf, Group};
+use crate::connectivity::peer_table::PeerTable;
 use crate::effects::Instant;
 use crate::protocol::peer::{Acknowledgement, PeerHeartbeat};
 use std::collections::HashMap;
@@ -19,7 +19,7 @@
 #[derive(Debug)]
 pub(super) struct Connectivity {
     /// The other controllers, by their heartbeats.
-    peers: Links,
+    peers: PeerTable,
     /// Heartbeats came since the last diagnosis.
     changed: bool,
     /// Controllers that do not hear their machines.
@@ -52,7 +52,7 @@
 
 impl Connectivity {
     /// Nothing is known of the other controllers yet.
-    pub(super) fn new(peers: Links) -> Connectivity {
+    pub(super) fn new(peers: PeerTable) -> Connectivity {
         Connectivity {
             peers,
             changed: false,
@@ -68,7 +68,7 @@
     }
 
     /// The other controllers, by their heartbeats.
-    pub(super) fn peers(&self) -> &Links {
+    pub(super) fn peers(&self) -> &PeerTable {
         &self.peers
     }
 
--- a/src/controller/connectivity/partitions.rs
+++ b/src/controller/connectivity/partitions.rs
@@ -2,7 +2,7 @@
 //! controllers do not hear their machines.
 
 use super::{Connectivity, Ownership};
-use crate::connectivity::account::{Account, Sight, of_owner};
+use crate::connectivity::partition_diagnosis::{Account, Sight, of_owner};
 use crate::controller::Controller;
 use crate::effects::Instant;
 use crate::state::ClusterState;
--- a/src/controller/connectivity/probes.rs
+++ b/src/controller/connectivity/probes.rs
@@ -1,7 +1,7 @@
 //! Calls to machines that fell silent, or whose heartbeats may be copies.
 
 use super::heartbeats::HASTENED_HEARTBEAT;
-use crate::connectivity::hearing::At;
+use crate::connectivity::heartbeat_tracking::At;
 use crate::controller::agents::HEARD_REPORTS;
 use crate::controller::{Controller, Purpose};
 use crate::coordination::machine::Machine;
--- a/src/controller/connectivity/tests.rs
+++ b/src/controller/connectivity/tests.rs
@@ -7,7 +7,7 @@
 }
 
 fn connectivity() -> Connectivity {
-    Connectivity::new(Links::new("controller-1", 1, at(1)))
+    Connectivity::new(PeerTable::new("controller-1", 1, at(1)))
 }
 
 #[test]
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -24,8 +24,8 @@
 mod task_ranges;
 mod transactions;
 
-use crate::connectivity::hearing::At;
-use crate::connectivity::table::Links;
+use crate::connectivity::heartbeat_tracking::At;
+use crate::connectivity::peer_table::PeerTable;
 use crate::coordination::account::{Account, Charge, WritePriority};
 use crate::coordination::session::Session;
 use crate::coordination::writes::Writes as OpenWrites;
@@ -215,7 +215,7 @@
             ),
             leadership: Leadership::default(),
             sharding: Sharding::default(),
-            connectivity: Connectivity::new(Links::new(&set.member, incarnation >> 1, heartbeat_interval)),
+            connectivity: Connectivity::new(PeerTable::new(&set.member, incarnation >> 1, heartbeat_interval)),
             agents: Agents::default(),
             scheduler: Scheduler::default(),
             quota: QuotaReservations::default(),
