--- a/src/coordination/fault_attribution.rs
+++ b/src/coordination/fault_attribution.rs
@@ -1,82 +1,101 @@
 //! Whether tasks fail because of their machine or because of their job.
 //!
-//! A faulty machine fails what does well elsewhere; a job that was submitted with a
-//! mistake fails wherever it is tried. Each is told by where else: a job that failed on
-//! several machines and never did well is to blame itself, and shuts none; a machine that
-//! failed tasks of several jobs, or of one that did well elsewhere, is shut. One job's
-//! failures on one machine leave it open: the machine rests briefly, so that the job is
-//! tried elsewhere, which decides.
+//! A faulty machine fails tasks that succeed elsewhere; a job that was submitted with a
+//! mistake fails wherever it is tried. What happened elsewhere tells the two apart:
+//!
+//! - A job that failed on several machines and never succeeded is at fault itself, and leads
+//!   to no cordon.
+//! - A machine that failed tasks of several jobs, or of one that succeeded elsewhere, is
+//!   cordoned.
+//! - The failures of one job on one machine are undecided: the machine is cordoned briefly, so
+//!   that the job is tried elsewhere, which decides.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A job that failed on so many machines and did well on none fails everywhere.
-const EVERYWHERE: usize = 3;
-/// So many failures that no job is to blame for are the machine's.
-const FAILURES: u32 = 3;
+/// A job that failed on this many machines, and succeeded on none, fails everywhere.
+const MACHINES_THAT_DECIDE: usize = 3;
+/// This many failures for which no job is at fault are the machine's.
+const FAILURES_TO_CORDON: u32 = 3;
 
-/// What failed on one machine since something did well there, by job.
+/// The failures on one machine since a task last succeeded there, by job.
 #[derive(Debug, Default)]
 pub struct Failures {
     by_job: BTreeMap<String, u32>,
 }
 
-/// What is to be done with a machine after a failure.
+/// What the failures on a machine say about it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
+    /// No fault of the machine is known.
     Well,
-    /// It or the job.
+    /// Either the machine or the job is at fault.
     Open,
+    /// The machine is at fault.
     Faulty,
 }
 
 impl Failures {
+    /// A task of the job failed on the machine.
     pub fn note(&mut self, job: &str) {
         *self.by_job.entry(job.to_string()).or_default() += 1;
     }
 
-    /// A task completed there.
+    /// A task succeeded on the machine.
     pub fn clear(&mut self) {
         self.by_job.clear();
     }
 
-    /// It was shut for it: one more failure shuts it again.
+    /// The machine is cordoned for these failures. Keeps so many of them that one more
+    /// failure leads to a cordon again.
     pub fn served(&mut self) {
-        self.by_job.values_mut().for_each(|n| *n = (*n).min(FAILURES - 1));
-        while self.by_job.len() > 1 && self.by_job.values().sum::<u32>() >= FAILURES {
+        let kept = FAILURES_TO_CORDON - 1;
+        self.by_job.values_mut().for_each(|failures| *failures = (*failures).min(kept));
+        while self.by_job.len() > 1 && self.by_job.values().sum::<u32>() > kept {
             self.by_job.pop_first();
         }
     }
 
-    /// `everywhere` says of a job that it fails everywhere, `well` that it did well
-    /// on some machine.
-    pub fn verdict(&self, everywhere: impl Fn(&str) -> bool, well: impl Fn(&str) -> bool) -> Verdict {
-        let attributed: Vec<(&str, u32)> =
-            self.by_job.iter().filter(|(job, _)| !everywhere(job)).map(|(job, n)| (job.as_str(), *n)).collect();
-        match attributed.iter().map(|b| b.1).sum::<u32>() {
-            n if n < FAILURES => Verdict::Well,
-            _ if attributed.len() > 1 || attributed.iter().any(|(job, _)| well(job)) => Verdict::Faulty,
-            _ => Verdict::Open,
+    /// `fails_everywhere` tells whether a job is at fault itself, `succeeded` whether a job
+    /// succeeded on some machine.
+    pub fn verdict(&self, fails_everywhere: impl Fn(&str) -> bool, succeeded: impl Fn(&str) -> bool) -> Verdict {
+        let unexplained: Vec<(&str, u32)> = self
+            .by_job
+            .iter()
+            .filter(|(job, _)| !fails_everywhere(job))
+            .map(|(job, failures)| (job.as_str(), *failures))
+            .collect();
+        let failures: u32 = unexplained.iter().map(|(_, failures)| failures).sum();
+        if failures < FAILURES_TO_CORDON {
+            Verdict::Well
+        } else if unexplained.len() > 1 || unexplained.iter().any(|(job, _)| succeeded(job)) {
+            Verdict::Faulty
+        } else {
+            Verdict::Open
         }
     }
 }
 
-/// Where tasks of one job failed.
+/// The machines on which tasks of one job failed.
 #[derive(Debug, Default)]
-pub struct Tried {
-    machines: BTreeSet<String>,
+pub struct AttemptHistory {
+    /// At most [`MACHINES_THAT_DECIDE`]: more need not be remembered.
+    failed_on: BTreeSet<String>,
 }
 
-impl Tried {
+/// The old name of [`AttemptHistory`], until all callers use the new one.
+pub type Tried = AttemptHistory;
+
+impl AttemptHistory {
+    /// A task of the job failed on this machine.
     pub fn failed_on(&mut self, machine: &str) {
-        // More than decide need not be remembered.
-        if self.machines.len() < EVERYWHERE {
-            self.machines.insert(machine.to_string());
+        if self.failed_on.len() < MACHINES_THAT_DECIDE {
+            self.failed_on.insert(machine.to_string());
         }
     }
 
-    /// Given that no task of it did well.
+    /// Whether the job fails everywhere, provided that no task of it has succeeded.
     pub fn everywhere(&self) -> bool {
-        self.machines.len() >= EVERYWHERE
+        self.failed_on.len() >= MACHINES_THAT_DECIDE
     }
 }
 
--- a/src/coordination/health.rs
+++ b/src/coordination/health.rs
@@ -1,59 +1,77 @@
-//! Whether the load balancer should send users here.
+//! Whether the load balancer should send users to this controller.
 //!
-//! It takes a node out after two failed probes, one a second, for three seconds at
-//! the least and twice as long with each further time within two minutes. A process
-//! that is back within a fraction of a second is ready before the second probe, and
-//! must not lose its users for being asked in between; so a start counts as healthy
-//! until it is known that somebody else could serve them better.
+//! The load balancer takes a controller out of rotation after two failed probes, one per
+//! second, for at least three seconds, and for twice as long with each further time within two
+//! minutes. A process that is back within a fraction of a second is ready before the second
+//! probe, and must not lose its users because it was probed in between. So a start counts as
+//! healthy until another controller is known to serve them better.
 //!
-//! - A process younger than a probe's interval is healthy: it is about to be ready.
-//! - With a view: healthy while it is fresh; while it is not, as long as no other is
-//!   much fresher and we may still act, or all are as badly off. One that has lost the
-//!   state service and hears no other controller either is alone: users go elsewhere.
-//! - Without one: unhealthy once another controller says that its view is fresh, or
-//!   once the start has taken long, unless an outage is known to hit all.
+//! - A process younger than the interval of probes is healthy: it is about to be ready.
+//! - With a replica of the state: healthy while the replica is fresh. While it is stale, healthy
+//!   as long as this controller may still act and no other one has a much fresher replica, or
+//!   if all are as stale. A controller that has lost the state service and hears no other
+//!   controller is isolated: users go elsewhere.
+//! - Without a replica: unhealthy once another controller reports a fresh one, or once the start
+//!   has taken long, unless an outage is known to affect all of them.
 
 use std::time::Duration;
 
-/// The load balancer probes about once a second (PROTOCOL).
-const PROBE: Duration = Duration::from_secs(1);
+/// The interval of the load balancer's probes (PROTOCOL).
+const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 
+/// What this controller knows of itself and of the others.
 #[derive(Debug, Clone)]
 pub struct Facts {
     /// Time since the process started.
     pub age: Duration,
-    /// The stored state is loaded and followed.
+    /// The stored state is read completely, and followed.
     pub loaded: bool,
-    /// How old our view may be; none before the first proof.
+    /// The greatest possible age of our replica; `None` before it was first proved fresh.
     pub stale: Option<Duration>,
     /// There are other controllers.
     pub has_others: bool,
-    /// How old the views of the others are that spoke of late.
+    /// The ages of the replicas of the other controllers that were heard from recently.
     pub others: Vec<Duration>,
-    /// This controller may act for all of them.
+    /// This controller may act for the cluster.
     pub entitled: bool,
-    /// The state service counts as away.
+    /// The state service counts as unavailable.
     pub store_away: bool,
-    /// Views this old count as fresh; a start this long as a long one.
+    /// Replicas up to this age count as fresh; a start that takes longer is a long one.
     pub margin: Duration,
 }
 
-pub fn healthy(f: &Facts) -> bool {
-    if f.age < PROBE || f.loaded && f.stale.is_some_and(|s| s < f.margin) {
-        return true;
+impl Facts {
+    /// All other controllers that were heard from have stale replicas.
+    fn no_other_is_fresh(&self) -> bool {
+        self.others.iter().all(|age| *age > self.margin)
+    }
+
+    /// Others report that they are no better off. Then the first request after the outage
+    /// finds a controller in rotation, and need not wait for probes.
+    fn outage_is_shared(&self) -> bool {
+        !self.others.is_empty() && self.no_other_is_fresh()
     }
-    let none_fresh = f.others.iter().all(|t| *t > f.margin);
-    // Others say that they are no better off: then the first request after the outage
-    // finds a way in, and need not wait for probes.
-    let shared = !f.others.is_empty() && none_fresh;
-    if f.loaded {
-        let ours = f.stale.unwrap_or(Duration::MAX);
-        let alone = f.has_others && f.others.is_empty();
-        let fresher = f.others.iter().any(|t| t.saturating_add(f.margin) < ours);
-        !fresher && !alone && (f.entitled || shared)
-    } else {
-        none_fresh && f.age < f.margin || shared && f.store_away
+}
+
+/// Whether this controller should get requests of users.
+pub fn healthy(facts: &Facts) -> bool {
+    let fresh = facts.loaded && facts.stale.is_some_and(|age| age < facts.margin);
+    if facts.age < PROBE_INTERVAL || fresh {
+        return true;
     }
+    if facts.loaded { healthy_with_stale_replica(facts) } else { healthy_while_starting(facts) }
+}
+
+fn healthy_with_stale_replica(facts: &Facts) -> bool {
+    let ours = facts.stale.unwrap_or(Duration::MAX);
+    let isolated = facts.has_others && facts.others.is_empty();
+    let another_is_fresher = facts.others.iter().any(|age| age.saturating_add(facts.margin) < ours);
+    !another_is_fresher && !isolated && (facts.entitled || facts.outage_is_shared())
+}
+
+fn healthy_while_starting(facts: &Facts) -> bool {
+    let quick_start = facts.age < facts.margin;
+    facts.no_other_is_fresh() && quick_start || facts.outage_is_shared() && facts.store_away
 }
 
 #[cfg(test)]
--- a/src/coordination/health/tests.rs
+++ b/src/coordination/health/tests.rs
@@ -1,3 +1,5 @@
+//! When a controller counts as healthy for the load balancer.
+
 use super::*;
 
 fn s(x: f64) -> Duration {
@@ -23,7 +25,7 @@
 /// out for having said once that they were not ready: for half a minute the fleet
 /// ran empty with nothing wrong.
 #[test]
-fn a_quick_start_keeps_its_users() {
+fn a_quick_start_stays_healthy() {
     assert!(healthy(&starting(0.1, &[])), "nobody is known to be better off");
     assert!(healthy(&starting(0.4, &[1e9, 0.2])), "it is ready before the next probe");
     assert!(healthy(&starting(1.4, &[1e9, 1e9])), "all of them start");
@@ -34,14 +36,15 @@
 
 /// Without the state service nobody can load: users stay where they are.
 #[test]
-fn an_outage_of_all_takes_nobody_out() {
+fn an_outage_of_all_controllers_leaves_all_healthy() {
     assert!(healthy(&Facts { store_away: true, ..starting(20.0, &[30.0, 1e9]) }));
     assert!(!healthy(&Facts { store_away: true, ..starting(20.0, &[]) }), "nobody else says so");
     assert!(!healthy(&Facts { store_away: true, ..starting(20.0, &[0.1, 1e9]) }), "it is we alone");
 }
 
+/// Users must not be sent to a controller that is the only one without the store.
 #[test]
-fn whoever_alone_is_refused_by_the_store_goes_out() {
+fn a_controller_that_alone_lost_the_store_is_unhealthy() {
     let view = |stale: f64, others: &[f64], entitled| Facts {
         loaded: true,
         stale: Some(s(stale)),
--- /dev/null
+++ b/src/coordination/shards/assignment.rs
@@ -0,0 +1,200 @@
+//! Which controller may place which of a job's tasks.
+
+use crate::placement::{MachineCapacity, zone_capacity};
+use crate::protocol::user::JobSpec;
+use crate::state::records::TaskRange;
+use std::cmp::Reverse;
+use std::collections::BTreeMap;
+use std::hash::{DefaultHasher, Hash, Hasher};
+
+/// What an assignment of tasks depends on besides the job itself.
+pub struct AssignmentInputs<'a> {
+    pub members: &'a [String],
+    /// The capacities of all machines, with the members that own them.
+    pub capacities: &'a [(String, MachineCapacity)],
+    /// Cores that tasks assigned to each member wait for, ahead of the job's own tasks.
+    pub queues: &'a BTreeMap<String, f64>,
+    /// The number of tasks whose state shares a record. They are assigned together, so that
+    /// every record has one writer.
+    pub grain: u32,
+    /// Tasks of the job per zone that are, or may still be, on machines.
+    pub zones: &'a BTreeMap<String, u32>,
+    /// Waiting tasks with the job's image that are assigned to each member: their machines
+    /// will fetch it.
+    pub alike: &'a BTreeMap<String, u32>,
+}
+
+/// The number of tasks that a shard has room for.
+#[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
+struct Room {
+    tasks: u32,
+    /// Those of `tasks` on machines that hold the job's image.
+    with_image: u32,
+}
+
+impl Room {
+    fn plus(self, other: Room) -> Room {
+        Room { tasks: self.tasks + other.tasks, with_image: self.with_image + other.with_image }
+    }
+
+    fn at_most(self, tasks: u32) -> Room {
+        Room { tasks: self.tasks.min(tasks), with_image: self.with_image.min(tasks) }
+    }
+}
+
+/// How many tasks of the job each member's shard has room for, in zones where the job may
+/// have them, given those it has in each zone already.
+fn room_by_member<'a>(
+    capacities: &'a [(String, MachineCapacity)],
+    spec: &JobSpec,
+    zones: &BTreeMap<String, u32>,
+) -> BTreeMap<&'a str, Room> {
+    let mut by_zone: BTreeMap<(&str, &str), Room> = BTreeMap::new();
+    for (member, capacity) in capacities {
+        let tasks = capacity.fits(spec).min(spec.task_count);
+        if tasks > 0 {
+            let with_image = if capacity.has_image(spec) { tasks } else { 0 };
+            let room = by_zone.entry((member, &capacity.zone)).or_default();
+            *room = room.plus(Room { tasks, with_image });
+        }
+    }
+    let mut by_member: BTreeMap<&str, Room> = BTreeMap::new();
+    for ((member, zone), room) in by_zone {
+        let in_zone = room.at_most(zone_capacity(spec, spec.task_count, zones, zone));
+        let total = by_member.entry(member).or_default();
+        *total = if spec.zone_affinity { (*total).max(in_zone) } else { total.plus(in_zone) };
+    }
+    by_member
+}
+
+/// What one member's shard has to offer a job.
+struct Offer<'a> {
+    member: &'a str,
+    /// Tasks of the job that it has room for once its queue is served; negative where the
+    /// queue is longer than its room.
+    fits: i64,
+    /// Tasks of the job that find its image there.
+    with_image: u32,
+    /// Machines that hold the image, and waiting tasks that will fetch it.
+    image_copies: u32,
+}
+
+impl AssignmentInputs<'_> {
+    /// The number of the job's tasks that each member has room for once its queue is served;
+    /// negative where the queue is longer than its room.
+    pub fn capacity(&self, spec: &JobSpec) -> Vec<(&str, i64)> {
+        self.offers(spec).into_iter().map(|offer| (offer.member, offer.fits)).collect()
+    }
+
+    /// The member's queue, in tasks of the job.
+    fn queued_tasks(&self, spec: &JobSpec, member: &str) -> i64 {
+        (self.queues.get(member).copied().unwrap_or(0.0) / spec.cores.max(f64::MIN_POSITIVE)) as i64
+    }
+
+    /// What each member offers the job, in the order of `members`.
+    fn offers(&self, spec: &JobSpec) -> Vec<Offer<'_>> {
+        let rooms = room_by_member(self.capacities, spec, self.zones);
+        let image_copies = self.image_copies(spec);
+        let offer = |member| {
+            let room = rooms.get(member).copied().unwrap_or_default();
+            Offer {
+                member,
+                fits: i64::from(room.tasks) - self.queued_tasks(spec, member),
+                with_image: room.with_image,
+                image_copies: image_copies.get(member).copied().unwrap_or(0),
+            }
+        };
+        self.members.iter().map(String::as_str).map(offer).collect()
+    }
+
+    /// The number of places in each member's shard that hold the job's image or will fetch it.
+    fn image_copies(&self, spec: &JobSpec) -> BTreeMap<String, u32> {
+        let mut copies = self.alike.clone();
+        for (member, _) in self.capacities.iter().filter(|(_, capacity)| capacity.has_image(spec)) {
+            *copies.entry(member.clone()).or_default() += 1;
+        }
+        copies
+    }
+
+    /// The offers, those first that serve `waiting` tasks best: where the image is, then where
+    /// it will be, then where there is most room. Of equal ones, `me` comes first.
+    fn offers_by_preference(&self, spec: &JobSpec, waiting: u32, me: &str) -> Vec<Offer<'_>> {
+        let mut offers = self.offers(spec);
+        offers.sort_by_key(|o| {
+            (Reverse(o.with_image.min(waiting)), Reverse(o.image_copies), Reverse(o.fits), o.member != me)
+        });
+        offers
+    }
+}
+
+/// Assigns a job's tasks to the members whose shards can hold them: all to one member where
+/// they fit, best where the image is or will be, so that few machines fetch it; else to the
+/// shortest queues. `waiting` are the tasks in question; all others are assigned along with
+/// them. `whole` jobs are never split.
+pub fn assign_task_ranges(
+    spec: &JobSpec,
+    waiting: &[u32],
+    inputs: &AssignmentInputs,
+    me: &str,
+    whole: bool,
+) -> Vec<TaskRange> {
+    let count = waiting.len() as u32;
+    let offers = inputs.offers_by_preference(spec, count, me);
+    if offers.is_empty() {
+        return all_tasks_to(spec, me);
+    }
+    if let Some(offer) = offers.iter().find(|offer| offer.fits >= i64::from(count)) {
+        return all_tasks_to(spec, offer.member);
+    }
+    if whole {
+        let member = member_to_wait_for(spec, &offers, inputs);
+        return all_tasks_to(spec, member.unwrap_or(me));
+    }
+    split_by_record(spec, waiting, &offers, inputs.grain.max(1))
+}
+
+fn all_tasks_to(spec: &JobSpec, member: &str) -> Vec<TaskRange> {
+    vec![TaskRange { member: member.to_string(), from: 0, to: spec.task_count - 1 }]
+}
+
+/// The member for a job that fits nowhere now and cannot be split: it waits where others with
+/// its image wait, unless it would have to wait for much longer there.
+fn member_to_wait_for<'a>(spec: &JobSpec, offers: &[Offer<'a>], inputs: &AssignmentInputs) -> Option<&'a str> {
+    let most = offers.iter().map(|offer| offer.fits).max()?;
+    let queued = offers.iter().map(|offer| inputs.queued_tasks(spec, offer.member)).sum::<i64>();
+    let average_queue = queued / offers.len() as i64;
+    let tolerable = offers.iter().filter(|offer| offer.fits >= most - average_queue);
+    let best = tolerable.max_by_key(|offer| (offer.image_copies, tie_breaker(&spec.image, offer.member)))?;
+    Some(best.member)
+}
+
+/// A pseudo-random order of members for an image that no shard holds. All controllers compute
+/// the same one.
+fn tie_breaker(image: &str, member: &str) -> u64 {
+    let mut hasher = DefaultHasher::new();
+    (image, member).hash(&mut hasher);
+    hasher.finish()
+}
+
+/// Splits the waiting tasks between the members, each record's tasks in turn to the member
+/// with the most room left. A member's range extends to where the next one begins, so that
+/// the ranges cover all of the job's tasks.
+fn split_by_record(spec: &JobSpec, waiting: &[u32], offers: &[Offer], tasks_per_record: u32) -> Vec<TaskRange> {
+    let mut rooms: Vec<i64> = offers.iter().map(|offer| offer.fits).collect();
+    let mut ranges: Vec<TaskRange> = Vec::new();
+    for tasks in waiting.chunk_by(|a, b| a / tasks_per_record == b / tasks_per_record) {
+        let Some(chosen) = (0..offers.len()).max_by_key(|i| (rooms[*i], Reverse(*i))) else { break };
+        rooms[chosen] -= tasks.len() as i64;
+        let member = offers[chosen].member;
+        let mut from = 0;
+        if let Some(last) = ranges.last_mut() {
+            if last.member == member {
+                continue;
+            }
+            from = tasks[0] / tasks_per_record * tasks_per_record;
+            last.to = from - 1;
+        }
+        ranges.push(TaskRange { member: member.to_string(), from, to: spec.task_count - 1 });
+    }
+    ranges
+}
--- a/src/coordination/shards/tests.rs
+++ b/src/coordination/shards/tests.rs
@@ -1,15 +1,19 @@
+//! Which member the tasks of a job are assigned to.
+
 use super::*;
+use crate::protocol::user::JobSpec;
+use std::collections::BTreeMap;
 
-/// A job leased whole to a controller with a queue waited there while
-/// other blocks stood free a second later.
+/// A job assigned as a whole to a controller with a queue waited there while
+/// other shards stood free a second later.
 #[test]
-fn tasks_that_wait_go_to_the_shortest_queues() {
+fn waiting_tasks_are_assigned_to_the_shortest_queues() {
     let mut s = JobSpec::example("run-1");
     s.cores = 1.0;
     s.task_count = 30;
     let members = ["a", "b", "c"].map(String::from);
     let queues = BTreeMap::from([("a".to_string(), 40.0), ("b".to_string(), 5.0)]);
-    let shards = Shards {
+    let inputs = AssignmentInputs {
         members: &members,
         capacities: &[],
         queues: &queues,
@@ -17,16 +21,16 @@
         zones: &BTreeMap::new(),
         alike: &BTreeMap::new(),
     };
-    let waits: Vec<u32> = (0..30).collect();
-    let task_ranges = lease(&s, &waits, &shards, "a", false);
+    let waiting: Vec<u32> = (0..30).collect();
+    let task_ranges = assign_task_ranges(&s, &waiting, &inputs, "a", false);
     let of = |m: &str| task_ranges.iter().filter(|s| s.member == m).map(|s| s.to - s.from + 1).sum::<u32>();
     assert_eq!((of("a"), of("b"), of("c")), (0, 10, 20));
     // Two writers of one record would refuse each other's starts.
     assert!(task_ranges.iter().all(|s| s.from % 10 == 0));
-    assert_eq!(lease(&s, &waits, &shards, "a", true)[0].member, "c");
+    assert_eq!(assign_task_ranges(&s, &waiting, &inputs, "a", true)[0].member, "c");
 }
 
-/// A block with much room in one zone only cannot hold a job that must be
+/// A shard with much room in one zone only cannot hold a job that must be
 /// apart, nor one with little room in each a gang that must be together.
 #[test]
 fn a_task_range_counts_capacity_where_the_job_may_use_it() {
@@ -40,19 +44,25 @@
     let capacities = [capacity("a", "x", 8.0), capacity("b", "x", 2.0), capacity("b", "y", 3.0)];
     let members = ["a", "b"].map(String::from);
     let (queues, zones, alike) = Default::default();
-    let shards =
-        Shards { members: &members, capacities: &capacities, queues: &queues, grain: 8, zones: &zones, alike: &alike };
-    let holder = |s: &JobSpec| lease(s, &[0, 1, 2, 3], &shards, "a", true)[0].member.clone();
+    let inputs = AssignmentInputs {
+        members: &members,
+        capacities: &capacities,
+        queues: &queues,
+        grain: 8,
+        zones: &zones,
+        alike: &alike,
+    };
+    let holder = |s: &JobSpec| assign_task_ranges(s, &[0, 1, 2, 3], &inputs, "a", true)[0].member.clone();
     s.zone_anti_affinity = true;
     assert_eq!(holder(&s), "b");
     (s.zone_anti_affinity, s.zone_affinity) = (false, true);
     assert_eq!(holder(&s), "a");
 }
 
-/// Each block had a few replicas of every image, each on a machine of its
+/// Each shard had a few replicas of every image, each on a machine of its
 /// own that had to fetch it: jobs wait where their image is or will be.
 #[test]
-fn jobs_with_one_image_gather_in_one_block() {
+fn jobs_with_one_image_are_assigned_to_one_shard() {
     let mut s = JobSpec::example("run-1");
     s.kind = crate::protocol::user::JobKind::Service;
     let members = ["a", "b", "c"].map(String::from);
@@ -60,9 +70,15 @@
         let queues = queues.iter().map(|(m, q)| (m.to_string(), *q)).collect();
         let alike = alike.iter().map(|(m, n)| (m.to_string(), *n)).collect();
         let zones = BTreeMap::new();
-        let shards =
-            Shards { members: &members, capacities: &[], queues: &queues, grain: 8, zones: &zones, alike: &alike };
-        lease(&s, &[0, 1], &shards, "a", true)[0].member.clone()
+        let inputs = AssignmentInputs {
+            members: &members,
+            capacities: &[],
+            queues: &queues,
+            grain: 8,
+            zones: &zones,
+            alike: &alike,
+        };
+        assign_task_ranges(&s, &[0, 1], &inputs, "a", true)[0].member.clone()
     };
     assert_eq!(holder(&[("a", 4.0), ("b", 2.0), ("c", 6.0)], &[("c", 2)]), "c");
     assert_eq!(holder(&[("a", 4.0), ("b", 2.0), ("c", 6.0)], &[("b", 1), ("c", 2)]), "c");
--- a/src/retry.rs
+++ b/src/retry.rs
@@ -1,42 +1,49 @@
-//! When what failed is tried again: one policy for every call to the state
-//! service and to the cloud. Callers name a purpose; pauses, jitter and the
-//! breaker are decided here. How much may go at all is the business of the rate
-//! limits, not of this.
+//! When failed calls are retried: one policy for every call to the state service and to the
+//! cloud, and the times at which refused clients are told to come back.
 //!
-//! - After a failure a purpose pauses, up to twice as long with each further
-//!   one, by full jitter: controllers that failed together come back apart.
-//!   A write that fails alone, between answers to others, holds none back.
-//! - Several failures in a row of whatever purposes open the breaker of that
-//!   side. While it is open only probes go, one at a time, at their own pace.
-//!   The first answer closes it and ends every pause: what waited for the side
-//!   to be back waits no longer than for one probe.
+//! Callers name a purpose; pauses, jitter and the circuit breaker are decided here. How many
+//! calls may be made at all is decided by the rate limits, not here.
 //!
-//! Invariant: a probe is never refused for longer than its own longest pause, so
-//! a side that answers again is always noticed.
+//! - After a failure a purpose pauses, with exponential backoff and full jitter, so that
+//!   controllers that failed together come back at different times. A write that fails alone,
+//!   between answers to others, delays no other write.
+//! - Several failures in a row, of whatever purposes, open the circuit breaker of that
+//!   service. While it is open only probes are sent, each purpose at its own pace. The first
+//!   answer closes the breaker and ends every pause: what waited for the service waits no
+//!   longer than for one probe.
+//!
+//! Invariant: a probe is never delayed for longer than its own longest pause, so a service
+//! that answers again is always noticed.
 
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// What is asked, and so of whom.
+/// What a call is for, and so which service it goes to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Purpose {
-    /// A lease at the state service.
+    /// The grant of a lease at the state service.
     Lease,
+    /// The renewal of the lease.
     Renew,
-    /// Pages of the first load.
+    /// A page of the initial scan.
     Load,
     Watch,
-    /// The read that proves the view fresh.
+    /// The read that proves the replica fresh.
     Barrier,
     Write,
+    /// The cloud's machine types.
     Catalog,
+    /// The cloud's list of machines.
     List,
+    /// Provisioning of machines.
     Rent,
+    /// Return of machines.
     Release,
 }
 
+/// A service that is called; each has a circuit breaker of its own.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Side {
     State,
@@ -44,6 +51,7 @@
 }
 
 impl Purpose {
+    /// The service that is called.
     pub fn side(self) -> Side {
         match self {
             Purpose::Lease | Purpose::Renew | Purpose::Load | Purpose::Watch | Purpose::Barrier | Purpose::Write => {
@@ -53,8 +61,9 @@
         }
     }
 
-    /// Goes while the breaker is open: cheap, and changes nothing by itself.
-    fn probes(self) -> bool {
+    /// Whether such calls are sent while the breaker is open: they are cheap, and change
+    /// nothing by themselves.
+    fn is_probe(self) -> bool {
         matches!(
             self,
             Purpose::Lease | Purpose::Renew | Purpose::Load | Purpose::Barrier | Purpose::Catalog | Purpose::List
@@ -65,204 +74,151 @@
 /// How a call ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// Any answer that is a decision, a refusal of the request among them.
+    /// Any answer that is a decision, including a refusal of the request.
     Answered,
-    /// Over a rate limit: this purpose pauses, the side is well.
+    /// Over a rate limit: this purpose pauses, but the service is available.
     Limited,
-    /// 503 or no answer.
+    /// Status 503, or no answer.
     Failed,
 }
 
-/// So many failures in a row, and the side counts as away.
-const OPENS_AFTER: u32 = 3;
-/// Pauses double this many times at most.
-const DOUBLINGS: u32 = 2;
+/// This many failures in a row open the breaker.
+const FAILURES_TO_OPEN: u32 = 3;
+/// The longest pause is the shortest one, doubled this many times.
+const MAX_DOUBLINGS: u32 = 2;
 
+/// The backoff of one purpose.
 #[derive(Debug, Clone, Copy, Default)]
-struct State {
+struct Backoff {
+    /// Failures in a row.
     failures: u32,
     not_before: Duration,
-    /// Since the last summary.
+    /// Failures since the last summary.
     failed: u32,
 }
 
+/// The retry policy of one controller, and the state of its circuit breakers.
 #[derive(Debug)]
-pub struct Retries {
+pub struct RetryPolicy {
     rng: SmallRng,
     /// The shortest pause by purpose.
-    base: BTreeMap<Purpose, Duration>,
-    state: BTreeMap<Purpose, State>,
+    base_pauses: BTreeMap<Purpose, Duration>,
+    purposes: BTreeMap<Purpose, Backoff>,
+    /// Failures in a row, by service.
     failures: BTreeMap<Side, u32>,
 }
 
-impl Retries {
-    pub fn new(seed: u64, base: impl IntoIterator<Item = (Purpose, Duration)>) -> Retries {
-        Retries {
+/// The old name of [`RetryPolicy`], until all callers use the new one.
+pub type Retries = RetryPolicy;
+
+impl RetryPolicy {
+    /// `base` has the shortest pause of each purpose.
+    pub fn new(seed: u64, base: impl IntoIterator<Item = (Purpose, Duration)>) -> RetryPolicy {
+        RetryPolicy {
             rng: SmallRng::seed_from_u64(seed),
-            base: base.into_iter().collect(),
-            state: BTreeMap::new(),
+            base_pauses: base.into_iter().collect(),
+            purposes: BTreeMap::new(),
             failures: BTreeMap::new(),
         }
     }
 
-    /// Whether the side of the purpose counts as away.
+    /// Whether the service's circuit breaker is open: it counts as unavailable.
     pub fn is_open(&self, side: Side) -> bool {
-        self.failures.get(&side).is_some_and(|n| *n >= OPENS_AFTER)
+        self.failures.get(&side).is_some_and(|failures| *failures >= FAILURES_TO_OPEN)
     }
 
-    /// Whether a call for this purpose may go now.
+    /// Whether a call for this purpose may be made now.
     pub fn may(&self, purpose: Purpose, now: Duration) -> bool {
-        let due = self.state.get(&purpose).is_none_or(|s| now >= s.not_before);
-        due && (purpose.probes() || !self.is_open(purpose.side()))
+        let due = self.purposes.get(&purpose).is_none_or(|backoff| now >= backoff.not_before);
+        due && (purpose.is_probe() || !self.is_open(purpose.side()))
     }
 
-    /// Takes in how a call ended.
+    /// Records how a call ended.
     pub fn ended(&mut self, purpose: Purpose, outcome: Outcome, now: Duration) {
+        self.update_breaker(purpose, outcome, now);
+        self.update_backoff(purpose, outcome, now);
+    }
+
+    /// Counts failures of the service, and closes its breaker with the first answer.
+    fn update_breaker(&mut self, purpose: Purpose, outcome: Outcome, now: Duration) {
         let side = purpose.side();
         if outcome == Outcome::Failed {
-            *self.failures.entry(side).or_default() += 1;
-            if self.failures[&side] == OPENS_AFTER {
+            let failures = self.failures.entry(side).or_default();
+            *failures += 1;
+            if *failures == FAILURES_TO_OPEN {
                 tracing::info!(?side, ?purpose, "does not answer, only probes go");
             }
-        } else if self.failures.insert(side, 0).is_some_and(|n| n >= OPENS_AFTER) {
+            return;
+        }
+        let was_open = self.failures.insert(side, 0).is_some_and(|failures| failures >= FAILURES_TO_OPEN);
+        if was_open {
             tracing::info!(?side, "answers again");
-            for (p, s) in &mut self.state {
-                if p.side() == side {
-                    (s.failures, s.not_before) = (0, now);
-                }
+            for (_, backoff) in self.purposes.iter_mut().filter(|(purpose, _)| purpose.side() == side) {
+                backoff.failures = 0;
+                backoff.not_before = now;
             }
         }
-        // Writes are many at a time: where one alone gets no answer, others do.
-        let lone = purpose == Purpose::Write && outcome == Outcome::Failed && self.failures[&side] == 1;
-        let base = self.base.get(&purpose).copied().unwrap_or_default();
-        let s = self.state.entry(purpose).or_default();
+    }
+
+    /// Pauses the purpose after a failure. Expects the failure in the breaker's count already.
+    fn update_backoff(&mut self, purpose: Purpose, outcome: Outcome, now: Duration) {
+        // Many writes are in flight at a time: where a single one gets no answer, others do.
+        let failed_alone =
+            purpose == Purpose::Write && outcome == Outcome::Failed && self.failures[&purpose.side()] == 1;
+        let base = self.base_pauses.get(&purpose).copied().unwrap_or_default();
+        let backoff = self.purposes.entry(purpose).or_default();
         if outcome == Outcome::Answered {
-            s.failures = 0;
+            backoff.failures = 0;
             return;
         }
-        s.failed += 1;
-        let most = base * 2u32.pow(s.failures.min(DOUBLINGS));
-        s.failures += 1;
-        if lone {
+        backoff.failed += 1;
+        let longest = base * 2u32.pow(backoff.failures.min(MAX_DOUBLINGS));
+        backoff.failures += 1;
+        if failed_alone {
             return;
         }
-        // Half of it is certain, so that a loop of failures is never a flood.
-        s.not_before = now + base / 2 + most.mul_f64(self.rng.random_range(0.0..1.0));
+        // Half of the shortest pause is certain, so that a loop of failures is never a flood.
+        backoff.not_before = now + base / 2 + longest.mul_f64(self.rng.random_range(0.0..1.0));
     }
 
-    /// Failures by purpose since the last call.
+    /// The number of failures by purpose since the last call.
     pub fn take_counts(&mut self) -> Vec<(Purpose, u32)> {
-        let counts = self.state.iter_mut().map(|(p, s)| (*p, std::mem::take(&mut s.failed)));
-        counts.filter(|(_, n)| *n > 0).collect()
+        let counts = self.purposes.iter_mut().map(|(p, backoff)| (*p, std::mem::take(&mut backoff.failed)));
+        counts.filter(|(_, failed)| *failed > 0).collect()
     }
 }
 
-/// When clients that were refused may come back: each gets a place of its own in
-/// what can be taken, so that a crowd that comes at once returns spread out.
+/// The times at which refused clients are told to come back (`Retry-After`).
+///
+/// Every client gets a time slot of its own in what can be served, so that a crowd that comes
+/// at once returns spread out.
 #[derive(Debug, Default)]
-pub struct Returns {
-    /// The last place that was given away.
+pub struct RetryAfter {
+    /// The last time slot that was given away.
     last: Duration,
 }
 
-/// Places are given away this many times over: what is told is a time to come
-/// back, not a seat that is kept, and places that go unused are lost. With each
-/// given once, the last of a crowd was accepted after 24 s instead of 10 s
-/// (simulated machines).
-const OVERBOOKED: f64 = 4.0;
-/// PROTOCOL: clients wait no longer than this, whatever they are told.
+/// The old name of [`RetryAfter`], until all callers use the new one.
+pub type Returns = RetryAfter;
+
+/// Each time slot is given away this many times: clients are told when to come back, but no
+/// slot is kept for them, and unused ones are lost. With each slot given away once, the last
+/// of a crowd was accepted after 24 s instead of 10 s (simulated machines).
+const OVERBOOKING: f64 = 4.0;
+/// Clients wait no longer than this many seconds, whatever they are told (PROTOCOL).
 const LONGEST_S: u64 = 30;
 
-impl Returns {
-    /// Whole seconds, at least one, until the next free place; `rate` requests
-    /// a second can be taken.
+impl RetryAfter {
+    /// Whole seconds, at least one, until the next free time slot, where `rate` requests per
+    /// second can be served.
     pub fn after(&mut self, now: Duration, rate: f64) -> u32 {
         let soonest = now + Duration::from_secs(1);
         let longest = now + Duration::from_secs(LONGEST_S);
-        let gap = Duration::from_secs_f64(1.0 / (rate * OVERBOOKED).max(1.0));
+        let gap = Duration::from_secs_f64(1.0 / (rate * OVERBOOKING).max(1.0));
         self.last = (self.last.max(soonest) + gap).min(longest);
         self.last.saturating_sub(now).as_secs() as u32
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn s(x: f64) -> Duration {
-        Duration::from_secs_f64(x)
-    }
-
-    fn retries(seed: u64) -> Retries {
-        let all = [Purpose::Lease, Purpose::Barrier, Purpose::Write, Purpose::Rent, Purpose::List];
-        Retries::new(seed, all.map(|p| (p, s(1.0))))
-    }
-
-    /// Seven controllers that an outage hit together wrote together again.
-    #[test]
-    fn pauses_grow_and_differ_between_controllers() {
-        let pause = |seed, failures| {
-            let mut r = retries(seed);
-            (0..failures).for_each(|_| r.ended(Purpose::Write, Outcome::Limited, s(0.0)));
-            r.state[&Purpose::Write].not_before.as_secs_f64()
-        };
-        let first: Vec<f64> = (0..7).map(|n| pause(n, 1)).collect();
-        assert!(first.iter().all(|p| (0.5..1.5).contains(p)), "{first:?}");
-        assert!(first.iter().any(|p| (p - first[0]).abs() > 0.1));
-        assert!((0..200).any(|n| pause(n, 9) > 2.0) && (0..200).all(|n| pause(n, 99) <= 4.5));
-    }
-
-    /// An outage: one probe at a time, and no wait once it is over.
-    #[test]
-    fn the_breaker_lets_probes_through_and_closes_with_the_first_answer() {
-        let mut r = retries(1);
-        for _ in 0..OPENS_AFTER {
-            r.ended(Purpose::Write, Outcome::Failed, s(0.0));
-        }
-        assert!(r.is_open(Side::State) && !r.is_open(Side::Cloud));
-        assert!(!r.may(Purpose::Write, s(60.0)), "a write is no probe");
-        assert!(r.may(Purpose::Barrier, s(0.0)) && r.may(Purpose::Lease, s(0.0)));
-        r.ended(Purpose::Barrier, Outcome::Failed, s(0.0));
-        assert!(!r.may(Purpose::Barrier, s(0.4)) && r.may(Purpose::Barrier, s(1.5)));
-        r.ended(Purpose::Barrier, Outcome::Answered, s(0.1));
-        assert!(!r.is_open(Side::State) && r.may(Purpose::Write, s(0.1)), "waits on though it answers");
-    }
-
-    /// After a start a thousand users came back after one second, all of them.
-    #[test]
-    fn a_crowd_gets_spread_retry_after_times() {
-        let mut r = Returns::default();
-        let told: Vec<u32> = (0..4000).map(|_| r.after(s(5.0), 50.0)).collect();
-        assert_eq!((told[0], told[198], told[2000]), (1, 1, 11));
-        assert!(told.windows(2).all(|w| w[0] <= w[1]) && told.iter().max() <= Some(&30));
-        assert_eq!(r.after(s(60.0), 50.0), 1, "the crowd is gone");
-    }
-
-    /// A quarter of all writes got no answer: all others would have waited most of the time.
-    #[test]
-    fn a_write_that_fails_alone_holds_no_other_back() {
-        let mut r = retries(1);
-        for n in 0..20 {
-            r.ended(Purpose::Write, Outcome::Failed, s(f64::from(n)));
-            assert!(r.may(Purpose::Write, s(f64::from(n))));
-            r.ended(Purpose::Write, Outcome::Answered, s(f64::from(n)));
-        }
-        r.ended(Purpose::Write, Outcome::Failed, s(30.0));
-        r.ended(Purpose::Write, Outcome::Failed, s(30.0));
-        assert!(!r.may(Purpose::Write, s(30.1)), "two in a row are no chance");
-    }
-
-    /// Writes over the limit are no outage: reads and renewals go on.
-    #[test]
-    fn limits_and_refusals_open_nothing() {
-        let mut r = retries(1);
-        for _ in 0..20 {
-            r.ended(Purpose::Write, Outcome::Limited, s(0.0));
-            r.ended(Purpose::Rent, Outcome::Answered, s(0.0));
-        }
-        assert!(!r.is_open(Side::State) && !r.is_open(Side::Cloud));
-        assert!(!r.may(Purpose::Write, s(0.1)) && r.may(Purpose::Lease, s(0.0)) && r.may(Purpose::Rent, s(0.0)));
-        assert_eq!(r.take_counts(), vec![(Purpose::Write, 20)]);
-        assert!(r.take_counts().is_empty());
-    }
-}
+mod tests;
--- /dev/null
+++ b/src/retry/tests.rs
@@ -0,0 +1,84 @@
+//! When failed calls are retried, and when clients are told to come back.
+
+use super::*;
+
+fn s(x: f64) -> Duration {
+    Duration::from_secs_f64(x)
+}
+
+fn policy(seed: u64) -> RetryPolicy {
+    let all = [Purpose::Lease, Purpose::Barrier, Purpose::Write, Purpose::Rent, Purpose::List];
+    RetryPolicy::new(seed, all.map(|p| (p, s(1.0))))
+}
+
+/// Seven controllers that an outage hit together wrote together again.
+#[test]
+fn pauses_grow_and_differ_between_controllers() {
+    let pause = |seed, failures| {
+        let mut retries = policy(seed);
+        (0..failures).for_each(|_| retries.ended(Purpose::Write, Outcome::Limited, s(0.0)));
+        retries.purposes[&Purpose::Write].not_before.as_secs_f64()
+    };
+    let first: Vec<f64> = (0..7).map(|n| pause(n, 1)).collect();
+    assert!(first.iter().all(|p| (0.5..1.5).contains(p)), "{first:?}");
+    assert!(first.iter().any(|p| (p - first[0]).abs() > 0.1));
+    assert!((0..200).any(|n| pause(n, 9) > 2.0) && (0..200).all(|n| pause(n, 99) <= 4.5));
+}
+
+/// An outage: one probe at a time, and no wait once it is over.
+#[test]
+fn an_open_breaker_admits_probes_and_closes_with_the_first_answer() {
+    let mut retries = policy(1);
+    for _ in 0..FAILURES_TO_OPEN {
+        retries.ended(Purpose::Write, Outcome::Failed, s(0.0));
+    }
+    assert!(retries.is_open(Side::State) && !retries.is_open(Side::Cloud));
+    assert!(!retries.may(Purpose::Write, s(60.0)), "a write is no probe");
+    assert!(retries.may(Purpose::Barrier, s(0.0)) && retries.may(Purpose::Lease, s(0.0)));
+    retries.ended(Purpose::Barrier, Outcome::Failed, s(0.0));
+    assert!(!retries.may(Purpose::Barrier, s(0.4)) && retries.may(Purpose::Barrier, s(1.5)));
+    retries.ended(Purpose::Barrier, Outcome::Answered, s(0.1));
+    assert!(!retries.is_open(Side::State) && retries.may(Purpose::Write, s(0.1)), "waits on though it answers");
+}
+
+/// After a start a thousand users came back after one second, all of them.
+#[test]
+fn a_crowd_gets_spread_retry_after_times() {
+    let mut retries = RetryAfter::default();
+    let told: Vec<u32> = (0..4000).map(|_| retries.after(s(5.0), 50.0)).collect();
+    assert_eq!((told[0], told[198], told[2000]), (1, 1, 11));
+    assert!(told.windows(2).all(|w| w[0] <= w[1]) && told.iter().max() <= Some(&30));
+    assert_eq!(retries.after(s(60.0), 50.0), 1, "the crowd is gone");
+}
+
+/// A quarter of all writes got no answer: all others would have waited most of the time.
+#[test]
+fn a_single_failed_write_delays_no_other_write() {
+    let mut retries = policy(1);
+    for n in 0..20 {
+        retries.ended(Purpose::Write, Outcome::Failed, s(f64::from(n)));
+        assert!(retries.may(Purpose::Write, s(f64::from(n))));
+        retries.ended(Purpose::Write, Outcome::Answered, s(f64::from(n)));
+    }
+    retries.ended(Purpose::Write, Outcome::Failed, s(30.0));
+    retries.ended(Purpose::Write, Outcome::Failed, s(30.0));
+    assert!(!retries.may(Purpose::Write, s(30.1)), "two in a row are no chance");
+}
+
+/// Writes over the limit are no outage: reads and renewals go on.
+#[test]
+fn rate_limits_and_refusals_do_not_open_the_breaker() {
+    let mut retries = policy(1);
+    for _ in 0..20 {
+        retries.ended(Purpose::Write, Outcome::Limited, s(0.0));
+        retries.ended(Purpose::Rent, Outcome::Answered, s(0.0));
+    }
+    assert!(!retries.is_open(Side::State) && !retries.is_open(Side::Cloud));
+    assert!(
+        !retries.may(Purpose::Write, s(0.1))
+            && retries.may(Purpose::Lease, s(0.0))
+            && retries.may(Purpose::Rent, s(0.0))
+    );
+    assert_eq!(retries.take_counts(), vec![(Purpose::Write, 20)]);
+    assert!(retries.take_counts().is_empty());
+}
