--- /dev/null
+++ b/src/placement/knapsack/tests.rs
@@ -0,0 +1,48 @@
+//! The knapsack against an exhaustive search.
+
+use super::*;
+use rand::{RngExt, SeedableRng, rngs::StdRng};
+
+/// The greatest value, found by trying every set.
+fn best_value(groups: &[Group], free: Steps) -> f32 {
+    let Some((g, rest)) = groups.split_first() else {
+        return 0.0;
+    };
+    let mut best: f32 = 0.0;
+    for n in 0..=g.count {
+        let left = [0, 1, 2].map(|d| free[d].checked_sub(n * g.steps()[d]));
+        let [Some(mem), Some(cpu), Some(gpu)] = left else { break };
+        best = best.max(n as f32 * g.value + best_value(rest, [mem, cpu, gpu]));
+    }
+    best
+}
+
+/// In all dimensions; among the cases are many where some cannot bind, and
+/// leaving those out must not change the value.
+#[test]
+fn finds_the_value_of_an_exhaustive_search() {
+    let mut rng = StdRng::seed_from_u64(7);
+    let mut knapsack = Knapsack::default();
+    for round in 0..600 {
+        let gpus = if round % 3 == 0 { 1 } else { 5 };
+        let groups: Vec<Group> = (0..rng.random_range(1..5))
+            .map(|id| Group {
+                id,
+                count: rng.random_range(0..6),
+                mem: rng.random_range(0..9),
+                cpu: rng.random_range(0..9),
+                gpu: rng.random_range(0..gpus),
+                value: value(rng.random_range(0.0..8.0), 8.0),
+            })
+            .collect();
+        let free = [rng.random_range(0..30), rng.random_range(0..30), rng.random_range(0..12)];
+        let took = knapsack.fill(&groups, free);
+        let total = |f: &dyn Fn(&Group) -> f32| -> f32 { took.iter().map(|(id, n)| f(&groups[*id]) * *n as f32).sum() };
+        for (d, free) in free.iter().enumerate() {
+            assert!(total(&|g| g.steps()[d] as f32) <= *free as f32, "round {round}");
+        }
+        assert!(took.iter().all(|(id, n)| *n <= groups[*id].count));
+        let (got, want) = (total(&|g| g.value), best_value(&groups, free));
+        assert!((got - want).abs() < 1e-3, "round {round}: {got} {want}");
+    }
+}
