--- a/tests/connectivity/mod.rs
+++ b/tests/connectivity/mod.rs
@@ -2,15 +2,13 @@
 //! controller could answer for loses its lease, and nothing that lives is returned.
 
 use crate::reconciliation::seeds;
-use crate::running;
+use crate::world::helpers::{running, with_spare_machines};
 use crate::world::{CANCEL_S, LEASE_S, SMALL, Size, World, array, s, service};
 use rand::RngExt;
 
 fn fleet(seed: u64, controllers: usize, machines: u32, write_rps: f64) -> World {
     let size = Size { controllers, machines, write_rps, zones: &["a", "b"], ..SMALL };
-    let mut w = World::sized(seed, size);
-    w.cloud.most = machines as usize + 20;
-    w
+    with_spare_machines(seed, size, 20)
 }
 
 /// Tasks that a lapsed lease ended.
@@ -20,7 +18,7 @@
 
 /// The store takes less than submissions and starts of services want to write;
 /// they overdraw, and the claim to a vacant lead waited for a level above nothing.
-/// Nobody led for a minute, and the tasks of the leader's block lapsed.
+/// Nobody led for a minute, and the tasks of the leader's shard lapsed.
 #[test]
 fn leadership_is_taken_however_much_is_written() {
     let mut w = fleet(30, 5, 60, 12.0);
@@ -57,7 +55,7 @@
     }
 }
 
-/// Cut from the store, held or refused, with answers lost: the block goes to those
+/// Cut from the store, held or refused, with answers lost: the shard goes to those
 /// that reach it, before a lease runs out.
 #[test]
 fn the_machines_of_a_controller_without_the_store_go_to_others() {
@@ -102,7 +100,7 @@
 }
 
 /// A zone is cut off from all for less than a lease: nothing in it is returned,
-/// and when it is back its tasks go on. Before, a quarter of each block went.
+/// and when it is back its tasks go on. Before, a quarter of each shard went.
 #[test]
 fn a_zone_that_comes_back_in_time_loses_nothing() {
     let mut w = fleet(42, 3, 150, 100.0);
@@ -179,7 +177,7 @@
         let mut w = fleet(46 + seed, 5, 60, 60.0);
         w.submit("run-009", service(120));
         w.run_until(30.0);
-        // One node alone still has the store, and is not heard by the others.
+        // One controller alone still has the store, and is not heard by the others.
         let isolated = w.rng.random_range(0..5);
         for n in (0..5).filter(|n| *n != isolated) {
             w.nodes[n].refused = true;
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -14,19 +14,9 @@
 mod world;
 
 use rand::RngExt;
+use world::helpers::{done, random_failures, running};
 use world::{Job, SMALL, Size, World, array, gang, s, service};
 
-fn done(w: &World, uid: &str) -> bool {
-    w.jobs[uid].confirmed_done
-}
-
-fn running(w: &World, uid: &str) -> usize {
-    let on = |w: &world::worker::Worker| {
-        w.tasks.values().filter(|t| t.job == uid && t.state == world::worker::TaskState::Running).count()
-    };
-    w.workers.values().map(on).sum()
-}
-
 /// Without faults arrays end, services stay up, and a cancelled one leaves nothing behind.
 #[test]
 fn a_quiet_day_runs_arrays_and_services_and_cancels() {
@@ -68,7 +58,7 @@
     w.later(9.0, |w| (0..3).for_each(|i| w.crash(i)));
     w.run_until(45.0);
     assert!(done(&w, "run-002") && done(&w, "run-004"));
-    // The services never stopped: their workers' leases outlast a restart.
+    // The services never stopped: their agents' leases outlast a restart.
     assert_eq!(running(&w, "run-009"), 3);
 }
 
@@ -121,7 +111,7 @@
     assert!(done(&w, "run-008") && done(&w, "run-001"));
 }
 
-/// A controller that the store refuses must stop answering its workers in time
+/// A controller that the store refuses must stop answering its agents in time
 /// for a cancellation it cannot know of; the others take its machines over.
 #[test]
 fn a_refused_controller_yields() {
@@ -222,8 +212,8 @@
     assert!(["run-011", "run-021", "run-031"].iter().all(|u| done(&w, u)));
 }
 
-/// With one write for each machine a block came back only after the leases of
-/// its workers had run out: the store's writes must not bound a restart.
+/// With one write for each machine a shard came back only after the leases of
+/// its agents had run out: the store's writes must not bound a restart.
 #[test]
 fn blocks_come_back_before_leases_run_out() {
     let mut w = World::sized(
@@ -368,70 +358,3 @@
     w.run_until(45.0);
     assert!(done(&w, "run-002"));
 }
-
-/// Plays jobs and failures at random; the world at the end, all of whose jobs are over.
-fn random_failures(mut w: World, jobs: usize, failures: usize, end_s: f64) -> World {
-    let (nodes, machines) = (w.nodes.len(), w.workers.len());
-    for n in 0..jobs {
-        let at = w.rng.random_range(0.0..70.0);
-        let uid = format!("run-{n:02}{}", if n % 4 == 0 { 9 } else { n % 5 });
-        let mut j = if n % 4 == 0 { service(2) } else { array(w.rng.random_range(1..12), 4.0) };
-        if n % 3 == 0 {
-            j.team = "capped".into();
-        }
-        let leave = w.rng.random_range(at..110.0);
-        let (a, b) = (uid.clone(), uid);
-        w.later(at, move |w| w.submit(&a, j));
-        if n % 4 == 0 || n % 7 == 0 {
-            w.later(leave, move |w| w.jobs.get_mut(&b).unwrap().cancel_asked = true);
-        }
-    }
-    for _ in 0..failures {
-        let at = w.rng.random_range(5.0..85.0);
-        let end = at + w.rng.random_range(1.0..25.0);
-        let node = w.rng.random_range(0..nodes);
-        let which = w.rng.random_range(0..machines);
-        match w.rng.random_range(0..10) {
-            0 | 1 => w.later(at, move |w| w.crash(node)),
-            2 => {
-                w.later(at, |w| w.store.set_down(w.now, true));
-                w.later(end, |w| w.store.set_down(w.now, false));
-            }
-            3 => {
-                w.later(at, move |w| w.nodes[node].refused = true);
-                w.later(end, move |w| w.nodes[node].refused = false);
-            }
-            4 => {
-                w.later(at, move |w| w.nodes[node].deaf = true);
-                w.later(end, move |w| w.nodes[node].deaf = false);
-            }
-            5 => {
-                w.later(at, move |w| w.isolate(node, true));
-                w.later(end, move |w| w.isolate(node, false));
-            }
-            6 => w.later(at, move |w| {
-                let Some(name) = w.workers.keys().nth(which).cloned() else { return };
-                w.workers.get_mut(&name).unwrap().deaf = true;
-                w.later(end, move |w| w.workers.get_mut(&name).into_iter().for_each(|x| x.deaf = false));
-            }),
-            7 => w.later(at, move |w| {
-                let now = w.now;
-                if let Some(x) = w.workers.values_mut().nth(which) {
-                    x.restart_agent(now);
-                }
-            }),
-            _ => w.later(at, move |w| {
-                let Some(name) = w.workers.keys().nth(which).cloned() else { return };
-                w.cut_worker(&name, true);
-                w.later(end, move |w| w.cut_worker(&name, false));
-            }),
-        }
-    }
-    w.run_until(end_s);
-    for (uid, j) in &w.jobs {
-        let over = j.confirmed_done || j.cancelled_at.is_some() || j.standing;
-        assert!(over, "seed {}: {uid} is not over: {j:?}", w.seed);
-    }
-    assert!(w.now == s(end_s));
-    w
-}
--- a/tests/known/fairness.rs
+++ b/tests/known/fairness.rs
@@ -1,14 +1,12 @@
 //! Teams without a guarantee, and the largest jobs: what was borrowed is given back, and
 //! all of it is served in the end.
 
+use crate::world::helpers::{done, running, with_spare_machines};
 use crate::world::{Job, SMALL, Size, World, array, s};
-use crate::{done, running};
 
 fn fleet(seed: u64, machines: u32) -> World {
     let size = Size { controllers: 3, machines, write_rps: 60.0, txn_ops: 24, ..SMALL };
-    let mut w = World::sized(seed, size);
-    w.cloud.most = machines as usize;
-    w
+    with_spare_machines(seed, size, 0)
 }
 
 fn sweep(tasks: u32, run_s: f64) -> Job {
--- a/tests/known/gangs.rs
+++ b/tests/known/gangs.rs
@@ -1,17 +1,15 @@
 //! Gangs wider than a segment may name: their places go into several, none is ordered
 //! before the last is stored, and what was left halfway is taken back by proof.
 
+use crate::world::helpers::{done, random_failures, running, with_spare_machines};
 use crate::world::worker::TaskState;
 use crate::world::{SMALL, Size, World, gang, s, service};
-use crate::{done, random_failures, running};
 use rand::RngExt;
 
 /// A transaction of four changes names fewer machines than this gang needs.
 fn fleet(seed: u64, controllers: usize, machines: u32) -> World {
     let size = Size { controllers, machines, write_rps: 30.0, txn_ops: 4, fetch_s: 3.0, ..SMALL };
-    let mut w = World::sized(seed, size);
-    w.cloud.most = machines as usize;
-    w
+    with_spare_machines(seed, size, 0)
 }
 
 /// It was accepted and never began: no segment could hold its places.
--- a/tests/known/mod.rs
+++ b/tests/known/mod.rs
@@ -1,27 +1,20 @@
 //! Every accepted job runs or stays known, whatever was said late, to nobody, or by a
 //! process or machine that is back already: copies of reports, machines that hear
-//! nothing, controllers alone with their workers, ends in the middle of an election.
+//! nothing, controllers alone with their agents, ends in the middle of an election.
 
 mod fairness;
 mod gangs;
 
 use crate::reconciliation::seeds;
+use crate::world::helpers::{done, fleet, random_failures, running};
 use crate::world::worker::{TaskState, Worker};
 use crate::world::{CANCEL_S, LEASE_S, REPORT_S, SMALL, Size, World, array, s, service};
-use crate::{done, random_failures, running};
 use rand::RngExt;
 
 /// Seconds without an answered question after which a job counts as forgotten.
 const FORGOTTEN_S: f64 = 75.0;
 
-pub fn fleet(seed: u64, controllers: usize, machines: u32) -> World {
-    let size = Size { controllers, machines, write_rps: 60.0, txn_ops: 24, zones: &["a", "b"], ..SMALL };
-    let mut w = World::sized(seed, size);
-    w.cloud.most = machines as usize + 10;
-    w
-}
-
-/// Asks every node about every accepted job, again and again for as long as a job may
+/// Asks every controller about every accepted job, again and again for as long as a job may
 /// go without an answer; each of the two must come to an answer with the other.
 pub fn all_are_known(w: &mut World) {
     let (seed, nodes) = (w.seed, w.nodes.len());
@@ -163,7 +156,7 @@
         w.workers.get_mut(&name).unwrap().deaf = true;
         // Returned it would be proved empty; where that fails its lapsed lease does it.
         w.cloud.down = seed % 2 == 1;
-        let before = w.store.ledger();
+        let before = w.store.revision();
         let n = name.clone();
         for at in 21..37 {
             let n = n.clone();
@@ -217,7 +210,7 @@
     assert!(w.counters.tasks_lost_on_reachable_machines == 0);
 }
 
-/// Controllers that lose the store and each other, but not their workers, with the
+/// Controllers that lose the store and each other, but not their agents, with the
 /// leader among them: nothing that runs is lost to it, and what was stored meanwhile
 /// by others is not written over.
 #[test]
--- a/tests/limits/mod.rs
+++ b/tests/limits/mod.rs
@@ -1,8 +1,8 @@
 //! Bounds that a fleet of thousands of machines meets, played small: pages, bursts and
 //! messages are scaled down, the controllers are as they are (`docs/notes/limits.md`).
 
-use crate::running;
 use crate::world::cloud::Paged;
+use crate::world::helpers::running;
 use crate::world::{SMALL, Size, World, bytes, s, service};
 use ciborium::cbor;
 use finchquay::effects::{Action, Event};
@@ -35,7 +35,7 @@
 }
 
 /// One of three controllers hears 8,000 machines, as while the others are deaf. What it
-/// tells them was above what they read, and they dropped the connection at each beat.
+/// tells them was above what they read, and they dropped the connection at each heartbeat.
 #[test]
 fn a_controller_that_hears_thousands_of_machines_is_understood() {
     let mut controller = World::sized(72, SMALL).nodes[0].logic.take().unwrap();
--- a/tests/log/mod.rs
+++ b/tests/log/mod.rs
@@ -3,16 +3,14 @@
 //! step that no task is in two places and that all limits hold.
 
 use crate::reconciliation::seeds;
+use crate::world::helpers::{done, running, with_spare_machines};
 use crate::world::{SMALL, Size, World, array, s, service};
-use crate::{done, running};
 use ciborium::cbor;
 use rand::RngExt;
 
 fn fleet(seed: u64, controllers: usize, machines: u32) -> World {
     let size = Size { controllers, machines, write_rps: 60.0, zones: &["a", "b"], team_max: 40.0, ..SMALL };
-    let mut w = World::sized(seed, size);
-    w.cloud.most = machines as usize + 10;
-    w
+    with_spare_machines(seed, size, 10)
 }
 
 fn load(w: &mut World, jobs: usize, until_s: f64) {
@@ -47,7 +45,7 @@
         let mut w = fleet(60, 3, machines);
         w.submit("run-000", array(machines * 4, 2.0)); // every machine has the image
         w.run_until(20.0);
-        let before = w.store.ledger();
+        let before = w.store.revision();
         for n in 1..11 {
             w.submit(&format!("run-{n:02}2"), array(tasks / 5, 2.0));
         }
@@ -108,7 +106,7 @@
     assert!((0..3).all(|i| !w.healthy(i)));
 }
 
-/// A cancellation, and a relet, refuse one job of a batch: the rest goes with the next.
+/// A cancellation, and a reassignment, refuse one job of a batch: the rest goes with the next.
 #[test]
 fn one_job_that_changed_does_not_hold_up_the_batch() {
     let mut w = fleet(62, 3, 60);
--- a/tests/maintenance/mod.rs
+++ b/tests/maintenance/mod.rs
@@ -2,8 +2,8 @@
 //! no team misses more replicas on purpose than its budget leaves, and campaigns end.
 
 use crate::reconciliation::seeds;
+use crate::world::helpers::{random_failures, running};
 use crate::world::{SMALL, Size, World, array, s, service};
-use crate::{random_failures, running};
 use finchquay::maintenance::budget::Budget;
 use finchquay::maintenance::campaign::Campaign;
 use finchquay::settings::Operator;
--- a/tests/meetings/answers.rs
+++ b/tests/meetings/answers.rs
@@ -1,5 +1,5 @@
-//! Answers to users: asked at all nodes within milliseconds after something was told, at
-//! the moment of a job's last end, and while answers of the state service are lost.
+//! Answers to users: asked at all controllers within milliseconds after something was told, at
+//! the moment of a job's last end, and while answers of the store are lost.
 
 use super::{all_over, cancel, fleet};
 use crate::known::all_are_known;
@@ -19,8 +19,8 @@
     all
 }
 
-/// Users ask all nodes for the job, repeat its submission, and some call it off, right
-/// after it was accepted, ended or cancelled; meanwhile a node lost the store, one reads
+/// Users ask all controllers for the job, repeat its submission, and some call it off, right
+/// after it was accepted, ended or cancelled; meanwhile a controller lost the store, one reads
 /// its state anew, and one began a moment ago.
 #[test]
 fn no_node_answers_something_older() {
@@ -56,8 +56,8 @@
     assert!(looked > 1000, "{looked} looks");
 }
 
-/// One node's acceptance is under way, its answer a second late and its watch still, when
-/// another node confirms that the job is cancelled; then the submission is repeated there.
+/// One controller's acceptance is under way, its answer a second late and its watch still, when
+/// another controller confirms that the job is cancelled; then the submission is repeated there.
 #[test]
 fn a_repeat_does_not_join_what_is_under_way() {
     let mut left = 0;
@@ -82,11 +82,11 @@
         all_over(&w);
         left += w.jobs.values().filter(|j| j.cancelled_at.is_some()).count();
     }
-    assert!(left >= 30, "{left} of 48 were withdrawn");
+    assert!(left >= 30, "{left} of 48 were cancelled");
 }
 
-/// Jobs are called off as soon as they were accepted, and their submission is repeated at
-/// all nodes right after that was confirmed; what a node's watch shows was sent before the
+/// Jobs are cancelled as soon as they were accepted, and their submission is repeated at
+/// all controllers right after that was confirmed; what a controller's watch shows was sent before the
 /// cancellation and comes after the repeat. That another accepted the job is no proof of
 /// how it stands when its user asks.
 #[test]
@@ -105,7 +105,7 @@
         all_are_known(&mut w);
         left += w.jobs.values().filter(|j| j.cancelled_at.is_some()).count();
     }
-    assert!(left > 200, "{left} of 360 were withdrawn");
+    assert!(left > 200, "{left} of 360 were cancelled");
 }
 
 /// A cancellation, a question and a repeated submission meet the end of a job's last
@@ -125,11 +125,11 @@
         done += w.jobs.values().filter(|j| j.confirmed_done).count();
         left += w.jobs.values().filter(|j| j.cancelled_at.is_some()).count();
     }
-    assert!(done > 20 && left > 20, "{done} done, {left} withdrawn");
+    assert!(done > 20 && left > 20, "{done} done, {left} cancelled");
 }
 
 /// A quarter of all transactions are carried out at once and their answers are lost,
-/// while other nodes read what was written: the watch settles them. Nobody waits in vain,
+/// while other controllers read what was written: the watch settles them. Nobody waits in vain,
 /// submissions and starts are hardly slower.
 #[test]
 fn lost_answers_are_settled_by_what_the_store_shows() {
@@ -151,7 +151,7 @@
             quick += usize::from(w.jobs[&uid].accepted);
             if uid.ends_with('9') {
                 w.run_until(w.now.as_secs_f64().max(at + 2.5));
-                running += crate::running(&w, &uid);
+                running += crate::world::helpers::running(&w, &uid);
             }
         }
         assert!(quick * 100 >= all * 95, "seed {seed}: {quick} of {all} within 300 ms");
@@ -186,7 +186,7 @@
 
 /// Cancellations are answered while their controller reads its state anew, and pages it read
 /// before lack them; its watch stands still, and no other controller tells it. It answers
-/// no worker by the view that it then has: what was told is not in it.
+/// no agent by the view that it then has: what was told is not in it.
 #[test]
 fn a_reloaded_state_answers_nothing_until_it_has_what_was_answered_before() {
     for (seed, slow) in [(9991, 0.12), (9992, 0.14)] {
@@ -218,7 +218,7 @@
         let before = w.nodes[node].served;
         w.run_until(25.5);
         let served = w.nodes[node].served - before;
-        assert_eq!(served, 0, "seed {seed}: workers were answered by a view that lacks withdrawals");
+        assert_eq!(served, 0, "seed {seed}: agents were answered by a replica that lacks cancellations");
         w.store.mute.clear();
         w.faults.peers_cut.clear();
         w.jobs.values_mut().for_each(|j| j.via = None);
--- a/tests/meetings/cancellations.rs
+++ b/tests/meetings/cancellations.rs
@@ -4,7 +4,7 @@
 
 use super::{all_over, cancel};
 use crate::reconciliation::seeds;
-use crate::running;
+use crate::world::helpers::running;
 use crate::world::{CANCEL_S, CloseQueries, Job, LEASE_S, REPORT_S, SMALL, Size, World, array, gang, s, service};
 use rand::RngExt;
 use std::collections::BTreeSet;
@@ -95,7 +95,7 @@
         assert!(["run-109", "run-119"].iter().all(|uid| w.jobs[*uid].cancelled_at.is_some()), "seed {seed}");
         assert_eq!(running(&w, "run-109") + running(&w, "run-119"), 0, "seed {seed}");
         let all = count(&w, "1") + count(&w, "2");
-        assert_eq!(all, 12, "seed {seed}: the room of what was withdrawn has not come back");
+        assert_eq!(all, 12, "seed {seed}: the room of what was cancelled has not come back");
     }
 }
 
@@ -143,7 +143,7 @@
         }
         assert!(full(&w), "seed {seed}: room has not come back: {:?}", w.used());
     }
-    assert!(left > 15, "{left} were withdrawn");
+    assert!(left > 15, "{left} were cancelled");
 }
 
 /// Some work of each kind, here and waiting, of which a third leaves in the seconds after
@@ -168,7 +168,7 @@
 }
 
 /// Both owners live, or the first is gone, or back at once with a new incarnation, while
-/// machines are granted, shares reassigned and segments on their way.
+/// machines are granted, task ranges reassigned and segments on their way.
 #[test]
 fn work_changes_hands_while_its_jobs_are_cancelled() {
     let (mut told, mut segments) = (0, 0);
@@ -198,7 +198,7 @@
                 w.crash(node);
             }
         }
-        // What watches show comes late, half a second and more apart on each node.
+        // What watches show comes late, half a second and more apart on each controller.
         w.faults.late_watches = Some((0.5, (0.05, 0.9))).filter(|_| seed % 2 == 1);
         w.later(32.0, |w| w.faults.late_watches = None);
         // They stand still a little, and some who come leave as soon as they are accepted.
@@ -213,7 +213,7 @@
             let at = w.rng.random_range(20.0..30.0);
             w.later(at, move |w| w.submit(&format!("run-6{n:02}9"), array(2, 1e6)));
         }
-        let ledger = w.store.ledger();
+        let ledger = w.store.revision();
         for (n, uid) in leave.iter().enumerate() {
             // While machines are granted, at the moment of a start, and after.
             let at = w.rng.random_range(20.1..[22.0, 26.0, 32.0][n % 3]);
@@ -236,7 +236,7 @@
         }
         all_over_but_long(&w);
     }
-    assert!(told >= 60 && segments >= 100, "{told} withdrawals, {segments} segments beside them");
+    assert!(told >= 60 && segments >= 100, "{told} cancellations, {segments} segments beside them");
 }
 
 /// So long after its user was told nothing of a job starts any more: watches lag by less,
@@ -250,7 +250,7 @@
             for ((task, attempt), t) in &x.tasks {
                 let new = seen.insert((task.clone(), *attempt));
                 let told = w.jobs[&t.job].cancelled_at.is_some_and(|at| w.now > at + s(TOLD_S));
-                assert!(!new || !told, "seed {}: {task} starts long after its withdrawal", w.seed);
+                assert!(!new || !told, "seed {}: {task} starts long after its cancellation", w.seed);
             }
         }
         w.run_until(w.now.as_secs_f64() + 0.1);
@@ -280,12 +280,12 @@
         }
         w.submit("run-509", service(8));
         w.run_until(20.0);
-        assert!(leave.iter().all(|uid| running(&w, uid) > 0), "seed {seed}: nothing to withdraw");
+        assert!(leave.iter().all(|uid| running(&w, uid) > 0), "seed {seed}: nothing to cancel");
         let leader = w.store.leader().expect("somebody leads");
         w.nodes[leader].refused = true;
         // What the others write is answered, and their watches lag.
         w.store.mute.extend((0..3).filter(|_| seed % 4 < 2));
-        // Users of one node at a time get no answer from the leader.
+        // Users of one controller at a time get no answer from the leader.
         leave.iter().for_each(|uid| (0..4).for_each(|_| w.cancel(uid)));
         let (at, hang_s) = (20.0 + 0.3 * (seed / 2) as f64, [LEASE_S * 0.6, LEASE_S * 1.5][seed as usize % 2]);
         let hang: Vec<String> = leave.iter().flat_map(|uid| machines_of(&w, uid)).take(4).collect();
@@ -299,7 +299,7 @@
         told += leave.iter().filter(|uid| w.jobs[**uid].cancelled_at.is_some()).count();
         w.run_until(21.0 + CANCEL_S * 1.4);
         let lapsed: u32 = w.workers.values().filter(|x| !hang.contains(&x.name)).map(|x| x.lapsed).sum();
-        assert_eq!(lapsed, 0, "seed {seed}: what was not withdrawn ended with its lease");
+        assert_eq!(lapsed, 0, "seed {seed}: what was not cancelled ended with its lease");
         w.store.mute.clear();
         w.store.set_down(w.now, false);
         w.nodes[leader].refused = false;
@@ -309,9 +309,9 @@
             assert!(over, "seed {seed}: {uid} is still there");
         }
         assert_eq!(running(&w, "run-509"), 8, "seed {seed}");
-        assert_eq!(w.counters.started_cancelled, 0, "seed {seed}: starts after a confirmed withdrawal");
+        assert_eq!(w.counters.started_cancelled, 0, "seed {seed}: starts after a confirmed cancellation");
     }
-    assert!(told >= 24, "{told} of 32 withdrawals were confirmed before the outage");
+    assert!(told >= 24, "{told} of 32 cancellations were confirmed before the outage");
 }
 
 /// Four a second, a quarter cancelled at once, with so few writes that users are put off:
@@ -354,6 +354,6 @@
     w.calm_from(from_s + for_s);
     w.run_until(from_s + for_s + 90.0);
     all_over(&w);
-    assert_eq!(w.counters.started_cancelled, 0, "starts after a confirmed withdrawal");
+    assert_eq!(w.counters.started_cancelled, 0, "starts after a confirmed cancellation");
     assert_eq!(w.store.count("fq/t/"), 0, "records of jobs that are over are left");
 }
--- a/tests/meetings/capacity.rs
+++ b/tests/meetings/capacity.rs
@@ -5,7 +5,7 @@
 use super::{all_over, cancel, fleet};
 use crate::known::all_are_known;
 use crate::reconciliation::seeds;
-use crate::running;
+use crate::world::helpers::running;
 use crate::world::{Job, World, array, gang, service};
 use rand::RngExt;
 
@@ -50,7 +50,7 @@
     }
 }
 
-/// All machines of one controller end while it holds shares of what waits, and it stays
+/// All machines of one controller end while it holds task ranges of what waits, and it stays
 /// without any for as long as no cloud gives it more: others have room for its share.
 #[test]
 fn task_ranges_leave_a_controller_without_capacity() {
--- a/tests/meetings/copies.rs
+++ b/tests/meetings/copies.rs
@@ -1,10 +1,10 @@
 //! Reports that meet a new leader: copies kept for it, from earlier sessions, attempts and
-//! lives of a machine, and the worker's own calls that were held back until it had acted.
+//! lives of a machine, and the agent's own calls that were held back until it had acted.
 
 use super::{all_over, cancel, fleet};
 use crate::known::all_are_known;
 use crate::reconciliation::seeds;
-use crate::running;
+use crate::world::helpers::running;
 use crate::world::worker::Worker;
 use crate::world::{CANCEL_S, Job, LEASE_S, REPORT_S, World, array, gang, service};
 use rand::RngExt;
@@ -60,7 +60,7 @@
 
 /// Work of all kinds, whose attempts are ordered again (machines on which all fails for a
 /// while, gangs that give up waiting), and some of which is cancelled. Beside it a team at
-/// its limit: the job that fills it is called off in each round, a second before the leader
+/// its limit: the job that fills it is cancelled in each round, a second before the leader
 /// ends and with its machines out of reach, and the next one waits for it.
 fn work(w: &mut World, jobs: usize) {
     w.submit("run-999", service(16));
--- a/tests/meetings/gap.rs
+++ b/tests/meetings/gap.rs
@@ -1,9 +1,9 @@
-//! The gap: the state service refuses the leader alone, another controller confirms
-//! cancellations, then the state service is down for all for longer than `cancel_s`, while
-//! workers report to the old leader. The cancelled tasks must be gone within `cancel_s` of
+//! The gap: the store refuses the leader alone, another controller confirms
+//! cancellations, then the store is down for all for longer than `cancel_s`, while
+//! agents report to the old leader. The cancelled tasks must be gone within `cancel_s` of
 //! the confirmation; nothing else need stop.
 
-use crate::running;
+use crate::world::helpers::running;
 use crate::world::{CANCEL_S, CloseQueries, Job, LEASE_S, SMALL, Size, World, array, gang, s, service};
 
 /// What meets, and how.
@@ -39,7 +39,7 @@
     let leader = w.store.leader().expect("somebody leads");
     let by = (leader + gap.by) % gap.size.controllers;
     let runs = LEAVE.map(|uid| running(&w, uid));
-    assert!(!runs.contains(&0), "seed {seed}: nothing to withdraw: {runs:?}");
+    assert!(!runs.contains(&0), "seed {seed}: nothing to cancel: {runs:?}");
     w.nodes[leader].refused = true;
     w.store.mute.extend((0..gap.size.controllers).filter(|_| gap.mute));
     w.later(20.0 + gap.refused_s, move |w| w.nodes[leader].refused = false);
@@ -80,7 +80,7 @@
             LEAVE.iter().all(|uid| w.jobs[*uid].cancelled_at.is_some_and(|t| t < s(25.0))),
             "seed {seed}: told too late"
         );
-        assert_eq!(lapsed, 0, "seed {seed}: what was not withdrawn ended with its lease");
+        assert_eq!(lapsed, 0, "seed {seed}: what was not cancelled ended with its lease");
     }
 }
 
@@ -113,7 +113,7 @@
 }
 
 /// The canceller ends after its answer, is back within 50 ms or not, or says nothing any
-/// more; beats are lost, or late; machines are deaf, or move in the middle.
+/// more; heartbeats are lost, or late; machines are deaf, or move in the middle.
 #[test]
 fn with_a_third_fault() {
     for seed in 0..24u64 {
@@ -152,7 +152,7 @@
 }
 
 /// The store answers slowly before it refuses the leader alone and then everybody, and
-/// users ask all nodes for their jobs all the while: nobody is told less than before, and
+/// users ask all controllers for their jobs all the while: nobody is told less than before, and
 /// the cancelled tasks end in time.
 #[test]
 fn a_slow_store_and_users_who_ask() {
@@ -199,5 +199,5 @@
         });
         w.run_until(17.0 + CANCEL_S * 1.5 + 30.0);
     }
-    assert!(started >= 60 && closed >= 20, "{started} tasks ran, {closed} jobs were withdrawn");
+    assert!(started >= 60 && closed >= 20, "{started} tasks ran, {closed} jobs were cancelled");
 }
--- a/tests/meetings/late.rs
+++ b/tests/meetings/late.rs
@@ -4,11 +4,11 @@
 use super::{all_over, cancel, fleet};
 use crate::known::all_are_known;
 use crate::reconciliation::seeds;
-use crate::running;
+use crate::world::helpers::running;
 use crate::world::{LEASE_S, REPORT_S, World, array, gang, service};
 use rand::RngExt;
 
-/// Work of all kinds over a minute, some of it cancelled, and blocks that move: machines
+/// Work of all kinds over a minute, some of it cancelled, and shards that move: machines
 /// come and go with it.
 fn work(w: &mut World, jobs: usize) {
     for n in 0..jobs {
@@ -30,7 +30,7 @@
 
 /// A tenth and more of all transactions, of every kind, get no answer and are carried out
 /// 2 to 12 s later, after what the same controller wrote since, while controllers end and
-/// come back and blocks are granted again.
+/// come back and shards are granted again.
 #[test]
 fn transactions_carried_out_after_newer_ones_change_nothing_they_should_not() {
     let mut kinds = std::collections::BTreeMap::new();
@@ -52,14 +52,14 @@
             (n.0, n.1) = (n.0 + done, n.1 + refused);
         }
     }
-    // Leads, members, jobs, logs, machines, blocks: each was late, carried out or refused.
+    // Leads, members, jobs, logs, machines, shards: each was late, carried out or refused.
     for kind in ["fq/lead", "fq/m", "fq/j", "fq/l", "fq/h", "fq/b"] {
         assert!(kinds.contains_key(kind), "no {kind} came late: {kinds:?}");
     }
 }
 
 /// Direct commands are held up for seconds to beyond a lease, and the machine then goes
-/// on; meanwhile its block moves, its tasks end, are forgotten, or start elsewhere.
+/// on; meanwhile its shard moves, its tasks end, are forgotten, or start elsewhere.
 #[test]
 fn commands_held_up_start_nothing_twice() {
     for seed in 0..seeds(10) {
@@ -140,7 +140,7 @@
     assert!(came.0 > 10 && came.1 > 50, "{came:?} came late, carried out and refused");
 }
 
-/// Half of all reports come again, up to three leases later, while blocks move, machines
+/// Half of all reports come again, up to three leases later, while shards move, machines
 /// are back at once with their counters begun anew, and jobs are cancelled.
 ///
 /// Seed 15: a copy from before a machine's end was above all that its present life had
--- a/tests/meetings/leaders.rs
+++ b/tests/meetings/leaders.rs
@@ -1,11 +1,11 @@
-//! Leaders that end, hand over and come back, or are cut off from all but their workers
+//! Leaders that end, hand over and come back, or are cut off from all but their agents
 //! and users.
 
 use super::{all_over, cancel, fleet};
 use crate::known::all_are_known;
 use crate::reconciliation::seeds;
+use crate::world::helpers::{done, running};
 use crate::world::{CANCEL_S, CloseQueries, LEASE_S, SMALL, Size, World, array, s, service};
-use crate::{done, running};
 use rand::RngExt;
 
 /// Tasks of jobs of two or three end seconds and minutes apart.
@@ -42,7 +42,7 @@
         }
         w.run_until(120.0);
         all_over(&w);
-        // Without a controller for a lease, a worker forgets an end that it could not tell.
+        // Without a controller for a lease, an agent forgets an end that it could not tell.
         let quick = w.faults.restart_range_s.is_some_and(|(_, to)| to < 1.0);
         assert!(
             !quick || w.counters.starts_of_completed_tasks == 0,
@@ -123,8 +123,8 @@
     }
 }
 
-/// A leader that reaches neither store nor controllers goes on hearing workers and users,
-/// while jobs are cancelled by the new one: its workers come over in time, and it gives no
+/// A leader that reaches neither store nor controllers goes on hearing agents and users,
+/// while jobs are cancelled by the new one: its agents come over in time, and it gives no
 /// answer older than one that was given.
 #[test]
 fn jobs_are_cancelled_past_a_leader_that_is_cut_off() {
@@ -212,7 +212,7 @@
 /// The lead goes to another and back to the first, by an end or by a refusal of the store,
 /// all end, one returns within a second, and the others with it or seconds later; each with
 /// transactions that come late, or whose answers do, with cancellations, also at the moment
-/// of a job's end, and with users who ask all nodes at once.
+/// of a job's end, and with users who ask all controllers at once.
 #[test]
 fn failover_and_back_beside_late_transactions() {
     for seed in 0..seeds(2) {
--- a/tests/meetings/machines.rs
+++ b/tests/meetings/machines.rs
@@ -4,9 +4,9 @@
 use super::{all_over, cancel, fleet};
 use crate::known::all_are_known;
 use crate::reconciliation::seeds;
+use crate::world::helpers::{done, running};
 use crate::world::worker::Worker;
 use crate::world::{CANCEL_S, Job, LEASE_S, REPORT_S, SMALL, Size, World, array, gang, s, service};
-use crate::{done, running};
 use rand::RngExt;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -14,7 +14,7 @@
 /// One turn of a watch: so long a start may be ordered after its job's cancellation was
 /// confirmed elsewhere.
 const WATCH: Duration = Duration::from_millis(60);
-/// A worker's call that comes to nobody, and its next one.
+/// An agent's call that comes to nobody, and its next one.
 const CALLS_AGAIN_S: f64 = 5.5;
 
 fn there<'a>(w: &'a World, names: &'a [String]) -> impl Iterator<Item = &'a Worker> {
@@ -208,7 +208,7 @@
         assert_eq!(running(&w, "run-999"), 40, "seed {seed}");
         assert!(
             w.counters.longest_late_command < WATCH,
-            "seed {seed}: an order {:?} after a withdrawal",
+            "seed {seed}: an order {:?} after a cancellation",
             w.counters.longest_late_command
         );
         all_are_known(&mut w);
@@ -256,7 +256,7 @@
         assert_eq!((running(&w, "run-999"), running(&w, "run-8109")), (48, 3), "seed {seed}");
         assert!(
             w.counters.longest_late_command < WATCH,
-            "seed {seed}: an order {:?} after a withdrawal",
+            "seed {seed}: an order {:?} after a cancellation",
             w.counters.longest_late_command
         );
         all_are_known(&mut w);
@@ -373,7 +373,7 @@
         assert_eq!(running(&w, "run-999"), 60, "seed {seed}");
         assert!(
             w.counters.longest_late_command < WATCH,
-            "seed {seed}: an order {:?} after a withdrawal",
+            "seed {seed}: an order {:?} after a cancellation",
             w.counters.longest_late_command
         );
         all_are_known(&mut w);
--- a/tests/meetings/outage.rs
+++ b/tests/meetings/outage.rs
@@ -3,7 +3,7 @@
 //! within two seconds, and the crowd is served soon.
 
 use super::{cancel, fleet};
-use crate::running;
+use crate::world::helpers::running;
 use crate::world::{Job, World, array, s, service};
 use rand::RngExt;
 use std::collections::BTreeSet;
@@ -28,7 +28,7 @@
     w.run_until(FROM_S);
     let end = FROM_S + down_s;
     for n in 0..crowd.leave {
-        assert_eq!(running(&w, &format!("run-1{n:03}9")), 1, "seed {seed}: nothing to withdraw");
+        assert_eq!(running(&w, &format!("run-1{n:03}9")), 1, "seed {seed}: nothing to cancel");
         let at = w.rng.random_range(FROM_S..end);
         w.later(at, move |w| cancel(w, &format!("run-1{n:03}9"), None));
     }
--- a/tests/meetings/troubles.rs
+++ b/tests/meetings/troubles.rs
@@ -2,7 +2,7 @@
 //! in them proves nothing.
 
 use super::{cancel, fleet};
-use crate::running;
+use crate::world::helpers::running;
 use crate::world::{CANCEL_S, CloseQueries, LEASE_S, array, service};
 
 /// Machines that open no connection lose what they run with each lease, are reached by
@@ -54,7 +54,7 @@
         w.counters.close_queries,
         w.counters.invalid_requests_refused
     );
-    assert!(left > 0 && w.jobs.values().any(|j| j.confirmed_done), "{left} of 20 were withdrawn");
+    assert!(left > 0 && w.jobs.values().any(|j| j.confirmed_done), "{left} of 20 were cancelled");
 }
 
 /// The drawn faults include late answers of the store and heartbeats delivered again to the next leader.
@@ -72,5 +72,5 @@
     cancel(&mut w, "run-999", None);
     w.run_until(100.0);
     assert_eq!(running(&w, "run-999"), 0);
-    assert_eq!(w.counters.started_cancelled, 0, "starts after a confirmed withdrawal");
+    assert_eq!(w.counters.started_cancelled, 0, "starts after a confirmed cancellation");
 }
--- a/tests/models/attest.rs
+++ b/tests/models/attest.rs
@@ -1,8 +1,8 @@
 //! Controller A answers a machine; B, which leads, may grant it to itself and may
 //! take a cancellation, whenever it reaches the store: it acts and tells by the answer,
-//! while its watch may stand still from then on. A reaches the store or not, beats pass
+//! while its watch may stand still from then on. A reaches the store or not, heartbeats pass
 //! or not, or are held back and come late. What B knows of and A may not have seen it
-//! carries in its beats. Stands for `Controller::{entitled, owed, heed, heeds}`,
+//! carries in its heartbeats. Stands for `Controller::{entitled, owed, heed, heeds}`,
 //! `View::learned`, `links::table::attested` and `Machine::lapsed`.
 
 use finchquay_explorer::Model;
@@ -10,7 +10,7 @@
 /// What an attestation rests on; each can be taken away.
 #[derive(Debug, Clone, Copy)]
 pub struct Trust {
-    /// It counts from the beat of ours that it echoes, not from when it came.
+    /// It counts from the heartbeat of ours that it echoes, not from when it came.
     pub acknowledgements: bool,
     /// The view it speaks of is no newer than ours.
     pub revision: bool,
@@ -44,13 +44,13 @@
     pub trust: Trust,
 }
 
-/// In steps: a worker's lease, and the time that a cancellation has.
+/// In steps: an agent's lease, and the time that a cancellation has.
 const LEASE: u8 = 2;
 const CANCEL: u8 = 5;
 /// Ages above this are all the same.
 const OLD: u8 = 6;
 
-/// What B said: the age of A's beat that it echoes, the age of the words
+/// What B said: the age of A's heartbeat that it echoes, the age of the words
 /// themselves, the newest change that it knew of, and what it owed to whom had come
 /// to `since`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -73,12 +73,12 @@
     a_view: u8,
     b_view: u8,
     a_fresh: u8,
-    /// What B knows from answers too, and where A's view was by the newest beat that B had.
+    /// What B knows from answers too, and where A's view was by the newest heartbeat that B had.
     b_learned: u8,
     b_seen_by_a: u8,
     /// A knows of the cancellation by B's word.
     applied: bool,
-    /// The age of the newest beat of A's that B has.
+    /// The age of the newest heartbeat of A's that B has.
     b_has: u8,
     /// Words under way, oldest first, and the newest that came.
     flying: Vec<Word>,
--- a/tests/reconciliation/mod.rs
+++ b/tests/reconciliation/mod.rs
@@ -1,8 +1,8 @@
 //! Starts of all controllers at once, at a few hundred machines: what was there
 //! goes on, and what was not is made so with the fewest orders.
 
+use crate::world::helpers::{done, running, with_spare_machines};
 use crate::world::{Job, LEASE_S, SMALL, Size, World, array, s, service};
-use crate::{done, running};
 use rand::RngExt;
 
 /// Seeds of one kind of world: a few, or as many as FINCHQUAY_SEEDS says.
@@ -12,9 +12,7 @@
 
 fn fleet(seed: u64, machines: u32) -> World {
     let size = Size { machines, write_rps: 100.0, zones: &["a", "b"], ..SMALL };
-    let mut w = World::sized(seed, size);
-    w.cloud.most = machines as usize + 20;
-    w
+    with_spare_machines(seed, size, 20)
 }
 
 fn all_down(w: &mut World, at_s: f64, for_s: f64) {
@@ -44,7 +42,7 @@
     let mut w = fleet(21, 120);
     w.submit("run-009", service(60));
     w.run_until(30.0);
-    let before = w.store.ledger();
+    let before = w.store.revision();
     w.faults.restart_s = 10.0;
     w.crash(0);
     w.faults.restart_s = 10.4;
@@ -111,8 +109,8 @@
     assert_eq!(w.cloud.returned, vec![]);
 }
 
-/// After an outage users waited for probes of nodes that had all been given up,
-/// twice as long each time; a node that is refused alone still sends them away.
+/// After an outage users waited for probes of controllers that had all been given up,
+/// twice as long each time; a controller that is refused alone still sends them away.
 #[test]
 fn an_outage_of_all_is_no_reason_to_send_users_away() {
     let mut w = fleet(25, 10);
--- a/tests/restarts/mod.rs
+++ b/tests/restarts/mod.rs
@@ -3,8 +3,8 @@
 //! arrived. A few hundred machines, seven controllers; the rules hold at every step.
 
 use crate::reconciliation::seeds;
+use crate::world::helpers::{done, random_failures, running};
 use crate::world::{Job, SMALL, Size, World, array, s, service};
-use crate::{done, random_failures, running};
 use rand::RngExt;
 
 fn fleet(seed: u64, machines: u32) -> World {
@@ -44,8 +44,8 @@
     assert_eq!(w.workers.values().map(|x| x.kills.len()).sum::<usize>(), 0);
 }
 
-/// The load balancer takes a node out after two failed probes, a second apart. One
-/// that was away for a moment must not fail the second, with the state service well.
+/// The load balancer takes a controller out after two failed probes, a second apart. One
+/// that was away for a moment must not fail the second, with the store well.
 #[test]
 fn a_quick_restart_is_over_before_the_next_probe() {
     for seed in 0..10 {
@@ -68,14 +68,14 @@
     }
 }
 
-/// One process ends again and again: its block stays where it is, the others serve,
+/// One process ends again and again: its shard stays where it is, the others serve,
 /// and each end costs a few changes.
 #[test]
 fn a_crash_loop_harms_nobody_else() {
     let mut w = fleet(5200, 70);
     w.submit("run-009", service(500));
     w.run_until(30.0);
-    let before = w.store.ledger();
+    let before = w.store.revision();
     for n in 0..40 {
         w.later(30.0 + 0.5 * f64::from(n), |w| w.crash(3));
     }
@@ -86,7 +86,7 @@
     w.run_until(50.0);
     let changes = w.store.changes("fq/b/", before) + w.store.changes("fq/m/", before);
     assert!(changes <= 40 * 2, "{changes} changes for 40 ends");
-    // Single machines are levelled, and rented ones returned; a block of ten that went
+    // Single machines are levelled, and rented ones returned; a shard of ten that went
     // to others and came back with each end would make hundreds of changes.
     let moved = w.store.changes("fq/h/", before);
     assert!(moved < 20, "its block travelled: {moved} changes");
--- a/tests/world/checks.rs
+++ b/tests/world/checks.rs
@@ -54,7 +54,7 @@
                 gpus += j.gpus;
                 if let Some(at) = j.cancelled_at {
                     let late = self.now > at + s(CANCEL_S);
-                    assert!(!late, "seed {}: {}/{} runs long after its withdrawal", self.seed, t.job, t.index);
+                    assert!(!late, "seed {}: {}/{} runs long after its cancellation", self.seed, t.job, t.index);
                 }
             }
             assert!(cores <= 8.0 && gpus <= 4.0, "seed {}: {name} is overfull", self.seed);
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Orders go to a worker.
+    /// Orders go to an agent.
     pub(super) fn check_commands(&mut self, body: &[u8]) {
         for order in get(&value(body), "orders").and_then(Value::as_array).into_iter().flatten() {
             let task = text(order, "parcel");
--- a/tests/world/digest.rs
+++ b/tests/world/digest.rs
@@ -65,7 +65,7 @@
         }
     }
 
-    /// A controller called the state service, the cloud or a worker.
+    /// A controller called the store, the cloud or an agent.
     pub fn call(&mut self, from: Origin, target: &str, request: Request) {
         if self.begin("call", from) {
             self.bytes(target.as_bytes());
--- a/tests/world/faults.rs
+++ b/tests/world/faults.rs
@@ -77,7 +77,7 @@
 }
 
 impl World {
-    /// The controller loses the state service and the other controllers, or has them
+    /// The controller loses the store and the other controllers, or has them
     /// back.
     pub fn isolate(&mut self, node: usize, alone: bool) {
         for other in (0..self.nodes.len()).filter(|o| *o != node) {
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Ends a cut between a node and the state service: what it wrote comes late.
+    /// Ends a cut between a controller and the store: what it wrote comes late.
     pub fn reconnect_store(&mut self, node: usize) {
         self.nodes[node].store_cut = false;
         for body in std::mem::take(&mut self.nodes[node].held) {
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Cuts a worker off, or ends the cut and delivers what was held back.
+    /// Cuts an agent off, or ends the cut and delivers what was held back.
     pub fn cut_worker(&mut self, name: &str, cut: bool) {
         let now = self.now;
         let Some(w) = self.workers.get_mut(name) else { return };
@@ -131,7 +131,7 @@
         self.deliver(name);
     }
 
-    /// What was held back comes to the worker.
+    /// What was held back comes to the agent.
     pub(super) fn deliver(&mut self, name: &str) {
         let now = self.now;
         let held = self.workers.get_mut(name).map(|w| std::mem::take(&mut w.held)).unwrap_or_default();
@@ -142,7 +142,7 @@
         }
     }
 
-    /// A report of long ago comes to a node.
+    /// A report of long ago comes to a controller.
     pub fn send_duplicate(&mut self, node: usize, body: Vec<u8>) {
         self.at(0.0, WorldEvent::DuplicateHeartbeat(node, body));
     }
--- a/tests/world/jobs.rs
+++ b/tests/world/jobs.rs
@@ -25,7 +25,7 @@
     pub accepted: bool,
     pub cancel_asked: bool,
     pub cancelled_at: Option<Duration>,
-    /// Its user reaches this node alone.
+    /// Its user reaches this controller alone.
     pub via: Option<usize>,
     pub done: BTreeSet<u32>,
     pub confirmed_done: bool,
--- a/tests/world/machines.rs
+++ b/tests/world/machines.rs
@@ -1,4 +1,4 @@
-//! What happens by itself at each step: leases expire, machines boot and end, workers work and report.
+//! What happens by itself at each step: leases expire, machines boot and end, agents work and report.
 
 use super::events::{Source, WorldEvent};
 use super::settings::REPORT_S;
@@ -21,7 +21,7 @@
         self.workers.insert(name.to_string(), w);
     }
 
-    /// Things that happen by themselves: leases, watches, workers, boots.
+    /// Things that happen by themselves: leases, watches, agents, boots.
     pub(super) fn advance_surroundings(&mut self) {
         self.store.expire(self.now);
         for (node, id, status, body) in self.store.due_watches(self.now) {
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -10,6 +10,7 @@
 pub mod digest;
 mod events;
 mod faults;
+pub mod helpers;
 mod jobs;
 mod machines;
 mod network;
--- a/tests/world/network.rs
+++ b/tests/world/network.rs
@@ -135,18 +135,18 @@
         }
     }
 
-    /// Whether anything passes between a worker and a node.
+    /// Whether anything passes between an agent and a controller.
     pub(super) fn reaches(&self, worker: &str, node: usize) -> bool {
         let w = &self.workers.get(worker);
         !self.nodes[node].deaf && w.is_some_and(|w| !w.cut && w.hangs.is_none() && !w.unreached.contains(&node))
     }
 
-    /// Whether a worker's own calls come to a node.
+    /// Whether an agent's own calls come to a controller.
     pub(super) fn machine_reaches_node(&self, worker: &str, node: usize) -> bool {
         self.reaches(worker, node) && self.workers.get(worker).is_some_and(|w| !w.mute)
     }
 
-    /// Whether anything that a node says reaches a worker.
+    /// Whether anything that a controller says reaches an agent.
     pub(super) fn node_reaches_machine(&self, worker: &str, node: usize) -> bool {
         self.reaches(worker, node) && self.workers.get(worker).is_some_and(|w| !w.deaf)
     }
--- a/tests/world/nodes.rs
+++ b/tests/world/nodes.rs
@@ -60,7 +60,7 @@
         self.at(after, WorldEvent::Restart(i));
     }
 
-    /// Whether the node ends soon after this call went out: writes are rarer than reads
+    /// Whether the controller ends soon after this call went out: writes are rarer than reads
     /// and matter more.
     pub(super) fn crash_in_exchange(&mut self, i: usize, action: &Action) {
         if self.now >= self.faults.crashes_in_exchanges_until {
@@ -170,7 +170,7 @@
         }
     }
 
-    /// What the load balancer is told by a node.
+    /// What the load balancer is told by a controller.
     pub fn healthy(&mut self, i: usize) -> bool {
         let now = self.now - self.started_at.get(&i).copied().unwrap_or_default();
         let Some(c) = self.nodes[i].logic.as_mut() else { return false };
--- a/tests/world/store.rs
+++ b/tests/world/store.rs
@@ -1,4 +1,4 @@
-//! Stand-in for the state service: keys, versions, leases, watches.
+//! Stand-in for the store: keys, versions, leases, watches.
 
 use super::{bytes, get, number, text};
 use ciborium::{Value, cbor};
@@ -21,7 +21,7 @@
 #[derive(Default)]
 pub struct Store {
     keys: BTreeMap<String, Entry>,
-    ledger: u64,
+    revision: u64,
     changes: Vec<(u64, String, Option<Value>)>,
     leases: BTreeMap<u64, (Duration, Duration)>,
     watches: Vec<Watch>,
@@ -29,9 +29,9 @@
     pub down: bool,
     /// Transactions get no answer and are held; reads are served.
     pub holds_writes: bool,
-    /// The watches of these nodes stand still; all else is served.
+    /// The watches of these controllers stand still; all else is served.
     pub mute: BTreeSet<usize>,
-    /// The next watch of these nodes is told that it is too old.
+    /// The next watch of these controllers is told that it is too old.
     pub forgets: BTreeSet<usize>,
     held: Vec<Value>,
     /// Puts and deletes a second, with a burst worth one second.
@@ -76,9 +76,9 @@
             let keys: Vec<String> =
                 self.keys.iter().filter(|(_, e)| e.lease == Some(id)).map(|(k, _)| k.clone()).collect();
             for k in keys {
-                self.ledger += 1;
+                self.revision += 1;
                 self.keys.remove(&k);
-                self.changes.push((self.ledger, k, None));
+                self.changes.push((self.revision, k, None));
             }
         }
     }
@@ -87,8 +87,8 @@
         if self.down {
             return Vec::new();
         }
-        let ledger = self.ledger;
-        let due = |w: &Watch| (w.after < ledger || w.until <= now) && !self.mute.contains(&w.node);
+        let revision = self.revision;
+        let due = |w: &Watch| (w.after < revision || w.until <= now) && !self.mute.contains(&w.node);
         let (due, rest): (Vec<Watch>, Vec<Watch>) = std::mem::take(&mut self.watches).into_iter().partition(due);
         self.watches = rest;
         due.into_iter().map(|w| (w.node, w.id, 200, self.news(w.after))).collect()
@@ -104,7 +104,7 @@
                 None => cbor!({"delete" => key.clone(), "entry_no" => *rev}).unwrap(),
             })
             .collect();
-        bytes(&cbor!({"ledger_no" => self.ledger, "news" => news}).unwrap())
+        bytes(&cbor!({"ledger_no" => self.revision, "news" => news}).unwrap())
     }
 
     pub fn serve(&mut self, now: Duration, node: usize, id: u64, method: &str, path: &str, body: &Value) -> Answer {
@@ -147,7 +147,7 @@
         if let Some(key) = path.strip_prefix("/store/") {
             return match self.keys.get(key) {
                 Some(e) => Self::ok(cbor!({"key" => key, "data" => e.data.clone(), "entry_no" => e.version}).unwrap()),
-                None => Some((404, bytes(&cbor!({"ledger_no" => self.ledger}).unwrap()))),
+                None => Some((404, bytes(&cbor!({"ledger_no" => self.revision}).unwrap()))),
             };
         }
         let (prefix, after) = (arg("starts"), arg("after"));
@@ -158,7 +158,7 @@
             .take(self.page)
             .map(|(k, e)| cbor!({"key" => (*k).clone(), "data" => e.data.clone(), "entry_no" => e.version}).unwrap())
             .collect();
-        Self::ok(cbor!({"rows" => rows, "truncated" => all.len() > self.page, "ledger_no" => self.ledger}).unwrap())
+        Self::ok(cbor!({"rows" => rows, "truncated" => all.len() > self.page, "ledger_no" => self.revision}).unwrap())
     }
 
     /// Carries out a transaction that nobody waits for any more; whether it was.
@@ -189,11 +189,11 @@
         }
         let version = |k: &str| self.keys.get(k).map_or(0, |e| e.version);
         if conditions.iter().any(|c| version(&text(c, "key")) != number(c, "entry_no")) {
-            return (409, bytes(&cbor!({"failed" => [], "ledger_no" => self.ledger}).unwrap()));
+            return (409, bytes(&cbor!({"failed" => [], "ledger_no" => self.revision}).unwrap()));
         }
         let fits = ops.len() <= self.txn_ops && conditions.len() <= 4 * self.txn_ops && bytes(body).len() <= 65536;
         assert!(fits, "transaction over the limits");
-        // Whatever changes a pack looks at its owner's block: carried out late, after that
+        // Whatever changes a pack looks at its owner's shard: carried out late, after that
         // was granted anew, it would bring a dead grant or a lower token back.
         for key in ops.iter().map(|o| text(o, "put") + &text(o, "delete")).filter(|k| k.starts_with("fq/h/")) {
             if let Some(e) = self.keys.get(&key) {
@@ -204,21 +204,21 @@
                 );
             }
         }
-        self.ledger += 1;
+        self.revision += 1;
         for o in &ops {
             let key = text(o, "put");
             if key.is_empty() {
                 let key = text(o, "delete");
                 self.keys.remove(&key);
-                self.changes.push((self.ledger, key, None));
+                self.changes.push((self.revision, key, None));
                 continue;
             }
             let data = get(o, "data").cloned().unwrap();
             assert!(bytes(&data).len() <= 8192, "{key} is over the value limit");
-            self.changes.push((self.ledger, key.clone(), Some(data.clone())));
-            self.keys.insert(key, Entry { data, version: self.ledger, lease: lease_of(o) });
+            self.changes.push((self.revision, key.clone(), Some(data.clone())));
+            self.keys.insert(key, Entry { data, version: self.revision, lease: lease_of(o) });
         }
-        (200, bytes(&cbor!({"ledger_no" => self.ledger}).unwrap()))
+        (200, bytes(&cbor!({"ledger_no" => self.revision}).unwrap()))
     }
 
     /// Changes of keys with this prefix after a revision.
@@ -232,7 +232,7 @@
         node(leader, "member")
     }
 
-    /// The number of the controller to whose block the machine belongs.
+    /// The number of the controller to whose shard the machine belongs.
     pub fn owner(&self, machine: &str) -> Option<usize> {
         let holds = |d: &Value| {
             get(d, "machines")
@@ -254,8 +254,8 @@
         logs.map(|(_, e)| number(&e.data, "n")).max().unwrap_or(0)
     }
 
-    pub fn ledger(&self) -> u64 {
-        self.ledger
+    pub fn revision(&self) -> u64 {
+        self.revision
     }
 
     /// How many machines the records hold.
--- a/tests/world/users.rs
+++ b/tests/world/users.rs
@@ -1,5 +1,5 @@
-//! Stand-in for users: they submit, ask, call off, and hold every answer against what had
-//! been told before they asked. Some look closely: at all nodes, within milliseconds after
+//! Stand-in for users: they submit, ask, cancel, and hold every answer against what had
+//! been told before they asked. Some look closely: at all controllers, within milliseconds after
 //! they were told something; some ask for what cannot be.
 
 use super::events::{Pending, Source, WorldEvent};
@@ -23,7 +23,7 @@
     Cancel(String),
     /// One of many at once; nobody asks again for want of an answer.
     CloseQuery(String),
-    /// A question of the test's own, to that node.
+    /// A question of the test's own, to that controller.
     Test(String, usize),
     /// A request that must be refused with this status.
     Invalid(String, u16),
@@ -38,14 +38,14 @@
     }
 }
 
-/// Right after users were told something they ask all nodes, and repeat the submission.
+/// Right after users were told something they ask all controllers, and repeat the submission.
 #[derive(Debug, Clone, Copy)]
 pub struct CloseQueries {
-    /// Such a part of jobs is called off, at all nodes, as soon as it was accepted.
+    /// Such a part of jobs is cancelled, at all controllers, as soon as it was accepted.
     pub cancel: f64,
 }
 
-/// Milliseconds after an answer at which all nodes are asked.
+/// Milliseconds after an answer at which all controllers are asked.
 const LOOKS_MS: [f64; 3] = [0.0, 8.0, 40.0];
 
 impl World {
@@ -93,7 +93,7 @@
             }
             Source::User(Asked::Cancel(uid)) => {
                 let over = matches!(text(&value(body), "status").as_str(), "withdrawn" | "done");
-                assert!(status != 200 || over, "seed {}: a withdrawal of {uid} got another answer", self.seed);
+                assert!(status != 200 || over, "seed {}: a cancellation of {uid} got another answer", self.seed);
                 self.check_answer(&uid, p.floor, status, &value(body));
                 self.at(1.0, WorldEvent::User(uid));
             }
@@ -126,10 +126,10 @@
             j.confirmed_done = true;
         }
         if state == "withdrawn" {
-            assert!(j.cancel_asked, "seed {seed}: {uid} withdrawn by nobody");
+            assert!(j.cancel_asked, "seed {seed}: {uid} cancelled by nobody");
             j.cancelled_at = j.cancelled_at.or(Some(now));
         }
-        assert!(!j.confirmed_done || j.cancelled_at.is_none(), "seed {seed}: {uid} is told both done and withdrawn");
+        assert!(!j.confirmed_done || j.cancelled_at.is_none(), "seed {seed}: {uid} is told both done and cancelled");
         j.running = number(body, "running") as u32;
         let news = self.told(uid);
         if let Some(looks) = self.faults.close_queries.filter(|_| news > before) {
@@ -141,7 +141,7 @@
         }
     }
 
-    /// Asks every node for the job, repeats its submission, and calls it off where its
+    /// Asks every controller for the job, repeats its submission, and cancels it where its
     /// user does.
     fn query_all_nodes(&mut self, uid: &str, leave: bool) {
         let j = self.jobs.get_mut(uid).unwrap();
@@ -160,18 +160,18 @@
         }
     }
 
-    /// Its user asks every node for it, and repeats the submission.
+    /// Its user asks every controller for it, and repeats the submission.
     pub fn query_closely(&mut self, uid: &str) {
         self.query_all_nodes(uid, false);
     }
 
-    /// Its user calls it off now, at some node, and repeats that as any cancellation.
+    /// Its user cancels it now, at some controller, and repeats that as any cancellation.
     pub fn cancel(&mut self, uid: &str) {
         let node = self.rng.random_range(0..self.nodes.len());
         self.cancel_at_node(uid, node);
     }
 
-    /// The same, at this node.
+    /// The same, at this controller.
     pub fn cancel_at_node(&mut self, uid: &str, node: usize) {
         self.jobs.get_mut(uid).unwrap().cancel_asked = true;
         let source = Source::User(Asked::CloseQuery(uid.into()));
@@ -242,7 +242,7 @@
         self.at(2.0, WorldEvent::Timeout(conn));
     }
 
-    /// Asks a node for a job; `asked` has what comes back.
+    /// Asks a controller for a job; `asked` has what comes back.
     pub fn ask(&mut self, uid: &str, node: usize) {
         self.asked.insert((uid.to_string(), node), 0);
         let source = Source::User(Asked::Test(uid.to_string(), node));
--- a/tests/world/worker.rs
+++ b/tests/world/worker.rs
@@ -1,4 +1,4 @@
-//! Stand-in for a worker: reports, tokens, leases and tasks as PROTOCOL has them.
+//! Stand-in for an agent: reports, tokens, leases and tasks as PROTOCOL has them.
 
 use super::{GANG_PEER_S, GANG_WAIT_S, LEASE_S, bytes, get, number, s, text};
 use ciborium::{Value, cbor};
