--- a/tests/models/attest.rs
+++ b/tests/models/attest.rs
@@ -2,23 +2,23 @@
 //! take a cancellation, whenever it reaches the store: it acts and tells by the answer,
 //! while its watch may stand still from then on. A reaches the store or not, heartbeats pass
 //! or not, or are held back and come late. What B knows of and A may not have seen it
-//! carries in its heartbeats. Stands for `Controller::{entitled, owed, heed, heeds}`,
-//! `View::learned`, `links::table::attested` and `Machine::lapsed`.
+//! carries in its heartbeats. Stands for `Controller::{entitled, revocations, apply_revocations}`,
+//! `ClusterState::known_revision`, `attested` in `src/connectivity` and `Machine::lapsed`.
 
 use finchquay_explorer::Model;
 
-/// What an attestation rests on; each can be taken away.
+/// What an attestation rests on; each condition can be taken away.
 #[derive(Debug, Clone, Copy)]
 pub struct Trust {
     /// It counts from the heartbeat of ours that it echoes, not from when it came.
     pub acknowledgements: bool,
-    /// The view it speaks of is no newer than ours.
+    /// The replica it speaks of is no newer than ours.
     pub revision: bool,
     /// It is good for as long as a read of the store is, not for ever.
     pub limit: bool,
     /// The revision that it speaks of counts what was learned from answers.
     pub known_revision: bool,
-    /// A cancellation that it carries is heeded before it counts,
+    /// A cancellation that it carries is applied before it counts,
     pub applied: bool,
     /// and a grant that it carries makes it void.
     pub granted: bool,
--- a/tests/models/log.rs
+++ b/tests/models/log.rs
@@ -1,6 +1,6 @@
-//! Two controllers, one with two machines and one with one, one job of two tasks, a leader that moves
-//! the job's lease, the store, transactions that come late, answers that are lost,
-//! a restart. Stands for `controller/segments.rs` and `ClusterState`'s replay.
+//! Two controllers, one with two machines and one with one, one job of two tasks, a leader that reassigns
+//! the job's task range, the store, transactions that come late, answers that are lost,
+//! a restart. Stands for the controller's journal and `ClusterState`'s replay.
 
 use finchquay_explorer::Model;
 
@@ -11,7 +11,7 @@
     pub slot: bool,
     /// A start names the job's record.
     pub job: bool,
-    /// Starts wait until the view has come to the job's record.
+    /// Starts wait until the replica has come to the job's record.
     pub seen: bool,
     /// Facts about a machine name its owner's grant.
     pub grant: bool,
--- a/tests/models/maintenance.rs
+++ b/tests/models/maintenance.rs
@@ -1,21 +1,21 @@
-//! Two processes that each take themselves for the leader, views that lag, writes that
-//! come late and in any order, crashes, and an owner that stops what has a ticket: two
-//! replicas of a team, each on a machine of the wave, and a budget of one. The step is
-//! the real one (`upkeep::campaign::next`); around it stands `controller/upkeep.rs`.
+//! Two processes that each take themselves for the leader, replicas that lag, writes that
+//! come late and in any order, crashes, and an owner that stops what has a disruption permit: two
+//! replicas of a team, each on a machine of the batch, and a budget of one. The step is
+//! the real one (`maintenance::campaign::next`); the rest stands for the controller's maintenance component.
 
 use finchquay::maintenance::budget::{Budget, TeamReplicas};
 use finchquay::maintenance::campaign::{Campaign, Candidate, MaintenanceRecord, Ticket, next};
 use finchquay_explorer::Model;
 use std::collections::BTreeMap;
 
-/// What the account rests on; each can be taken away.
+/// What the accounting rests on; each can be taken away.
 #[derive(Debug, Clone, Copy)]
 pub struct Rests {
     /// The record is written on its version.
     pub version: bool,
-    /// A replica under a ticket counts as away.
+    /// A replica under a permit counts as away.
     pub counted: bool,
-    /// A ticket comes back only once its replica has had the time to run.
+    /// A permit comes back only once its replica has had the time to run.
     pub settled: bool,
 }
 
