--- a/src/controller/api.rs
+++ b/src/controller/api.rs
@@ -53,7 +53,7 @@
 
     pub(super) fn respond(&mut self, conn: ConnId, status: u16, body: Vec<u8>) {
         let retry_after = matches!(status, 429 | 503).then_some(COME_BACK);
-        self.outbox.actions.push(Action::Respond { conn, status, body, retry_after });
+        self.outbox.push(Action::Respond { conn, status, body, retry_after });
     }
 
     /// Refuses a change that may not be written now: the store is away, or writes are
@@ -64,7 +64,7 @@
         }
         let retry_after = Some(self.api.retry_after.after(self.now, self.transactions.rate.rate));
         let body = encode(&ErrorBody { error: error.into() });
-        self.outbox.actions.push(Action::Respond { conn, status: 429, body, retry_after });
+        self.outbox.push(Action::Respond { conn, status: 429, body, retry_after });
     }
 
     pub(super) fn refuse(&mut self, conn: ConnId, status: u16, error: &str) {
--- a/src/controller/autoscaler.rs
+++ b/src/controller/autoscaler.rs
@@ -583,8 +583,7 @@
             }
             self.cloud.rate.charge(self.now, 1.0);
             self.autoscaler.renting += 1;
-            self.leadership.request_count += 1;
-            let request_id = format!("fq-{}-{}", self.term(), self.leadership.request_count);
+            let request_id = format!("fq-{}-{}", self.term(), self.leadership.next_request());
             let body = encode(&RentRequest {
                 request_id: request_id.as_str().into(),
                 machine_type: r.offer.machine_type.as_str().into(),
--- a/src/controller/connectivity.rs
+++ b/src/controller/connectivity.rs
@@ -116,7 +116,7 @@
         fit::fit(&mut heartbeat, turns, |machine| self.told_first(machine));
         for other in &self.config.others {
             let frame = Frame::PeerHeartbeat(Box::new(heartbeat.clone()));
-            self.outbox.actions.push(Action::Send { member: other.member.clone(), frame });
+            self.outbox.push(Action::Send { member: other.member.clone(), frame });
         }
     }
 
@@ -348,7 +348,7 @@
             if self.connectivity.deaf.note(&owner, account, now, pause) {
                 tracing::info!(member = %owner, machines, "does not hear its machines, others do");
                 // Whoever can act on it hears of it at once.
-                self.leadership.check_next = now;
+                self.leadership.check_at_next_tick(now);
             }
         }
     }
--- a/src/controller/journal.rs
+++ b/src/controller/journal.rs
@@ -309,7 +309,7 @@
             return None;
         }
         let far = |l: Limit| l.max <= 0.0 || l.used <= l.max * FAR_FROM_LIMIT;
-        let rec = records::TeamRecord { strict: !(far(cpus) && far(gpus)), count: self.outbox.next_call };
+        let rec = records::TeamRecord { strict: !(far(cpus) && far(gpus)), count: self.outbox.next_call_id() };
         Some(Some(Quota { team: name, cond: (key, version), strict: Some(rec) }))
     }
 
--- a/src/controller/leadership.rs
+++ b/src/controller/leadership.rs
@@ -1,7 +1,8 @@
-//! Taking and keeping the lead. What the leader does then has files of its own:
-//! enrol, blocks, leasing, fleet.
-//! Every write is conditional on the lead still being ours.
+//! Winning and keeping the leadership. What the leader does then has files of its own:
+//! registration, sharding, task ranges, autoscaler. Every write of a leader is
+//! conditional on the leadership still being its own.
 
+use super::process::Process;
 use super::*;
 use crate::protocol::store::{Condition, Op};
 use records::{LeaderRecord, TermRecord};
@@ -10,30 +11,110 @@
 #[derive(Debug, Default)]
 pub(super) struct Leadership {
     /// When a leader was first seen.
-    pub(super) led_since: Option<Instant>,
+    first_leader_at: Option<Instant>,
     /// The last term in which this process led.
-    pub(super) led_term: u64,
+    own_term: u64,
     /// When the election is looked at next.
-    pub(super) check_next: Instant,
+    next_check: Instant,
     /// The state of the replica's members at the last look.
-    pub(super) members_seen: u64,
+    members_seen: u64,
     /// Grants made in this term.
-    pub(super) epoch: u64,
-    /// Rental requests made in this term.
-    pub(super) request_count: u64,
+    epoch: u64,
+    /// Provisioning requests made in this term.
+    request_count: u64,
+}
+
+impl Leadership {
+    /// Whether the election is to be looked at now: after `interval`, or at once where
+    /// members came or went, so that a vacant leadership waits for no interval.
+    fn check_due(&mut self, now: Instant, members_changed: u64, interval: Duration) -> bool {
+        if now < self.next_check && self.members_seen == members_changed {
+            return false;
+        }
+        self.members_seen = members_changed;
+        self.next_check = now + interval;
+        true
+    }
+
+    /// The next tick looks at the election, however soon it comes.
+    pub(super) fn check_at_next_tick(&mut self, now: Instant) {
+        self.next_check = now;
+    }
+
+    /// Starts the counters of a term; false where this process led it already.
+    fn begin_term(&mut self, term: u64) -> bool {
+        if self.own_term == term {
+            return false;
+        }
+        self.own_term = term;
+        self.epoch = 0;
+        self.request_count = 0;
+        true
+    }
+
+    /// The replica shows a leader.
+    pub(super) fn observe_leader(&mut self, now: Instant) {
+        self.first_leader_at.get_or_insert(now);
+    }
+
+    /// How long ago this process first saw a leader.
+    pub(super) fn since_first_leader(&self, now: Instant) -> Option<Duration> {
+        self.first_leader_at.map(|at| now.saturating_sub(at))
+    }
+
+    /// The epoch of the next grant: within a term, each is higher than those before.
+    pub(super) fn next_epoch(&mut self) -> u64 {
+        self.epoch += 1;
+        self.epoch
+    }
+
+    /// The number of the next provisioning request of this term.
+    pub(super) fn next_request(&mut self) -> u64 {
+        self.request_count += 1;
+        self.request_count
+    }
+
+    /// Provisioning requests made in this term.
+    pub(super) fn request_count(&self) -> u64 {
+        self.request_count
+    }
+}
+
+/// The condition that the leader is still the one that `state` shows.
+fn leader_condition(state: &ClusterState) -> Condition {
+    let version = state.leader.as_ref().map_or(0, |leader| leader.version);
+    Condition { key: records::LEADER_KEY.into(), version }
+}
+
+/// The transaction that makes this process the leader, where nobody alive is.
+fn election(state: &ClusterState, process: &Process, lease: u64) -> Option<Txn> {
+    let leader = state.leader.as_ref();
+    if leader.is_some_and(|leader| state.is_live(&leader.rec.member, leader.rec.incarnation)) {
+        return None;
+    }
+    let term = state.term.as_ref().map_or(0, |term| term.rec.term) + 1;
+    let term_version = state.term.as_ref().map_or(0, |term| term.version);
+    let leader_record = LeaderRecord { member: process.member.clone(), incarnation: process.incarnation, term };
+    let term_record = TermRecord { term, format_version: records::FORMAT_VERSION };
+    Some(Txn {
+        conditions: vec![leader_condition(state), Condition { key: records::TERM_KEY.into(), version: term_version }],
+        ops: vec![
+            Op::Put { key: records::LEADER_KEY.into(), data: records::to_value(&leader_record), lease: Some(lease) },
+            Op::Put { key: records::TERM_KEY.into(), data: records::to_value(&term_record), lease: None },
+        ],
+    })
 }
 
 impl Controller {
-    pub(super) fn lead_tick(&mut self) {
-        let now = self.now;
-        // A lead that fell vacant, or a controller that came, waits for no interval.
-        if now < self.leadership.check_next && self.leadership.members_seen == self.state.members_changed {
+    /// Stands for election where the leadership is vacant, and does the leader's
+    /// work where it is our own.
+    pub(super) fn lead(&mut self) {
+        let interval = self.heartbeat_intervals(CHECK_INTERVAL);
+        if !self.leadership.check_due(self.now, self.state.members_changed, interval) {
             return;
         }
-        self.leadership.members_seen = self.state.members_changed;
-        self.leadership.check_next = now + self.heartbeat_intervals(0.1);
         if !self.am_leader() {
-            self.claim();
+            self.stand_for_election();
             return;
         }
         self.begin_term();
@@ -42,69 +123,59 @@
         }
         self.grant_shards();
         self.enrol_rentals();
-        if now >= self.sharding.reassign_next {
-            self.sharding.reassign_next = now + self.heartbeat_intervals(0.25);
+        if self.sharding.reassignment_due(self.now, self.heartbeat_intervals(REASSIGN_INTERVAL)) {
             self.reassign_tasks();
             self.advance_maintenance();
         }
         self.fleet_tick();
     }
 
-    /// What the first moment of a term brings, whether the claim was answered or only
+    /// What the first moment of a term brings, whether the election was answered or only
     /// the watch shows that it was carried out.
     fn begin_term(&mut self) {
         let term = self.term();
-        if std::mem::replace(&mut self.leadership.led_term, term) != term {
-            self.leadership.epoch = 0;
-            self.leadership.request_count = 0;
+        if self.leadership.begin_term(term) {
             self.cloud.list_at = None;
             self.cloud.list_stalled = None;
-            tracing::info!(term, member = %self.process.member, "took the lead");
+            tracing::info!(term, member = %self.process.member, "leader_elected");
         }
     }
 
-    /// Takes the lead where nobody alive holds it.
-    fn claim(&mut self) {
+    /// No limit holds this back but the pause after a refusal: without a leader
+    /// nothing is granted, rented or reassigned.
+    fn stand_for_election(&mut self) {
         let Some(lease) = self.store.session.lease else { return };
         if !self.state.is_live(&self.process.member, self.process.incarnation)
             || self.transactions.locked_keys.contains(records::TERM_KEY)
+            || !self.retry.may(Retry::Write, self.now)
         {
             return;
         }
-        let leader = self.state.leader.as_ref();
-        if leader.is_some_and(|l| self.state.is_live(&l.rec.member, l.rec.incarnation)) {
-            return;
-        }
-        // No limit holds this back but the pause after a refusal: without a leader
-        // nothing is granted, rented or reassigned.
-        if !self.retry.may(Retry::Write, self.now) {
-            return;
+        if let Some(txn) = election(&self.state, &self.process, lease) {
+            self.txn(txn, Why::Lead);
         }
-        let term = self.state.term.as_ref().map_or(0, |t| t.rec.term) + 1;
-        let rec = LeaderRecord { member: self.process.member.clone(), incarnation: self.process.incarnation, term };
-        let txn = Txn {
-            conditions: vec![
-                Condition { key: records::LEADER_KEY.into(), version: leader.map_or(0, |l| l.version) },
-                Condition { key: records::TERM_KEY.into(), version: self.state.term.as_ref().map_or(0, |t| t.version) },
-            ],
-            ops: vec![
-                Op::Put { key: records::LEADER_KEY.into(), data: records::to_value(&rec), lease: Some(lease) },
-                Op::Put {
-                    key: records::TERM_KEY.into(),
-                    data: records::to_value(&TermRecord { term, format_version: records::FORMAT_VERSION }),
-                    lease: None,
-                },
-            ],
-        };
-        self.txn(txn, Why::Lead);
     }
 
+    /// Whether this process is the leader, by what the replica shows.
+    pub(super) fn am_leader(&self) -> bool {
+        self.state.leader.as_ref().is_some_and(|leader| self.process.is(&leader.rec.member, leader.rec.incarnation))
+    }
+
+    /// The condition that the leader has not changed.
     pub(super) fn leader_condition(&self) -> Condition {
-        let version = self.state.leader.as_ref().map_or(0, |l| l.version);
-        Condition { key: records::LEADER_KEY.into(), version }
+        leader_condition(&self.state)
     }
 
+    /// The term of the leader that the replica shows; 0 without one.
     pub(super) fn term(&self) -> u64 {
-        self.state.leader.as_ref().map_or(0, |l| l.rec.term)
+        self.state.leader.as_ref().map_or(0, |leader| leader.rec.term)
     }
 }
+
+/// Heartbeat intervals between two looks at the election.
+const CHECK_INTERVAL: f64 = 0.1;
+/// Heartbeat intervals between two reassignments of waiting tasks.
+const REASSIGN_INTERVAL: f64 = 0.25;
+
+#[cfg(test)]
+mod tests;
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -53,7 +53,7 @@
 use journal::Journal;
 use leadership::Leadership;
 use maintenance::Maintenance;
-use outbox::Outbox;
+use outbox::{Outbox, Purpose, outcome};
 use process::Process;
 use quota::QuotaReservations;
 use scheduler::Scheduler;
@@ -62,79 +62,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::time::Duration;
 use store_sync::StoreAccess;
-use transactions::Transactions;
-use transactions::Why;
-
-/// Why a call was made; decides what its answer means.
-#[derive(Debug)]
-enum Purpose {
-    Lease,
-    Renew,
-    Scan,
-    Watch,
-    Barrier,
-    Catalog,
-    List,
-    Rent {
-        offer: crate::scaling::Offer,
-        number: u32,
-    },
-    Release {
-        machines: Vec<String>,
-    },
-    Push {
-        machine: String,
-        grant: u64,
-    },
-    /// Whether a machine answers, and what: silent ones, unknown ones, and those that
-    /// say less than was known when they were called.
-    Probe {
-        machine: String,
-        known: At,
-    },
-    Txn {
-        txn: Txn,
-        why: Why,
-        keys: Vec<String>,
-        charge: Charge,
-        sent: Instant,
-    },
-}
-
-impl Purpose {
-    /// What the retry policy knows it as; pushes to workers are voided, not repeated.
-    fn retry(&self) -> Option<Retry> {
-        Some(match self {
-            Purpose::Lease => Retry::Lease,
-            Purpose::Renew => Retry::Renew,
-            Purpose::Scan => Retry::Load,
-            Purpose::Watch => Retry::Watch,
-            Purpose::Barrier => Retry::Barrier,
-            Purpose::Catalog => Retry::Catalog,
-            Purpose::List => Retry::List,
-            Purpose::Rent { .. } => Retry::Rent,
-            Purpose::Release { .. } => Retry::Release,
-            Purpose::Txn { .. } => Retry::Write,
-            Purpose::Push { .. } | Purpose::Probe { .. } => return None,
-        })
-    }
-}
-
-/// How a call ended, for the retry policy.
-fn outcome(purpose: Retry, result: &Result<Reply, NoAnswer>) -> Outcome {
-    match result {
-        Err(NoAnswer) => Outcome::Failed,
-        Ok(r) if r.status == 429 => Outcome::Limited,
-        // A cloud that has no more of one offer is well.
-        Ok(r) if r.status == 503 && purpose == Retry::Rent => {
-            let error = crate::protocol::decode::<crate::protocol::user::ErrorBody>(&r.body);
-            let none = error.is_ok_and(|e| e.error == NO_CAPACITY);
-            if none { Outcome::Answered } else { Outcome::Failed }
-        }
-        Ok(r) if r.status == 503 => Outcome::Failed,
-        Ok(_) => Outcome::Answered,
-    }
-}
+use transactions::{Transactions, Why};
 
 /// The shortest pauses after a failure, as ratios to the settings.
 fn pauses(set: &Settings, ttl: Duration, gap: Duration) -> Vec<(Retry, Duration)> {
@@ -305,7 +233,7 @@
         match event {
             Event::Request { conn, method, path, body } => self.request(conn, &method, &path, &body),
             Event::Answer { id, result } => {
-                if let Some(purpose) = self.outbox.calls.remove(&id) {
+                if let Some(purpose) = self.outbox.end_call(id) {
                     self.answer(id, purpose, result);
                 }
             }
@@ -345,7 +273,7 @@
             self.scheduler.next = self.now + self.store.session.gap;
             self.schedule();
         }
-        actions.append(&mut self.outbox.actions);
+        self.outbox.drain_into(actions);
     }
 
     fn tick(&mut self) {
@@ -372,7 +300,7 @@
             self.note_overdue();
         }
         self.close_tick();
-        self.lead_tick();
+        self.lead();
         if self.now >= self.service_levels.summary_next {
             self.service_levels.summary_next = self.now + self.heartbeat_intervals(4.0);
             self.summary();
@@ -406,7 +334,7 @@
     }
 
     fn wall_ms(&self) -> u64 {
-        (self.process.wall + self.now).as_millis() as u64
+        self.process.wall_ms(self.now)
     }
 
     /// Whether this controller may act for all of them: its view is so recent
@@ -426,15 +354,8 @@
         self.store.session.staleness(self.now).is_some_and(|s| s < self.heartbeat_intervals(1.0))
     }
 
-    fn am_leader(&self) -> bool {
-        self.state
-            .leader
-            .as_ref()
-            .is_some_and(|l| l.rec.member == self.process.member && l.rec.incarnation == self.process.incarnation)
-    }
-
     fn owns(&self, host: &Versioned<records::MachineRecord>) -> bool {
-        host.rec.owner == self.process.member && host.rec.incarnation == self.process.incarnation
+        self.process.is(&host.rec.owner, host.rec.incarnation)
     }
 
     fn machine_type(&self, machine_type: &str) -> Option<&MachineType> {
@@ -450,11 +371,7 @@
         timeout: Duration,
         purpose: Purpose,
     ) -> CallId {
-        let id = self.outbox.next_call;
-        self.outbox.next_call += 1;
-        self.outbox.calls.insert(id, purpose);
-        self.outbox.actions.push(Action::Call { id, target, method, path, body, timeout });
-        id
+        self.outbox.call(target, method, path, body, timeout, purpose)
     }
 
     fn answer(&mut self, id: CallId, purpose: Purpose, result: Result<Reply, NoAnswer>) {
@@ -476,20 +393,20 @@
             Purpose::Release { machines } => self.release_answer(machines, result),
             Purpose::Push { machine, grant } => self.push_answer(id, &machine, grant, result),
             Purpose::Probe { machine, known } => self.probe_answer(machine, known, result),
-            Purpose::Txn { txn, why, keys, charge, sent } => {
+            Purpose::Txn(pending) => {
                 self.transactions.in_flight.ended(id);
                 if result.as_ref().is_ok_and(|r| r.status == 503) {
-                    self.transactions.rate.give_back(self.now, charge);
+                    self.transactions.rate.give_back(self.now, pending.charge);
                 }
-                self.txn_answer(txn, why, &keys, sent, &result);
+                self.txn_answer(pending, &result);
             }
         }
     }
 
     /// What waits for the view to move is looked at again.
     fn view_changed(&mut self) {
-        if self.leadership.led_since.is_none() && self.state.leader.is_some() {
-            self.leadership.led_since = Some(self.now);
+        if self.state.leader.is_some() {
+            self.leadership.observe_leader(self.now);
         }
         if self.service_levels.fleet_since_ms.is_none() && self.state.machines.keys().any(|h| self.is_up(h)) {
             self.service_levels.fleet_since_ms = Some(self.wall_ms());
@@ -519,8 +436,6 @@
     }
 }
 
-/// What the cloud says where it has no more machines of an offer.
-const NO_CAPACITY: &str = "no capacity";
 /// Longer transactions count as this long in the summary.
 const LONGEST_TXN_MS: u64 = 60_000;
 /// Part of the store's writes that is used: renewals and repeats need some.
--- /dev/null
+++ b/src/controller/outbox/tests.rs
@@ -0,0 +1,54 @@
+use super::*;
+
+fn barrier(outbox: &mut Outbox) -> CallId {
+    outbox.call(Target::State, "GET", "/key".into(), None, Duration::from_secs(1), Purpose::Barrier)
+}
+
+fn reply(status: u16) -> Result<Reply, NoAnswer> {
+    Ok(Reply { status, body: Vec::new() })
+}
+
+#[test]
+fn a_call_ends_once() {
+    let mut outbox = Outbox::new();
+    let id = barrier(&mut outbox);
+    assert!(outbox.end_call(id).is_some());
+    assert!(outbox.end_call(id).is_none());
+}
+
+#[test]
+fn ids_are_not_reused() {
+    let mut outbox = Outbox::new();
+    let first = barrier(&mut outbox);
+    outbox.end_call(first);
+    assert_eq!(outbox.next_call_id(), first + 1);
+    assert_ne!(barrier(&mut outbox), first);
+}
+
+#[test]
+fn actions_are_handed_over_once_and_in_order() {
+    let mut outbox = Outbox::new();
+    let ids = [barrier(&mut outbox), barrier(&mut outbox)];
+    let mut actions = Vec::new();
+    outbox.drain_into(&mut actions);
+    outbox.drain_into(&mut actions);
+    let called: Vec<CallId> =
+        actions.iter().filter_map(|a| if let Action::Call { id, .. } = a { Some(*id) } else { None }).collect();
+    assert_eq!(called, ids);
+}
+
+#[test]
+fn only_missing_answers_and_503_count_as_failures() {
+    assert_eq!(outcome(Retry::Write, &Err(NoAnswer)), Outcome::Failed);
+    assert_eq!(outcome(Retry::Write, &reply(503)), Outcome::Failed);
+    assert_eq!(outcome(Retry::Write, &reply(429)), Outcome::Limited);
+    assert_eq!(outcome(Retry::Write, &reply(409)), Outcome::Answered);
+}
+
+#[test]
+fn a_cloud_without_capacity_is_healthy() {
+    let body = crate::protocol::encode(&ErrorBody { error: NO_CAPACITY.into() });
+    let result = Ok(Reply { status: 503, body });
+    assert_eq!(outcome(Retry::Rent, &result), Outcome::Answered);
+    assert_eq!(outcome(Retry::List, &result), Outcome::Failed);
+}
--- a/src/controller/process.rs
+++ b/src/controller/process.rs
@@ -6,19 +6,40 @@
 /// Who this controller is, and how its steady clock relates to the time of day.
 #[derive(Debug)]
 pub(super) struct Process {
-    /// The controller's name in the settings.
+    /// The controller's name in the settings. Never changes.
     pub(super) member: String,
-    /// Distinguishes this process from earlier ones of the same name.
+    /// Distinguishes this process from earlier ones of the same name. Never changes.
     pub(super) incarnation: u64,
     /// The time of day at which the process started.
-    pub(super) wall: Duration,
+    started_at: Duration,
     /// When the last tick was handled.
-    pub(super) ticked_at: Instant,
+    last_tick: Instant,
 }
 
 impl Process {
-    /// A process that has just started at the time of day `wall`.
-    pub(super) fn new(member: String, incarnation: u64, wall: Duration) -> Process {
-        Process { member, incarnation, wall, ticked_at: Duration::ZERO }
+    /// A process that has just started at the time of day `started_at`.
+    pub(super) fn new(member: String, incarnation: u64, started_at: Duration) -> Process {
+        Process { member, incarnation, started_at, last_tick: Duration::ZERO }
+    }
+
+    /// Whether a record that names this controller and incarnation means this process.
+    pub(super) fn is(&self, member: &str, incarnation: u64) -> bool {
+        self.member == member && self.incarnation == incarnation
+    }
+
+    /// The time of day in milliseconds.
+    pub(super) fn wall_ms(&self, now: Instant) -> u64 {
+        (self.started_at + now).as_millis() as u64
+    }
+
+    /// Records a tick and returns the time since the one before: much more than the
+    /// usual interval means that the process was suspended.
+    pub(super) fn record_tick(&mut self, now: Instant) -> Duration {
+        let since = now.saturating_sub(self.last_tick);
+        self.last_tick = now;
+        since
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/controller/process/tests.rs
@@ -0,0 +1,24 @@
+use super::*;
+
+fn process() -> Process {
+    Process::new("a".into(), 7, Duration::from_secs(100))
+}
+
+#[test]
+fn an_earlier_incarnation_of_the_same_name_is_another_process() {
+    assert!(process().is("a", 7));
+    assert!(!process().is("a", 6));
+    assert!(!process().is("b", 7));
+}
+
+#[test]
+fn the_time_of_day_goes_on_from_the_start() {
+    assert_eq!(process().wall_ms(Duration::from_millis(50)), 100_050);
+}
+
+#[test]
+fn a_tick_reports_the_time_since_the_last_one() {
+    let mut process = process();
+    assert_eq!(process.record_tick(Duration::from_secs(3)), Duration::from_secs(3));
+    assert_eq!(process.record_tick(Duration::from_secs(4)), Duration::from_secs(1));
+}
--- a/src/controller/quota.rs
+++ b/src/controller/quota.rs
@@ -40,7 +40,7 @@
         if self.transactions.locked_keys.contains(&key) || !self.may_write_as(WritePriority::First) {
             return;
         }
-        let rec = records::TeamRecord { strict: true, count: self.outbox.next_call };
+        let rec = records::TeamRecord { strict: true, count: self.outbox.next_call_id() };
         let txn = Txn {
             conditions: vec![Condition { key: key.clone(), version }],
             ops: vec![Op::Put { key, data: records::to_value(&rec), lease: None }],
--- a/src/controller/registration.rs
+++ b/src/controller/registration.rs
@@ -89,7 +89,7 @@
         let mut txn =
             Txn { conditions: vec![self.leader_condition(), self.machine_groups_condition()], ops: Vec::new() };
         txn.conditions.extend(names.iter().map(|n| Condition { key: records::machine_group_key(n), version: 0 }));
-        let count = records::to_value(&self.leadership.request_count);
+        let count = records::to_value(&self.leadership.request_count());
         txn.ops.push(Op::Put { key: records::MACHINE_GROUPS_KEY.into(), data: count, lease: None });
         for (machines, owner) in names.chunks(size).zip(owners) {
             let Some(to) = self.state.members.get(owner) else { continue };
@@ -124,7 +124,7 @@
     /// Whether this is the first report interval of the cluster's first term: what
     /// reports and was not rented by us stood there before.
     pub(super) fn beginning(&self) -> bool {
-        let since = self.leadership.led_since.map(|t| self.now.saturating_sub(t));
+        let since = self.leadership.since_first_leader(self.now);
         self.term() == 1 && since.is_some_and(|s| s < self.heartbeat_intervals(1.5))
     }
 }
--- a/src/controller/sharding.rs
+++ b/src/controller/sharding.rs
@@ -14,7 +14,7 @@
 #[derive(Debug, Default)]
 pub(super) struct Sharding {
     /// When tasks are next reassigned.
-    pub(super) reassign_next: Instant,
+    reassign_next: Instant,
     /// When shards are next rebalanced.
     pub(super) rebalance_next: Instant,
     /// No rebalancing before this time: machines were brought together for a gang.
@@ -23,6 +23,17 @@
     pub(super) avoid: HashMap<(String, String), Instant>,
 }
 
+impl Sharding {
+    /// Whether tasks are to be reassigned now; if so, the next time is `interval` later.
+    pub(super) fn reassignment_due(&mut self, now: Instant, interval: Duration) -> bool {
+        let due = now >= self.reassign_next;
+        if due {
+            self.reassign_next = now + interval;
+        }
+        due
+    }
+}
+
 /// After machines were brought together for a gang, blocks are not levelled for
 /// so many report intervals.
 const GATHERED_REPORTS: f64 = 3.0;
@@ -38,15 +49,14 @@
                 continue;
             }
             let Some(m) = self.state.members.get(&member) else { continue };
-            self.leadership.epoch += 1;
-            let rec =
-                ShardGrantRecord { incarnation: m.rec.incarnation, term: self.term(), epoch: self.leadership.epoch };
+            let (incarnation, version) = (m.rec.incarnation, m.version);
+            let rec = ShardGrantRecord { incarnation, term: self.term(), epoch: self.leadership.next_epoch() };
             tracing::debug!(to = %member, "block granted again");
             let txn = Txn {
                 conditions: vec![
                     self.leader_condition(),
                     Condition { key: key.clone(), version: self.state.shard_grant_version(&member) },
-                    Condition { key: records::member_key(&member), version: m.version },
+                    Condition { key: records::member_key(&member), version },
                 ],
                 ops: vec![Op::Put { key, data: records::to_value(&rec), lease: None }],
             };
@@ -92,12 +102,11 @@
             if self.transactions.locked_keys.contains(&key) {
                 continue;
             }
-            self.leadership.epoch += 1;
             let rec = MachineGroupRecord {
                 owner: m.to.clone(),
                 incarnation: to.rec.incarnation,
                 term: self.term(),
-                epoch: self.leadership.epoch,
+                epoch: self.leadership.next_epoch(),
                 ..p.rec.clone()
             };
             for machine in p.rec.machines.iter().filter(|m| unreached.iter().any(|u| u.0 == **m)) {
--- a/src/controller/startup.rs
+++ b/src/controller/startup.rs
@@ -16,8 +16,7 @@
 impl Controller {
     /// Notices that the process stood still while its clocks ran on.
     pub(super) fn pause_tick(&mut self) {
-        let since = self.now.saturating_sub(self.process.ticked_at);
-        self.process.ticked_at = self.now;
+        let since = self.process.record_tick(self.now);
         if since > self.heartbeat_intervals(PAUSE_REPORTS) && self.startup.phase() > Phase::Gathering {
             tracing::info!(stood_ms = since.as_millis() as u64, "process stood still, gathers again");
             self.startup.paused(self.now);
--- a/src/controller/transactions.rs
+++ b/src/controller/transactions.rs
@@ -41,6 +41,18 @@
     }
 }
 
+/// A transaction that was sent, and what its end needs to know of it.
+#[derive(Debug)]
+pub(super) struct PendingTransaction {
+    pub(super) txn: Txn,
+    pub(super) why: Why,
+    /// Keys that are locked until it ends.
+    pub(super) keys: Vec<String>,
+    /// What it took of the write rate; given back if it was refused.
+    pub(super) charge: Charge,
+    pub(super) sent_at: Instant,
+}
+
 /// What a transaction was for.
 #[derive(Debug)]
 pub(super) enum Why {
@@ -170,9 +182,9 @@
         written.changes += txn.ops.len();
         self.transactions.locked_keys.extend(keys.iter().cloned());
         let body = crate::protocol::encode(&txn);
-        let id = self.outbox.next_call;
+        let id = self.outbox.next_call_id();
         self.transactions.in_flight.sent(id, &txn, self.state.known_revision());
-        let purpose = Purpose::Txn { txn, why, keys, charge, sent: self.now };
+        let purpose = Purpose::Txn(PendingTransaction { txn, why, keys, charge, sent_at: self.now });
         self.call(Target::State, "POST", store::TXN.into(), Some(body), timeout, purpose);
     }
 
@@ -180,7 +192,7 @@
     /// The watch has brought what was put; of a read's rows the view may lack some.
     pub(super) fn settle(&mut self, by_read: bool) {
         for (id, proof) in self.transactions.in_flight.settled() {
-            let Some(Purpose::Txn { txn, why, keys, sent, .. }) = self.outbox.calls.remove(&id) else { continue };
+            let Some(Purpose::Txn(pending)) = self.outbox.end_call(id) else { continue };
             let ended = match proof {
                 Proof::Done(revision) => Ended::Done(revision),
                 Proof::Void { key, revision } => Ended::Void { failed: vec![key], revision },
@@ -188,28 +200,21 @@
             if let Ended::Done(revision) = ended {
                 self.retry.ended(Retry::Write, Outcome::Answered, self.now);
                 if by_read {
-                    self.view_puts(&txn, revision);
+                    self.view_puts(&pending.txn, revision);
                 }
             }
-            tracing::debug!(kind = why.name(), ?ended, "settled by what the store shows");
-            self.txn_ended(txn, why, &keys, sent, ended);
+            tracing::debug!(kind = pending.why.name(), ?ended, "transaction_settled_by_store");
+            self.txn_ended(pending, ended);
         }
     }
 
     /// Its answer came, or nothing within its time.
-    pub(super) fn txn_answer(
-        &mut self,
-        txn: Txn,
-        why: Why,
-        keys: &[String],
-        sent: Instant,
-        result: &Result<Reply, NoAnswer>,
-    ) {
+    pub(super) fn txn_answer(&mut self, pending: PendingTransaction, result: &Result<Reply, NoAnswer>) {
         let ended = Ended::of(result);
         if let Ended::Done(revision) = ended {
-            self.view_puts(&txn, revision);
+            self.view_puts(&pending.txn, revision);
         }
-        self.txn_ended(txn, why, keys, sent, ended);
+        self.txn_ended(pending, ended);
     }
 
     fn view_puts(&mut self, txn: &Txn, revision: u64) {
@@ -223,11 +228,12 @@
     }
 
     /// What follows from the end of a transaction. What it put is in the view.
-    fn txn_ended(&mut self, txn: Txn, why: Why, keys: &[String], sent: Instant, ended: Ended) {
-        let took = self.now.saturating_sub(sent).as_millis() as u64;
+    fn txn_ended(&mut self, pending: PendingTransaction, ended: Ended) {
+        let PendingTransaction { txn, why, keys, sent_at, .. } = pending;
+        let took = self.now.saturating_sub(sent_at).as_millis() as u64;
         self.transactions.durations_ms.saturating_record(took);
-        for k in keys {
-            self.transactions.locked_keys.remove(k);
+        for key in &keys {
+            self.transactions.locked_keys.remove(key);
         }
         if matches!(ended, Ended::Done(_)) {
             self.scheduler.dirty = true;
