--- a/src/controller/agents.rs
+++ b/src/controller/agents.rs
@@ -674,7 +674,7 @@
         for (group, names) in by_group {
             let key = records::machine_group_key(&group);
             let Some(p) = self.state.machine_groups.get(&group) else { continue };
-            if p.version > self.state.revision || self.transactions.locked_keys.contains(&key) || !self.may_write(1.0) {
+            if p.version > self.state.revision || self.transactions.is_locked(&key) || !self.may_write(1.0) {
                 continue;
             }
             let op = match self.state.in_force(p).without(&names) {
--- a/src/controller/api.rs
+++ b/src/controller/api.rs
@@ -62,7 +62,7 @@
         if self.retry.is_open(Side::State) {
             return self.refuse(conn, 503, "the state service does not answer");
         }
-        let retry_after = Some(self.api.retry_after.after(self.now, self.transactions.rate.rate));
+        let retry_after = Some(self.api.retry_after.after(self.now, self.transactions.write_rate()));
         let body = encode(&ErrorBody { error: error.into() });
         self.outbox.push(Action::Respond { conn, status: 429, body, retry_after });
     }
@@ -101,7 +101,7 @@
             return self.refuse(conn, 503, "not ready");
         }
         let key = records::job_key(&spec.uid);
-        if self.transactions.locked_keys.contains(&key) {
+        if self.transactions.is_locked(&key) {
             // Ours is under way; its user may have been told more elsewhere than that
             // it is accepted.
             return self.ask(conn, &spec.uid, Asked::Submitted);
@@ -275,7 +275,7 @@
 
     fn send_cancel(&mut self, uid: &str) {
         let key = records::job_key(uid);
-        if self.transactions.locked_keys.contains(&key) {
+        if self.transactions.is_locked(&key) {
             return; // taken up again by the next tick
         }
         if !self.may_write_as(WritePriority::First) {
--- a/src/controller/autoscaler.rs
+++ b/src/controller/autoscaler.rs
@@ -151,8 +151,8 @@
             || self.cloud.types.len() > most
             || stored.is_some_and(|c| c.rec.has(&self.cloud.types));
         if told
-            || self.transactions.locked_keys.contains(records::CATALOG_KEY)
-            || !self.may_write(1.0 + self.transactions.rate.rate * ACCEPT_RESERVE)
+            || self.transactions.is_locked(records::CATALOG_KEY)
+            || !self.may_write(1.0 + self.transactions.write_rate() * ACCEPT_RESERVE)
         {
             return;
         }
@@ -284,7 +284,7 @@
                                 .insert(offer.clone(), self.now + self.secs(self.config.settings.workers.lease_s));
                         }
                         tracing::info!(machine_type = %offer.machine_type, zone = %offer.zone, spot = offer.spot, machines = names.len(), "machines rented");
-                        if names.len() as f64 >= self.transactions.rate.rate * GROUP_FROM {
+                        if names.len() as f64 >= self.transactions.write_rate() * GROUP_FROM {
                             self.autoscaler.unrecorded.push_back((offer.clone(), names.clone()));
                             self.enrol_rentals();
                         }
@@ -641,8 +641,7 @@
         };
         let (least_short, least_long) = (least(short), least(long));
         let standing = |name: &str| self.state.loads.get(name).is_some_and(|l| !l.standing.is_empty());
-        let group_busy =
-            |h: &MachineRecord| self.transactions.locked_keys.contains(&records::machine_group_key(&h.group));
+        let group_busy = |h: &MachineRecord| self.transactions.is_locked(&records::machine_group_key(&h.group));
         // Services are not moved for this; of the rest, the dearer kind goes
         // first, and then the least used.
         let mut able: Vec<&MachineCapacity> = capacities
@@ -658,7 +657,7 @@
             let used = |r: &MachineCapacity| r.total_cores - r.free_cores();
             a.spot.cmp(&b.spot).then(used(a).total_cmp(&used(b))).then_with(|| b.machine.cmp(&a.machine))
         });
-        let spare = self.transactions.rate.level(now) - self.transactions.rate.rate * SPARE_WRITES;
+        let spare = self.transactions.unspent_writes(now) - self.transactions.write_rate() * SPARE_WRITES;
         let most = if self.may_write(0.0) { spare.max(0.0) as usize } else { 0 };
         // Machines beside a standing fleet go one by one: room that several
         // free at once may be wanted again before new ones are up.
@@ -713,7 +712,7 @@
     /// The change that marks machines of one pack; none while another is under way.
     pub(super) fn marked_group(&self, group: &str, names: &[String], drain: bool) -> Option<([Condition; 2], Op)> {
         let key = records::machine_group_key(group);
-        let p = self.state.machine_groups.get(group).filter(|_| !self.transactions.locked_keys.contains(&key))?;
+        let p = self.state.machine_groups.get(group).filter(|_| !self.transactions.is_locked(&key))?;
         let mut rec = self.state.in_force(p);
         rec.drain.retain(|m| !names.contains(m));
         if drain {
@@ -737,7 +736,7 @@
         machine_groups.find_map(|(group, p)| {
             let kept: Vec<String> =
                 p.rec.drain.iter().filter(|m| self.state.placed.contains_key(*m) && !campaign(m)).cloned().collect();
-            let free = !self.transactions.locked_keys.contains(&records::machine_group_key(group));
+            let free = !self.transactions.is_locked(&records::machine_group_key(group));
             (free && !kept.is_empty()).then(|| (group.clone(), kept))
         })
     }
--- a/src/controller/journal.rs
+++ b/src/controller/journal.rs
@@ -68,7 +68,7 @@
 
     /// Whether a segment may be put together now.
     pub(super) fn log_ready(&self) -> bool {
-        !self.journal.writer.busy && !self.transactions.outdated.contains_key(&self.log_slot().1)
+        !self.journal.writer.busy && !self.transactions.is_outdated(&self.log_slot().1)
     }
 
     /// Puts the next segment together and sends it. `order` are the jobs with
@@ -143,7 +143,7 @@
         // What an earlier incarnation sent late must not take back a place that
         // its successor relies on.
         let shard = self.shard_condition();
-        let known = |key: &str| !self.transactions.outdated.contains_key(key);
+        let known = |key: &str| !self.transactions.is_outdated(key);
         (known(&group) && known(&shard.key)).then(|| vec![(group, h.version), (shard.key, shard.version)])
     }
 
@@ -206,7 +206,7 @@
         // Whoever could start its tasks before us did so before the job's record
         // was what it is: the view has to have come that far.
         let known = job.rec.version <= self.state.revision;
-        if !known || self.transactions.locked_keys.contains(&key) || self.transactions.outdated.contains_key(&key) {
+        if !known || self.transactions.is_locked(&key) || self.transactions.is_outdated(&key) {
             return true;
         }
         let size = self.state.chunk_size;
@@ -281,7 +281,7 @@
             return Some(None);
         };
         let key = records::team_key(&team.name);
-        if self.transactions.outdated.contains_key(&key) {
+        if self.transactions.is_outdated(&key) {
             return None;
         }
         let (cpus, gpus) = self.used(team);
@@ -305,7 +305,7 @@
             return Some(Some(Quota { team: name, cond: (key, version), strict: None }));
         }
         // The view must show what was started before the record was.
-        if self.transactions.locked_keys.contains(&key) || self.state.revision < version {
+        if self.transactions.is_locked(&key) || self.state.revision < version {
             return None;
         }
         let far = |l: Limit| l.max <= 0.0 || l.used <= l.max * FAR_FROM_LIMIT;
@@ -320,9 +320,7 @@
         let chunk = self.state.jobs.get(uid).and_then(|j: &Job| j.chunks.get(&n));
         let Some(chunk) = chunk.filter(|c| c.rec.as_of_revision < slot_version) else { return Ok(None) };
         let key = records::chunk_key(uid, n);
-        if chunk.last > self.state.revision
-            || self.transactions.locked_keys.contains(&key)
-            || self.transactions.outdated.contains_key(&key)
+        if chunk.last > self.state.revision || self.transactions.is_locked(&key) || self.transactions.is_outdated(&key)
         {
             return Err(NotYet);
         }
@@ -346,7 +344,7 @@
 
     /// Frees slots ahead of need while there are writes to spare.
     pub(super) fn fold_tick(&mut self) {
-        let spare = self.transactions.rate.level(self.now) - self.transactions.rate.rate * SPARE_WRITES;
+        let spare = self.transactions.unspent_writes(self.now) - self.transactions.write_rate() * SPARE_WRITES;
         if self.journal.compacting || spare < 1.0 || !self.may_write(1.0) {
             return;
         }
@@ -439,7 +437,7 @@
         for key in failed.iter().chain(all) {
             slot |= key.starts_with(LOG);
             if *revision > self.state.revision {
-                self.transactions.outdated.insert(key.clone(), *revision);
+                self.transactions.mark_outdated(key, *revision);
             }
         }
         slot
--- a/src/controller/leadership.rs
+++ b/src/controller/leadership.rs
@@ -146,7 +146,7 @@
     fn stand_for_election(&mut self) {
         let Some(lease) = self.store.session.lease else { return };
         if !self.state.is_live(&self.process.member, self.process.incarnation)
-            || self.transactions.locked_keys.contains(records::TERM_KEY)
+            || self.transactions.is_locked(records::TERM_KEY)
             || !self.retry.may(Retry::Write, self.now)
         {
             return;
--- a/src/controller/maintenance.rs
+++ b/src/controller/maintenance.rs
@@ -43,8 +43,8 @@
         let idle = stored.name.is_empty() && stored.wave.is_empty();
         if idle && campaign.is_none()
             || !self.startup.fleet_known()
-            || self.transactions.locked_keys.contains(records::MAINTENANCE_KEY)
-            || !self.may_write(1.0 + self.transactions.rate.rate * ACCEPT_RESERVE)
+            || self.transactions.is_locked(records::MAINTENANCE_KEY)
+            || !self.may_write(1.0 + self.transactions.write_rate() * ACCEPT_RESERVE)
         {
             return;
         }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -200,10 +200,7 @@
             outbox: Outbox::new(),
             retry: Retries::new(incarnation, pauses(&set, ttl, gap)),
             state: ClusterState::new(chunk),
-            store: StoreAccess {
-                session: Session::new(ttl, gap, p.state.rps * LOAD_BURST / n),
-                snapshot: ClusterState::new(chunk),
-            },
+            store: StoreAccess::new(Session::new(ttl, gap, p.state.rps * LOAD_BURST / n), ClusterState::new(chunk)),
             transactions: Transactions::new(p.state.write_rps / n * WRITE_SHARE),
             startup: Start::new(
                 Duration::from_secs_f64(p.workers.lease_s),
@@ -278,7 +275,7 @@
 
     fn tick(&mut self) {
         self.pause_tick();
-        self.sync_tick();
+        self.synchronize();
         self.requests_tick();
         if self.cloud.types.is_empty() || self.now >= self.cloud.types_next {
             self.fetch_types();
@@ -318,10 +315,10 @@
         let (parts, cloud) = if self.am_leader() { (2.0, RENTER_SHARE) } else { (1.0, (1.0 - RENTER_SHARE) / others) };
         let alike = self
             .transactions
-            .store_recovered_at
-            .is_some_and(|t| self.now.saturating_sub(t) < self.heartbeat_intervals(CROWD_REPORTS));
+            .since_store_recovered(self.now)
+            .is_some_and(|since| since < self.heartbeat_intervals(CROWD_REPORTS));
         let (parts, of) = if alike { (1.0, live) } else { (parts, live + 1.0) };
-        self.transactions.rate.rate = p.state.write_rps * WRITE_SHARE * parts / of;
+        self.transactions.set_write_rate(p.state.write_rps * WRITE_SHARE * parts / of);
         self.cloud.rate.rate = p.cloud.rps * cloud;
     }
 
@@ -379,13 +376,12 @@
             let was_away = self.retry.is_open(Side::State);
             self.retry.ended(retry, outcome(retry, &result), self.now);
             if was_away && !self.retry.is_open(Side::State) {
-                self.transactions.rate.store_is_back(self.now);
-                self.transactions.store_recovered_at = Some(self.now);
+                self.transactions.store_recovered(self.now);
             }
         }
         match purpose {
             Purpose::Lease | Purpose::Renew | Purpose::Scan | Purpose::Watch | Purpose::Barrier => {
-                self.sync_answer(purpose, result);
+                self.sync_answer(&purpose, result);
             }
             Purpose::Catalog | Purpose::List | Purpose::Rent { .. } => {
                 self.cloud_answer(purpose, result);
@@ -393,13 +389,7 @@
             Purpose::Release { machines } => self.release_answer(machines, result),
             Purpose::Push { machine, grant } => self.push_answer(id, &machine, grant, result),
             Purpose::Probe { machine, known } => self.probe_answer(machine, known, result),
-            Purpose::Txn(pending) => {
-                self.transactions.in_flight.ended(id);
-                if result.as_ref().is_ok_and(|r| r.status == 503) {
-                    self.transactions.rate.give_back(self.now, pending.charge);
-                }
-                self.txn_answer(pending, &result);
-            }
+            Purpose::Txn(pending) => self.txn_answer(id, pending, &result),
         }
     }
 
--- a/src/controller/quota.rs
+++ b/src/controller/quota.rs
@@ -37,7 +37,7 @@
     /// From here on every start of the team changes its record. The view that
     /// shows this change shows all starts that did not.
     pub(super) fn near_limit(&mut self, key: String, version: u64) {
-        if self.transactions.locked_keys.contains(&key) || !self.may_write_as(WritePriority::First) {
+        if self.transactions.is_locked(&key) || !self.may_write_as(WritePriority::First) {
             return;
         }
         let rec = records::TeamRecord { strict: true, count: self.outbox.next_call_id() };
--- a/src/controller/registration.rs
+++ b/src/controller/registration.rs
@@ -23,9 +23,9 @@
         let key = records::machine_group_key(&report.machine);
         let led = self.leader_name().is_some() && self.state.is_live(&self.process.member, self.process.incarnation);
         // What can be started on machines that are known already comes first.
-        let need = 1.0 + self.transactions.rate.rate * ACCEPT_RESERVE;
+        let need = 1.0 + self.transactions.write_rate() * ACCEPT_RESERVE;
         if !led
-            || self.transactions.locked_keys.contains(&key)
+            || self.transactions.is_locked(&key)
             || self.releases.gone.contains(&report.machine)
             || !self.may_write(need)
         {
@@ -65,7 +65,7 @@
     /// conditional on none having a record of its own, and such records on no
     /// pack having been written meanwhile.
     pub(super) fn enrol_rentals(&mut self) {
-        if self.transactions.locked_keys.contains(records::MACHINE_GROUPS_KEY)
+        if self.transactions.is_locked(records::MACHINE_GROUPS_KEY)
             || !self.am_leader()
             || self.autoscaler.unrecorded.is_empty()
         {
--- a/src/controller/scheduler.rs
+++ b/src/controller/scheduler.rs
@@ -49,7 +49,7 @@
         }
         self.adopt();
         let revision = self.state.revision;
-        self.transactions.outdated.retain(|_, need| *need > revision);
+        self.transactions.forget_outdated(revision);
         let due = self.journal.writer.due(self.now);
         if !self.log_ready() || !due && !self.starts_soon() {
             self.scheduler.dirty = true;
@@ -175,10 +175,7 @@
             let waited_s = patience.waited(now).unwrap_or_default().as_secs_f64();
             let failing = patience.fails_everywhere(job.done);
             let key = records::job_key(uid);
-            if patience.not_before > now
-                || self.transactions.locked_keys.contains(&key)
-                || self.transactions.outdated.contains_key(&key)
-            {
+            if patience.not_before > now || self.transactions.is_locked(&key) || self.transactions.is_outdated(&key) {
                 continue;
             }
             // Most of the time under load nothing fits anywhere: be quick then.
@@ -334,7 +331,7 @@
             let found = starts.iter().filter(|s| s.uid == *uid).count() as u32;
             // One that was written down a moment ago may not be in the view.
             let known = self.scheduler.queue.get(uid).is_some_and(|p| p.waiting_since.is_some() && p.not_before <= now);
-            if mine > found && known && !self.transactions.locked_keys.contains(&records::job_key(uid)) {
+            if mine > found && known && !self.transactions.is_locked(&records::job_key(uid)) {
                 pressed.push((uid, mine - found));
             }
         }
--- a/src/controller/service_levels.rs
+++ b/src/controller/service_levels.rs
@@ -38,15 +38,7 @@
     /// What was written, and from the leader the state of the whole cluster,
     /// at a steady interval.
     pub(super) fn summary(&mut self) {
-        for (kind, w) in std::mem::take(&mut self.transactions.written) {
-            tracing::debug!(kind, sent = w.sent, changes = w.changes, failed = w.failed, "written");
-        }
-        let (p50, p99) = (
-            self.transactions.durations_ms.value_at_quantile(0.5),
-            self.transactions.durations_ms.value_at_quantile(0.99),
-        );
-        tracing::debug!(count = self.transactions.durations_ms.len(), p50, p99, "transactions took, in ms");
-        self.transactions.durations_ms.reset();
+        self.transactions.log_summary();
         let failed = self.retry.take_counts();
         if !failed.is_empty() {
             tracing::debug!(?failed, "calls that failed");
--- a/src/controller/sharding.rs
+++ b/src/controller/sharding.rs
@@ -45,7 +45,7 @@
     pub(super) fn grant_shards(&mut self) {
         for member in self.state.restarted() {
             let key = records::shard_grant_key(&member);
-            if self.transactions.locked_keys.contains(&key) || !self.may_write_as(WritePriority::First) {
+            if self.transactions.is_locked(&key) || !self.may_write_as(WritePriority::First) {
                 continue;
             }
             let Some(m) = self.state.members.get(&member) else { continue };
@@ -67,7 +67,7 @@
         }
         let now = self.now;
         let ops = self.config.settings.state.txn_ops;
-        let spare = ops.min(self.transactions.rate.level(self.now) as usize).max(1);
+        let spare = ops.min(self.transactions.unspent_writes(self.now) as usize).max(1);
         let known = self.startup.fleet_known();
         let unreached = if known { self.unreached_machines() } else { Vec::new() };
         let deaf: BTreeSet<&str> = if known { self.connectivity.deaf.names(now).collect() } else { BTreeSet::new() };
@@ -99,7 +99,7 @@
             let (Some(p), Some(to)) = (self.state.machine_groups.get(&m.group), self.state.members.get(&m.to)) else {
                 continue;
             };
-            if self.transactions.locked_keys.contains(&key) {
+            if self.transactions.is_locked(&key) {
                 continue;
             }
             let rec = MachineGroupRecord {
--- a/src/controller/store_sync.rs
+++ b/src/controller/store_sync.rs
@@ -1,4 +1,5 @@
-//! Keeping in step with the state service: lease, load, watch, barriers.
+//! Keeping in step with the store: the lease, the snapshot read, the watch, and the
+//! read barriers that prove the replica fresh.
 
 use super::*;
 use crate::coordination::session::Load;
@@ -11,100 +12,207 @@
     /// Lease, watch, snapshot read and read barrier.
     pub(super) session: Session,
     /// The replica that is read page by page, until it takes the place of the current one.
-    pub(super) snapshot: ClusterState,
+    snapshot: ClusterState,
 }
 
-impl Controller {
-    pub(super) fn sync_tick(&mut self) {
-        let now = self.now;
-        let ttl = self.store.session.ttl;
-        // Renewals that get through without their answers would keep a member alive
-        // that sees nothing: it gives its lease up, and the others take over.
-        if self.store.session.lease.is_some() && now.saturating_sub(self.store.session.lease_from) > ttl {
-            tracing::info!("lease at the state service is given up, renewals get no answer");
-            self.store.session.lease = None;
+/// Renewals of a lease go so often within its time.
+const RENEWALS_PER_LEASE: u32 = 4;
+/// Heartbeat intervals after which the replica's freshness is proved again.
+const BARRIER_INTERVAL: f64 = 0.25;
+/// Heartbeat intervals within which a read barrier is answered.
+const BARRIER_TIMEOUT: f64 = 0.5;
+/// Heartbeat intervals for which the store holds a watch without changes open.
+const WATCH_HOLD: f64 = 2.0;
+
+impl StoreAccess {
+    /// A session that has not begun, and an empty replica to read into.
+    pub(super) fn new(session: Session, snapshot: ClusterState) -> StoreAccess {
+        StoreAccess { session, snapshot }
+    }
+
+    /// Renewals that get through without their answers would keep a member alive
+    /// that sees nothing: it gives its lease up, and the others take over.
+    fn drop_unrenewed_lease(&mut self, now: Instant) {
+        let session = &mut self.session;
+        if session.lease.is_some() && now.saturating_sub(session.lease_from) > session.ttl {
+            tracing::info!("lease_dropped_without_renewal");
+            session.lease = None;
         }
-        let silent = if self.store.session.lease.is_some() { Retry::Renew } else { Retry::Lease };
-        if !self.store.session.lease_busy && now >= self.store.session.lease_next && self.retry.may(silent, now) {
-            self.store.session.lease_busy = true;
-            self.store.session.lease_next = now + ttl / 4;
-            match self.store.session.lease {
-                Some(id) => {
-                    self.call(Target::State, "POST", store::renew_path(id), None, ttl / 4, Purpose::Renew);
-                }
-                None => {
-                    let body = crate::protocol::encode(&LeaseRequest { ttl_ms: ttl.as_millis() as u64 });
-                    self.call(Target::State, "POST", store::LEASES.into(), Some(body), ttl / 2, Purpose::Lease);
-                }
+    }
+
+    /// Whether a call about the lease is to go now.
+    fn lease_call_due(&self, now: Instant) -> bool {
+        !self.session.lease_busy && now >= self.session.lease_next
+    }
+
+    /// A call about the lease goes out.
+    fn begin_lease_call(&mut self, now: Instant) {
+        self.session.lease_busy = true;
+        self.session.lease_next = now + self.session.ttl / RENEWALS_PER_LEASE;
+    }
+
+    /// The request for a lease has ended; true where there is one now.
+    fn end_lease_request(&mut self, now: Instant, result: Result<Reply, NoAnswer>) -> bool {
+        self.session.lease_busy = false;
+        match result.ok().filter(|reply| reply.status == 200).and_then(|reply| decode::<Lease>(&reply.body).ok()) {
+            Some(lease) => {
+                self.session.lease = Some(lease.id);
+                self.session.lease_from = now;
+                true
+            }
+            None => {
+                self.session.lease_next = now;
+                false
             }
         }
+    }
+
+    /// The renewal of the lease has ended.
+    fn end_renewal(&mut self, now: Instant, result: &Result<Reply, NoAnswer>) {
+        self.session.lease_busy = false;
+        let status = result.as_ref().ok().map(|reply| reply.status);
+        if status.is_some() {
+            // A refusal is an answer: it was not carried out.
+            self.session.lease_from = now;
+        }
+        if status != Some(200) {
+            self.session.lease_next = now; // as soon as the retry policy allows
+        }
+        if status == Some(404) {
+            tracing::info!("lease_lost");
+            self.session.lease = None;
+        }
+    }
+
+    /// Whether the next page of the snapshot may be read now.
+    fn page_due(&self, now: Instant) -> bool {
+        !self.session.scan_busy && now >= self.session.load_not_before && self.session.scan_pace.may(now)
+    }
+
+    /// The read of a page goes out.
+    fn begin_page(&mut self, now: Instant) {
+        self.session.scan_busy = true;
+        self.session.scan_pace.take(now);
+    }
+
+    /// Whether the next changes may be asked for now.
+    fn watch_due(&self, now: Instant) -> bool {
+        !self.session.watch_busy && self.session.watch_pace.may(now)
+    }
+
+    /// The watch goes out.
+    fn begin_watch(&mut self, now: Instant) {
+        self.session.watch_busy = true;
+        self.session.watch_pace.take(now);
+    }
+
+    /// Whether a read barrier may go out now.
+    fn barrier_may_go(&self, now: Instant) -> bool {
+        !self.session.barrier_busy && self.session.barrier_pace.may(now)
+    }
+
+    /// A read barrier goes out.
+    fn begin_barrier(&mut self, now: Instant) {
+        self.session.barrier_busy = true;
+        self.session.barrier_pace.take(now);
+        self.session.barrier_sent = now;
+    }
+
+    /// The store was at `revision` after the barrier was sent: once the replica has
+    /// come as far, it is as fresh as that.
+    fn pass_barrier(&mut self, revision: u64, replica: u64) {
+        self.session.barriers.push((revision, self.session.barrier_sent));
+        self.session.reached(replica);
+    }
+}
+
+impl Controller {
+    /// Keeps the lease and the replica current: every call to the store that is due goes.
+    pub(super) fn synchronize(&mut self) {
+        self.store.drop_unrenewed_lease(self.now);
+        self.renew_lease();
         match self.store.session.load {
-            Load::Reading => self.load_tick(),
-            Load::Following => {
-                self.watch_tick();
-                self.member_tick();
-                self.barrier_tick();
+            Load::Reading => self.read_next_page(),
+            Load::Following => self.follow_store(),
+        }
+    }
+
+    /// What is due of a replica that is loaded.
+    fn follow_store(&mut self) {
+        self.watch_store();
+        self.register_member();
+        self.prove_freshness();
+    }
+
+    /// Renews the lease, or asks for one where there is none.
+    fn renew_lease(&mut self) {
+        let lease = self.store.session.lease;
+        let purpose = if lease.is_some() { Retry::Renew } else { Retry::Lease };
+        if !self.store.lease_call_due(self.now) || !self.retry.may(purpose, self.now) {
+            return;
+        }
+        self.store.begin_lease_call(self.now);
+        let ttl = self.store.session.ttl;
+        match lease {
+            Some(id) => {
+                let timeout = ttl / RENEWALS_PER_LEASE;
+                self.call(Target::State, "POST", store::renew_path(id), None, timeout, Purpose::Renew);
+            }
+            None => {
+                let body = crate::protocol::encode(&LeaseRequest { ttl_ms: ttl.as_millis() as u64 });
+                self.call(Target::State, "POST", store::LEASES.into(), Some(body), ttl / 2, Purpose::Lease);
             }
         }
     }
 
     /// Reads the next page of the stored state.
-    fn load_tick(&mut self) {
-        let now = self.now;
-        let due = now >= self.store.session.load_not_before && self.store.session.scan_pace.may(now);
-        if self.store.session.scan_busy || !due || !self.retry.may(Retry::Load, now) {
+    fn read_next_page(&mut self) {
+        if !self.store.page_due(self.now) || !self.retry.may(Retry::Load, self.now) {
             return;
         }
-        self.store.session.scan_busy = true;
-        self.store.session.scan_pace.take(now);
+        self.store.begin_page(self.now);
         let path = store::scan_path(records::PREFIX, &self.store.session.scan_after);
         self.call(Target::State, "GET", path, None, self.store.session.ttl, Purpose::Scan);
     }
 
-    /// Reads what proves the view fresh, where somebody waits for it or it is time.
-    fn barrier_tick(&mut self) {
+    /// Reads what proves the replica fresh, where somebody waits for it or it is time.
+    fn prove_freshness(&mut self) {
         let now = self.now;
-        let due = self.api.requests.queued()
-            || self.store.session.staleness(now).is_none_or(|s| s > self.heartbeat_intervals(0.25));
-        let may = self.store.session.barrier_pace.may(now) && self.retry.may(Retry::Barrier, now);
-        if !due || self.store.session.barrier_busy || !may {
+        let tolerated = self.heartbeat_intervals(BARRIER_INTERVAL);
+        let stale = self.store.session.staleness(now).is_none_or(|staleness| staleness > tolerated);
+        let due = self.api.requests.queued() || stale;
+        if !due || !self.store.barrier_may_go(now) || !self.retry.may(Retry::Barrier, now) {
             return;
         }
-        self.store.session.barrier_busy = true;
-        self.store.session.barrier_pace.take(now);
+        self.store.begin_barrier(now);
         self.answer_requests(RequestEvent::ReadSent);
-        self.store.session.barrier_sent = now;
         let path = store::key_path(records::BARRIER_KEY);
-        let timeout = self.heartbeat_intervals(0.5);
+        let timeout = self.heartbeat_intervals(BARRIER_TIMEOUT);
         self.call(Target::State, "GET", path, None, timeout, Purpose::Barrier);
     }
 
-    fn watch_tick(&mut self) {
-        if self.store.session.watch_busy
-            || !self.store.session.watch_pace.may(self.now)
-            || !self.retry.may(Retry::Watch, self.now)
-        {
+    /// Asks for the changes after those that the replica shows.
+    fn watch_store(&mut self) {
+        if !self.store.watch_due(self.now) || !self.retry.may(Retry::Watch, self.now) {
             return;
         }
-        self.store.session.watch_busy = true;
-        self.store.session.watch_pace.take(self.now);
-        let hold = self.heartbeat_intervals(2.0);
+        self.store.begin_watch(self.now);
+        let hold = self.heartbeat_intervals(WATCH_HOLD);
         let path = store::watch_path(records::PREFIX, self.state.revision, hold.as_millis() as u64);
         self.call(Target::State, "GET", path, None, hold * 2, Purpose::Watch);
     }
 
-    /// Keeps this incarnation's member record on the lease.
-    fn member_tick(&mut self) {
+    /// Keeps this incarnation's member record on the lease. No limit holds it back but
+    /// the retry policy: who is no member can do nothing else.
+    fn register_member(&mut self) {
         let Some(lease) = self.store.session.lease else { return };
         let key = records::member_key(&self.process.member);
         if self.state.is_live(&self.process.member, self.process.incarnation)
-            || self.transactions.locked_keys.contains(&key)
+            || self.transactions.is_locked(&key)
+            || !self.retry.may(Retry::Write, self.now)
         {
             return;
         }
-        if !self.retry.may(Retry::Write, self.now) {
-            return; // no other limit: who is no member can do nothing else
-        }
         let version = self.state.members.get(&self.process.member).map_or(0, |m| m.version);
         let rec = records::MemberRecord { incarnation: self.process.incarnation };
         let txn = Txn {
@@ -114,79 +222,62 @@
         self.txn(txn, Why::Member);
     }
 
-    pub(super) fn sync_answer(&mut self, purpose: Purpose, result: Result<Reply, NoAnswer>) {
-        let now = self.now;
+    /// A call that keeps this process in step with the store has ended.
+    pub(super) fn sync_answer(&mut self, purpose: &Purpose, result: Result<Reply, NoAnswer>) {
         match purpose {
-            Purpose::Lease => {
-                self.store.session.lease_busy = false;
-                if let Ok(r) = result
-                    && r.status == 200
-                    && let Ok(l) = decode::<Lease>(&r.body)
-                {
-                    self.store.session.lease = Some(l.id);
-                    self.store.session.lease_from = now;
-                    if self.store.session.following() {
-                        self.member_tick();
-                    }
-                } else {
-                    self.store.session.lease_next = now;
-                }
-            }
-            Purpose::Renew => {
-                self.store.session.lease_busy = false;
-                if result.is_ok() {
-                    // A refusal is an answer: it was not carried out.
-                    self.store.session.lease_from = now;
-                }
-                if !result.as_ref().is_ok_and(|r| r.status == 200) {
-                    self.store.session.lease_next = now; // as soon as the retry policy allows
-                }
-                if result.is_ok_and(|r| r.status == 404) {
-                    tracing::info!("lease at the state service was lost");
-                    self.store.session.lease = None;
-                }
-            }
-            Purpose::Scan => {
-                self.store.session.scan_busy = false;
-                if let Ok(r) = result
-                    && r.status == 200
-                    && let Ok(rows) = decode::<Rows>(&r.body)
-                {
-                    self.scanned(rows);
-                }
-            }
-            Purpose::Watch => {
-                self.store.session.watch_busy = false;
-                match result {
-                    Ok(r) if r.status == 200 => match decode::<WatchResponse>(&r.body) {
-                        Ok(f) => self.watched(f),
-                        Err(_) => self.reload(),
-                    },
-                    Ok(r) if r.status == 410 => self.reload(),
-                    Ok(_) | Err(NoAnswer) => {}
-                }
-            }
-            Purpose::Barrier => {
-                self.store.session.barrier_busy = false;
-                let ledger = match result {
-                    Ok(r) if r.status == 404 => decode::<TxnResponse>(&r.body).ok(),
-                    _ => None,
-                };
-                let read = ledger.as_ref().map_or(RequestEvent::ReadFailed, |l| RequestEvent::Read(l.revision));
-                self.answer_requests(read);
-                if let Some(l) = ledger {
-                    self.store.session.barriers.push((l.revision, self.store.session.barrier_sent));
-                    self.store.session.reached(self.state.revision);
-                }
-                self.answer_requests(RequestEvent::ClusterState(self.state.revision));
-            }
+            Purpose::Lease => self.lease_answer(result),
+            Purpose::Renew => self.store.end_renewal(self.now, &result),
+            Purpose::Scan => self.page_answer(result),
+            Purpose::Watch => self.watch_answer(result),
+            Purpose::Barrier => self.barrier_answer(&result),
             _ => {}
         }
     }
 
+    fn lease_answer(&mut self, result: Result<Reply, NoAnswer>) {
+        if self.store.end_lease_request(self.now, result) && self.store.session.following() {
+            self.register_member();
+        }
+    }
+
+    fn page_answer(&mut self, result: Result<Reply, NoAnswer>) {
+        self.store.session.scan_busy = false;
+        if let Ok(reply) = result
+            && reply.status == 200
+            && let Ok(rows) = decode::<Rows>(&reply.body)
+        {
+            self.scanned(rows);
+        }
+    }
+
+    fn watch_answer(&mut self, result: Result<Reply, NoAnswer>) {
+        self.store.session.watch_busy = false;
+        match result {
+            Ok(reply) if reply.status == 200 => match decode::<WatchResponse>(&reply.body) {
+                Ok(changes) => self.watched(changes),
+                Err(_) => self.reload(),
+            },
+            Ok(reply) if reply.status == 410 => self.reload(),
+            Ok(_) | Err(NoAnswer) => {}
+        }
+    }
+
+    /// The key of the barrier never exists: the answer that counts is that it is absent,
+    /// and as of which revision.
+    fn barrier_answer(&mut self, result: &Result<Reply, NoAnswer>) {
+        self.store.session.barrier_busy = false;
+        let absent = result.as_ref().ok().filter(|reply| reply.status == 404);
+        let revision = absent.and_then(|reply| decode::<TxnResponse>(&reply.body).ok()).map(|answer| answer.revision);
+        self.answer_requests(revision.map_or(RequestEvent::ReadFailed, RequestEvent::Read));
+        if let Some(revision) = revision {
+            self.store.pass_barrier(revision, self.state.revision);
+        }
+        self.answer_requests(RequestEvent::ClusterState(self.state.revision));
+    }
+
     fn reload(&mut self) {
-        tracing::info!("watch fell behind, reading all keys again");
-        self.transactions.in_flight.gap();
+        tracing::info!("watch_fell_behind");
+        self.transactions.observe_gap();
         self.store.session.restart_load(self.now);
     }
 
@@ -197,13 +288,13 @@
         }
         for row in &rows.rows {
             self.store.snapshot.put(&row.key, &row.data, row.version);
-            self.transactions.in_flight.shows(&row.key, Some(&row.data), row.version);
+            self.transactions.observe_row(&row.key, &row.data, row.version);
         }
         if let Some(last) = rows.rows.last()
             && rows.truncated
         {
             self.store.session.scan_after = last.key.clone();
-            return self.load_tick();
+            return self.read_next_page();
         }
         // Changes during the paging come again from the watch.
         let mut view = std::mem::take(&mut self.store.snapshot);
@@ -231,14 +322,12 @@
             revision = self.state.revision,
             jobs = self.state.jobs.len(),
             machines = self.state.machines.len(),
-            "state loaded"
+            "state_loaded"
         );
         self.settle(true);
         self.view_changed();
         // What workers wait for begins with these; none of them waits for a tick.
-        self.watch_tick();
-        self.member_tick();
-        self.barrier_tick();
+        self.follow_store();
     }
 
     fn watched(&mut self, f: WatchResponse) {
@@ -250,11 +339,11 @@
             self.state.reached(n.version.saturating_sub(1));
             if let (Some(key), Some(data)) = (&n.put, &n.data) {
                 self.state.put(key, data, n.version);
-                self.transactions.in_flight.changed(key, Some(data), n.version);
+                self.transactions.observe_change(key, Some(data), n.version);
             }
             if let Some(key) = &n.delete {
                 self.state.delete(key, n.version);
-                self.transactions.in_flight.changed(key, None, n.version);
+                self.transactions.observe_change(key, None, n.version);
             }
         }
         self.scheduler.dirty |= !f.news.is_empty();
--- a/src/controller/task_ranges.rs
+++ b/src/controller/task_ranges.rs
@@ -37,15 +37,13 @@
             let Some(j) = self.state.jobs.get(&uid).filter(|j| j.complete()) else { continue };
             // What was started just before it was cancelled may still be on its way here.
             let known = j.rec.version <= self.state.revision;
-            let ready = known
-                && !self.transactions.locked_keys.contains(&key)
-                && !self.transactions.outdated.contains_key(&key);
+            let ready = known && !self.transactions.is_locked(&key) && !self.transactions.is_outdated(&key);
             // Who withdrew a job was told so long ago: that nothing is left of it can
             // wait for writes to spare.
             let cancelled = j.cancelled();
             let may = match () {
                 _ if !ready => false,
-                _ if cancelled => self.may_write(1.0 + self.transactions.rate.rate * SPARE_WRITES),
+                _ if cancelled => self.may_write(1.0 + self.transactions.write_rate() * SPARE_WRITES),
                 _ => self.may_write_as(WritePriority::Answers),
             };
             let Some(j) = self.state.jobs.get(&uid).filter(|_| may) else {
@@ -74,7 +72,7 @@
         let patient = self.heartbeat_intervals(0.25);
         let mut txns = Vec::new();
         for (uid, j) in &self.state.jobs {
-            if j.waiting_count() == 0 || self.transactions.locked_keys.contains(&records::job_key(uid)) {
+            if j.waiting_count() == 0 || self.transactions.is_locked(&records::job_key(uid)) {
                 continue;
             }
             let task_ranges = &j.rec.rec.task_ranges;
@@ -135,7 +133,7 @@
         txns.sort_by_key(|t| (t.0, t.1));
         for (can_wait, _, txn) in txns {
             // A reserve stays for accepting jobs and recording exits.
-            if self.may_write(if can_wait { self.transactions.rate.rate / 2.0 } else { 1.0 }) {
+            if self.may_write(if can_wait { self.transactions.write_rate() / 2.0 } else { 1.0 }) {
                 self.txn(txn, Why::ReassignTasks);
             }
         }
--- a/src/controller/transactions.rs
+++ b/src/controller/transactions.rs
@@ -5,25 +5,26 @@
 use crate::coordination::writes::Proof;
 use crate::requests::Asked;
 use crate::state::log_segment::Facts;
+use ciborium::Value;
 
 /// Transactions under way, the records that they lock, and their rate.
 #[derive(Debug)]
 pub(super) struct Transactions {
     /// Transactions without a result, and what settles them.
-    pub(super) in_flight: OpenWrites,
+    in_flight: OpenWrites,
     /// Keys that a transaction under way writes or rests on.
-    pub(super) locked_keys: BTreeSet<String>,
+    locked_keys: BTreeSet<String>,
     /// Records that a refused write had outdated: it would be refused again until
     /// the replica has come to this revision.
-    pub(super) outdated: BTreeMap<String, u64>,
+    outdated: BTreeMap<String, u64>,
     /// This controller's part of the store's write limit.
-    pub(super) rate: Account,
+    rate: Account,
     /// When the store answered again after the last outage.
-    pub(super) store_recovered_at: Option<Instant>,
+    store_recovered_at: Option<Instant>,
     /// What was written since the last summary, by kind.
-    pub(super) written: BTreeMap<&'static str, Writes>,
+    written: BTreeMap<&'static str, Writes>,
     /// How long the store took over transactions, in milliseconds.
-    pub(super) durations_ms: Histogram<u64>,
+    durations_ms: Histogram<u64>,
 }
 
 impl Transactions {
@@ -39,18 +40,137 @@
             durations_ms: Histogram::new_with_max(LONGEST_TXN_MS, 2).expect("bounds are good"),
         }
     }
+
+    /// Whether a transaction under way writes or rests on this key.
+    pub(super) fn is_locked(&self, key: &str) -> bool {
+        self.locked_keys.contains(key)
+    }
+
+    /// Whether a write of this key was refused for a change that the replica lacks yet.
+    pub(super) fn is_outdated(&self, key: &str) -> bool {
+        self.outdated.contains_key(key)
+    }
+
+    /// The replica's record of this key is older than `revision`.
+    pub(super) fn mark_outdated(&mut self, key: &str, revision: u64) {
+        self.outdated.insert(key.to_string(), revision);
+    }
+
+    /// The replica has come to `revision`: what was outdated up to it may be written again.
+    pub(super) fn forget_outdated(&mut self, revision: u64) {
+        self.outdated.retain(|_, needed| *needed > revision);
+    }
+
+    /// This controller's part of the store's write limit, in changes a second.
+    pub(super) fn write_rate(&self) -> f64 {
+        self.rate.rate
+    }
+
+    /// Sets this controller's part of the store's write limit.
+    pub(super) fn set_write_rate(&mut self, rate: f64) {
+        self.rate.rate = rate;
+    }
+
+    /// Changes that may be written now without borrowing.
+    pub(super) fn unspent_writes(&self, now: Instant) -> f64 {
+        self.rate.level(now)
+    }
+
+    /// The store answers again after an outage, for all controllers at once.
+    pub(super) fn store_recovered(&mut self, now: Instant) {
+        self.rate.store_is_back(now);
+        self.store_recovered_at = Some(now);
+    }
+
+    /// How long ago the last outage of the store ended.
+    pub(super) fn since_store_recovered(&self, now: Instant) -> Option<Duration> {
+        self.store_recovered_at.map(|at| now.saturating_sub(at))
+    }
+
+    /// The watch shows a change of a key, after all changes before it.
+    pub(super) fn observe_change(&mut self, key: &str, data: Option<&Value>, revision: u64) {
+        self.in_flight.changed(key, data, revision);
+    }
+
+    /// A read shows what a key holds, whatever it held before.
+    pub(super) fn observe_row(&mut self, key: &str, data: &Value, revision: u64) {
+        self.in_flight.shows(key, Some(data), revision);
+    }
+
+    /// Changes may be missed from here on: only answers, or what a transaction put, settle
+    /// those under way.
+    pub(super) fn observe_gap(&mut self) {
+        self.in_flight.gap();
+    }
+
+    /// A transaction goes out under this call: it is charged and its keys are locked.
+    fn begin(
+        &mut self,
+        id: CallId,
+        txn: Txn,
+        why: Why,
+        keys: Vec<String>,
+        known_revision: u64,
+        now: Instant,
+    ) -> PendingTransaction {
+        let charge = self.rate.charge(now, txn.ops.len() as f64);
+        let written = self.written.entry(why.name()).or_default();
+        written.sent += 1;
+        written.changes += txn.ops.len();
+        self.locked_keys.extend(keys.iter().cloned());
+        self.in_flight.sent(id, &txn, known_revision);
+        PendingTransaction { txn, why, keys, charge, sent_at: now }
+    }
+
+    /// The call of a transaction has ended: nothing that the store shows settles it any
+    /// more. What the store refused for now was not written, and is not charged.
+    fn end_call(&mut self, id: CallId, charge: Charge, result: &Result<Reply, NoAnswer>, now: Instant) {
+        self.in_flight.ended(id);
+        if result.as_ref().is_ok_and(|reply| reply.status == 503) {
+            self.rate.give_back(now, charge);
+        }
+    }
+
+    /// A transaction has ended: its keys are free, and its duration is counted.
+    fn finish(&mut self, pending: &PendingTransaction, ended: &Ended, now: Instant) {
+        let took = now.saturating_sub(pending.sent_at).as_millis() as u64;
+        self.durations_ms.saturating_record(took);
+        for key in &pending.keys {
+            self.locked_keys.remove(key);
+        }
+        if !matches!(ended, Ended::Done(_)) {
+            self.written.entry(pending.why.name()).or_default().failed += 1;
+        }
+    }
+
+    /// Logs what was written since the last summary, and starts to count anew.
+    pub(super) fn log_summary(&mut self) {
+        for (kind, writes) in std::mem::take(&mut self.written) {
+            tracing::debug!(
+                kind,
+                sent = writes.sent,
+                changes = writes.changes,
+                failed = writes.failed,
+                "transactions_by_kind"
+            );
+        }
+        let p50_ms = self.durations_ms.value_at_quantile(0.5);
+        let p99_ms = self.durations_ms.value_at_quantile(0.99);
+        tracing::debug!(count = self.durations_ms.len(), p50_ms, p99_ms, "transaction_durations");
+        self.durations_ms.reset();
+    }
 }
 
 /// A transaction that was sent, and what its end needs to know of it.
 #[derive(Debug)]
 pub(super) struct PendingTransaction {
-    pub(super) txn: Txn,
-    pub(super) why: Why,
+    txn: Txn,
+    why: Why,
     /// Keys that are locked until it ends.
-    pub(super) keys: Vec<String>,
+    keys: Vec<String>,
     /// What it took of the write rate; given back if it was refused.
-    pub(super) charge: Charge,
-    pub(super) sent_at: Instant,
+    charge: Charge,
+    sent_at: Instant,
 }
 
 /// What a transaction was for.
@@ -136,11 +256,11 @@
 
 /// Transactions of one kind since the last summary.
 #[derive(Debug, Default)]
-pub(super) struct Writes {
-    pub(super) sent: u32,
-    pub(super) changes: usize,
+struct Writes {
+    sent: u32,
+    changes: usize,
     /// Carried out nothing: a record had changed, or the store said no.
-    pub(super) failed: u32,
+    failed: u32,
 }
 
 impl Controller {
@@ -176,16 +296,10 @@
     /// The same, given up after `timeout`. The one place from which any goes out.
     pub(super) fn send_txn_within(&mut self, txn: Txn, why: Why, keys: Vec<String>, timeout: Duration) {
         debug_assert!(self.retry.may(Retry::Write, self.now), "{} goes past the retry policy", why.name());
-        let charge = self.transactions.rate.charge(self.now, txn.ops.len() as f64);
-        let written = self.transactions.written.entry(why.name()).or_default();
-        written.sent += 1;
-        written.changes += txn.ops.len();
-        self.transactions.locked_keys.extend(keys.iter().cloned());
         let body = crate::protocol::encode(&txn);
         let id = self.outbox.next_call_id();
-        self.transactions.in_flight.sent(id, &txn, self.state.known_revision());
-        let purpose = Purpose::Txn(PendingTransaction { txn, why, keys, charge, sent_at: self.now });
-        self.call(Target::State, "POST", store::TXN.into(), Some(body), timeout, purpose);
+        let pending = self.transactions.begin(id, txn, why, keys, self.state.known_revision(), self.now);
+        self.call(Target::State, "POST", store::TXN.into(), Some(body), timeout, Purpose::Txn(pending));
     }
 
     /// What the store has shown settles what is under way; a later answer finds nothing.
@@ -209,7 +323,8 @@
     }
 
     /// Its answer came, or nothing within its time.
-    pub(super) fn txn_answer(&mut self, pending: PendingTransaction, result: &Result<Reply, NoAnswer>) {
+    pub(super) fn txn_answer(&mut self, id: CallId, pending: PendingTransaction, result: &Result<Reply, NoAnswer>) {
+        self.transactions.end_call(id, pending.charge, result, self.now);
         let ended = Ended::of(result);
         if let Ended::Done(revision) = ended {
             self.view_puts(&pending.txn, revision);
@@ -229,18 +344,13 @@
 
     /// What follows from the end of a transaction. What it put is in the view.
     fn txn_ended(&mut self, pending: PendingTransaction, ended: Ended) {
-        let PendingTransaction { txn, why, keys, sent_at, .. } = pending;
-        let took = self.now.saturating_sub(sent_at).as_millis() as u64;
-        self.transactions.durations_ms.saturating_record(took);
-        for key in &keys {
-            self.transactions.locked_keys.remove(key);
-        }
+        self.transactions.finish(&pending, &ended, self.now);
+        let PendingTransaction { txn, why, .. } = pending;
         if matches!(ended, Ended::Done(_)) {
             self.scheduler.dirty = true;
             self.record_changed(&txn);
         } else {
-            self.transactions.written.entry(why.name()).or_default().failed += 1;
-            tracing::debug!(?ended, ?why, "transaction not carried out");
+            tracing::debug!(?ended, ?why, "transaction_not_applied");
         }
         match why {
             Why::Accept(uid) => self.request_written(&uid, Asked::Submitted, &ended),
