--- a/src/controller/transactions.rs
+++ b/src/controller/transactions.rs
@@ -377,3 +377,6 @@
         self.send_txn(txn, why, keys);
     }
 }
+
+#[cfg(test)]
+mod tests;
