--- a/src/controller/autoscaler/scale_in.rs
+++ b/src/controller/autoscaler/scale_in.rs
@@ -170,7 +170,7 @@
     ) -> Vec<&'a MachineCapacity> {
         let has_services = |name: &str| self.state.loads.get(name).is_some_and(|load| !load.standing.is_empty());
         let group_locked = |machine: &MachineRecord| {
-            self.transactions.locked_keys.contains(&records::machine_group_key(&machine.group))
+            self.transactions.is_locked(&records::machine_group_key(&machine.group))
         };
         let mut removable: Vec<&MachineCapacity> = capacities
             .iter()
@@ -193,7 +193,7 @@
         least_free: &LeastFreeCores,
         saves_cost: bool,
     ) -> IdleMachines {
-        let spare_writes = self.transactions.rate.level(self.now) - self.transactions.rate.rate * SPARE_WRITES;
+        let spare_writes = self.transactions.unspent_writes(self.now) - self.transactions.write_rate() * SPARE_WRITES;
         let most_groups = if self.may_write(0.0) { spare_writes.max(0.0) as usize } else { 0 };
         // Machines beside a standing fleet go one by one: room that several
         // free at once may be wanted again before new ones are up.
@@ -248,7 +248,7 @@
         drain: bool,
     ) -> Option<([Condition; 2], Op)> {
         let key = records::machine_group_key(group);
-        let p = self.state.machine_groups.get(group).filter(|_| !self.transactions.locked_keys.contains(&key))?;
+        let p = self.state.machine_groups.get(group).filter(|_| !self.transactions.is_locked(&key))?;
         let mut rec = self.state.in_force(p);
         rec.drain.retain(|m| !names.contains(m));
         if drain {
--- a/src/controller/autoscaler/scale_out.rs
+++ b/src/controller/autoscaler/scale_out.rs
@@ -91,8 +91,7 @@
     fn request_rental(&mut self, rental: Rental) {
         self.cloud.charge_request(self.now);
         self.autoscaler.requests_in_flight += 1;
-        self.leadership.request_count += 1;
-        let request_id = format!("fq-{}-{}", self.term(), self.leadership.request_count);
+        let request_id = format!("fq-{}-{}", self.term(), self.leadership.next_request());
         let body = encode(&RentRequest {
             request_id: request_id.as_str().into(),
             machine_type: rental.offer.machine_type.as_str().into(),
@@ -119,7 +118,7 @@
         machine_groups.find_map(|(group, p)| {
             let kept: Vec<String> =
                 p.rec.drain.iter().filter(|m| self.state.placed.contains_key(*m) && !campaign(m)).cloned().collect();
-            let free = !self.transactions.locked_keys.contains(&records::machine_group_key(group));
+            let free = !self.transactions.is_locked(&records::machine_group_key(group));
             (free && !kept.is_empty()).then(|| (group.clone(), kept))
         })
     }
@@ -145,7 +144,7 @@
 
     fn add_rented(&mut self, offer: Offer, names: Vec<String>) {
         tracing::info!(machine_type = %offer.machine_type, zone = %offer.zone, spot = offer.spot, machines = names.len(), "machines rented");
-        if names.len() as f64 >= self.transactions.rate.rate * GROUP_FROM {
+        if names.len() as f64 >= self.transactions.write_rate() * GROUP_FROM {
             self.autoscaler.unrecorded.push_back((offer.clone(), names.clone()));
             self.enrol_rentals();
         }
--- a/src/controller/cloud.rs
+++ b/src/controller/cloud.rs
@@ -296,8 +296,8 @@
         if types.is_empty()
             || types.len() > limit
             || unchanged
-            || self.transactions.locked_keys.contains(records::CATALOG_KEY)
-            || !self.may_write(1.0 + self.transactions.rate.rate * ACCEPT_RESERVE)
+            || self.transactions.is_locked(records::CATALOG_KEY)
+            || !self.may_write(1.0 + self.transactions.write_rate() * ACCEPT_RESERVE)
         {
             return;
         }
--- a/src/controller/connectivity/heartbeats.rs
+++ b/src/controller/connectivity/heartbeats.rs
@@ -42,7 +42,7 @@
         frame_fitting::fit(&mut heartbeat, turns, |machine| self.must_be_told(machine));
         for other in &self.config.others {
             let frame = Frame::PeerHeartbeat(Box::new(heartbeat.clone()));
-            self.outbox.actions.push(Action::Send { member: other.member.clone(), frame });
+            self.outbox.push(Action::Send { member: other.member.clone(), frame });
         }
     }
 
--- a/src/controller/connectivity/partitions.rs
+++ b/src/controller/connectivity/partitions.rs
@@ -80,7 +80,7 @@
             if self.connectivity.record_account(&owner, account, now, pause) {
                 tracing::info!(member = %owner, machines = unreached.len(), "controller_not_hearing_machines");
                 // Whoever can act on it hears of it at once.
-                self.leadership.check_next = now;
+                self.leadership.check_at_next_tick(now);
             }
         }
     }
--- a/src/controller/journal/compaction.rs
+++ b/src/controller/journal/compaction.rs
@@ -47,7 +47,7 @@
     let chunk = state.jobs.get(uid).and_then(|job: &Job| job.chunks.get(&range));
     let Some(chunk) = chunk.filter(|chunk| chunk.rec.as_of_revision < slot_version) else { return Ok(None) };
     let key = records::chunk_key(uid, range);
-    let is_busy = transactions.locked_keys.contains(&key) || transactions.outdated.contains_key(&key);
+    let is_busy = transactions.is_locked(&key) || transactions.is_outdated(&key);
     if chunk.last > state.revision || is_busy {
         return Err(NotYet);
     }
@@ -72,7 +72,7 @@
 
     /// Frees slots ahead of need while there are writes to spare.
     pub(in crate::controller) fn compact_ahead(&mut self) {
-        let spare = self.transactions.rate.level(self.now) - self.transactions.rate.rate * SPARE_WRITES;
+        let spare = self.transactions.unspent_writes(self.now) - self.transactions.write_rate() * SPARE_WRITES;
         if self.journal.compacting || spare < 1.0 || !self.may_write(1.0) {
             return;
         }
--- a/src/controller/journal/mod.rs
+++ b/src/controller/journal/mod.rs
@@ -145,7 +145,7 @@
     /// Whether a segment may be put together now.
     pub(super) fn can_write_segment(&self) -> bool {
         let slot = LogSlot::next(&self.state, &self.process.member);
-        !self.journal.writer.busy && !self.transactions.outdated.contains_key(&slot.key)
+        !self.journal.writer.busy && !self.transactions.is_outdated(&slot.key)
     }
 
     /// Puts the next segment together and sends it. `order` are the jobs with
@@ -170,7 +170,7 @@
             state: &self.state,
             agents: &self.agents,
             transactions: &self.transactions,
-            record_count: self.outbox.next_call,
+            record_count: self.outbox.next_call_id(),
         };
         let segment = self.journal.draft_segment(inputs, &mut self.quota, limits, order, starts);
         self.scheduler.request_round_if(segment.is_full);
@@ -262,7 +262,7 @@
         for key in failed.iter().chain(all) {
             slot_lost |= key.starts_with(LOG_PREFIX);
             if *revision > self.state.revision {
-                self.transactions.outdated.insert(key.clone(), *revision);
+                self.transactions.mark_outdated(key, *revision);
             }
         }
         slot_lost
--- a/src/controller/journal/segment.rs
+++ b/src/controller/journal/segment.rs
@@ -328,11 +328,11 @@
     }
 
     fn is_locked(&self, key: &str) -> bool {
-        self.inputs.transactions.locked_keys.contains(key)
+        self.inputs.transactions.is_locked(key)
     }
 
     fn is_outdated(&self, key: &str) -> bool {
-        self.inputs.transactions.outdated.contains_key(key)
+        self.inputs.transactions.is_outdated(key)
     }
 }
 
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -24,7 +24,6 @@
 mod task_ranges;
 mod transactions;
 
-use crate::connectivity::heartbeat_tracking::At;
 use crate::connectivity::peer_table::PeerTable;
 use crate::coordination::account::{Account, Charge, WritePriority};
 use crate::coordination::session::Session;
@@ -51,7 +50,7 @@
 use journal::Journal;
 use leadership::Leadership;
 use maintenance::Maintenance;
-use outbox::Outbox;
+use outbox::{Outbox, Purpose, outcome};
 use process::Process;
 use quota::QuotaReservations;
 use releases::Releases;
@@ -61,79 +60,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::time::Duration;
 use store_sync::StoreAccess;
-use transactions::Transactions;
-use transactions::Why;
-
-/// Why a call was made; decides what its answer means.
-#[derive(Debug)]
-enum Purpose {
-    Lease,
-    Renew,
-    Scan,
-    Watch,
-    Barrier,
-    Catalog,
-    List,
-    Rent {
-        offer: crate::scaling::Offer,
-        number: u32,
-    },
-    Release {
-        machines: Vec<String>,
-    },
-    Push {
-        machine: String,
-        grant: u64,
-    },
-    /// Whether a machine answers, and what: silent ones, unknown ones, and those that
-    /// say less than was known when they were called.
-    Probe {
-        machine: String,
-        known: At,
-    },
-    Txn {
-        txn: Txn,
-        why: Why,
-        keys: Vec<String>,
-        charge: Charge,
-        sent: Instant,
-    },
-}
-
-impl Purpose {
-    /// What the retry policy knows it as; pushes to workers are voided, not repeated.
-    fn retry(&self) -> Option<Retry> {
-        Some(match self {
-            Purpose::Lease => Retry::Lease,
-            Purpose::Renew => Retry::Renew,
-            Purpose::Scan => Retry::Load,
-            Purpose::Watch => Retry::Watch,
-            Purpose::Barrier => Retry::Barrier,
-            Purpose::Catalog => Retry::Catalog,
-            Purpose::List => Retry::List,
-            Purpose::Rent { .. } => Retry::Rent,
-            Purpose::Release { .. } => Retry::Release,
-            Purpose::Txn { .. } => Retry::Write,
-            Purpose::Push { .. } | Purpose::Probe { .. } => return None,
-        })
-    }
-}
-
-/// How a call ended, for the retry policy.
-fn outcome(purpose: Retry, result: &Result<Reply, NoAnswer>) -> Outcome {
-    match result {
-        Err(NoAnswer) => Outcome::Failed,
-        Ok(r) if r.status == 429 => Outcome::Limited,
-        // A cloud that has no more of one offer is well.
-        Ok(r) if r.status == 503 && purpose == Retry::Rent => {
-            let error = crate::protocol::decode::<crate::protocol::user::ErrorBody>(&r.body);
-            let none = error.is_ok_and(|e| e.error == NO_CAPACITY);
-            if none { Outcome::Answered } else { Outcome::Failed }
-        }
-        Ok(r) if r.status == 503 => Outcome::Failed,
-        Ok(_) => Outcome::Answered,
-    }
-}
+use transactions::{Transactions, Why};
 
 /// The shortest pauses after a failure, as ratios to the settings.
 fn pauses(set: &Settings, ttl: Duration, gap: Duration) -> Vec<(Retry, Duration)> {
@@ -202,10 +129,7 @@
             outbox: Outbox::new(),
             retry: Retries::new(incarnation, pauses(&set, ttl, gap)),
             state: ClusterState::new(chunk),
-            store: StoreAccess {
-                session: Session::new(ttl, gap, p.state.rps * LOAD_BURST / n),
-                snapshot: ClusterState::new(chunk),
-            },
+            store: StoreAccess::new(Session::new(ttl, gap, p.state.rps * LOAD_BURST / n), ClusterState::new(chunk)),
             transactions: Transactions::new(p.state.write_rps / n * WRITE_SHARE),
             startup: Start::new(
                 Duration::from_secs_f64(p.workers.lease_s),
@@ -235,7 +159,7 @@
         match event {
             Event::Request { conn, method, path, body } => self.request(conn, &method, &path, &body),
             Event::Answer { id, result } => {
-                if let Some(purpose) = self.outbox.calls.remove(&id) {
+                if let Some(purpose) = self.outbox.end_call(id) {
                     self.answer(id, purpose, result);
                 }
             }
@@ -268,12 +192,12 @@
         if self.scheduler.begin_round(self.now, self.store.session.gap) {
             self.schedule();
         }
-        actions.append(&mut self.outbox.actions);
+        self.outbox.drain_into(actions);
     }
 
     fn tick(&mut self) {
         self.pause_tick();
-        self.sync_tick();
+        self.synchronize();
         self.requests_tick();
         self.read_catalog();
         let heartbeat_interval = Self::heartbeat_interval(self.heartbeat_intervals(1.0));
@@ -292,7 +216,7 @@
             self.record_overdue();
         }
         self.close_tick();
-        self.lead_tick();
+        self.lead();
         if self.service_levels.summary_due(self.now, self.heartbeat_intervals(4.0)) {
             self.log_summary();
         }
@@ -309,10 +233,10 @@
         let (parts, cloud) = if self.am_leader() { (2.0, RENTER_SHARE) } else { (1.0, (1.0 - RENTER_SHARE) / others) };
         let alike = self
             .transactions
-            .store_recovered_at
-            .is_some_and(|t| self.now.saturating_sub(t) < self.heartbeat_intervals(CROWD_REPORTS));
+            .since_store_recovered(self.now)
+            .is_some_and(|since| since < self.heartbeat_intervals(CROWD_REPORTS));
         let (parts, of) = if alike { (1.0, live) } else { (parts, live + 1.0) };
-        self.transactions.rate.rate = p.state.write_rps * WRITE_SHARE * parts / of;
+        self.transactions.set_write_rate(p.state.write_rps * WRITE_SHARE * parts / of);
         self.cloud.set_request_rate(p.cloud.rps * cloud);
     }
 
@@ -325,7 +249,7 @@
     }
 
     fn wall_ms(&self) -> u64 {
-        (self.process.wall + self.now).as_millis() as u64
+        self.process.wall_ms(self.now)
     }
 
     /// Whether this controller may act for all of them: its view is so recent
@@ -345,13 +269,6 @@
         self.store.session.staleness(self.now).is_some_and(|s| s < self.heartbeat_intervals(1.0))
     }
 
-    fn am_leader(&self) -> bool {
-        self.state
-            .leader
-            .as_ref()
-            .is_some_and(|l| l.rec.member == self.process.member && l.rec.incarnation == self.process.incarnation)
-    }
-
     fn owns(&self, host: &Versioned<records::MachineRecord>) -> bool {
         self.process.owns(&host.rec)
     }
@@ -369,11 +286,7 @@
         timeout: Duration,
         purpose: Purpose,
     ) -> CallId {
-        let id = self.outbox.next_call;
-        self.outbox.next_call += 1;
-        self.outbox.calls.insert(id, purpose);
-        self.outbox.actions.push(Action::Call { id, target, method, path, body, timeout });
-        id
+        self.outbox.call(target, method, path, body, timeout, purpose)
     }
 
     fn answer(&mut self, id: CallId, purpose: Purpose, result: Result<Reply, NoAnswer>) {
@@ -381,13 +294,12 @@
             let was_away = self.retry.is_open(Side::State);
             self.retry.ended(retry, outcome(retry, &result), self.now);
             if was_away && !self.retry.is_open(Side::State) {
-                self.transactions.rate.store_is_back(self.now);
-                self.transactions.store_recovered_at = Some(self.now);
+                self.transactions.store_recovered(self.now);
             }
         }
         match purpose {
             Purpose::Lease | Purpose::Renew | Purpose::Scan | Purpose::Watch | Purpose::Barrier => {
-                self.sync_answer(purpose, result);
+                self.sync_answer(&purpose, result);
             }
             Purpose::Catalog | Purpose::List | Purpose::Rent { .. } => {
                 self.cloud_answer(purpose, result);
@@ -395,20 +307,14 @@
             Purpose::Release { machines } => self.release_answer(machines, result),
             Purpose::Push { machine, grant } => self.push_answer(id, &machine, grant, result),
             Purpose::Probe { machine, known } => self.probe_answer(machine, known, result),
-            Purpose::Txn { txn, why, keys, charge, sent } => {
-                self.transactions.in_flight.ended(id);
-                if result.as_ref().is_ok_and(|r| r.status == 503) {
-                    self.transactions.rate.give_back(self.now, charge);
-                }
-                self.txn_answer(txn, why, &keys, sent, &result);
-            }
+            Purpose::Txn(pending) => self.txn_answer(id, pending, &result),
         }
     }
 
     /// What waits for the view to move is looked at again.
     fn view_changed(&mut self) {
-        if self.leadership.led_since.is_none() && self.state.leader.is_some() {
-            self.leadership.led_since = Some(self.now);
+        if self.state.leader.is_some() {
+            self.leadership.observe_leader(self.now);
         }
         if !self.service_levels.has_seen_machines() && self.state.machines.keys().any(|h| self.is_up(h)) {
             let (wall_ms, startup_s) = (self.wall_ms(), self.cloud.shortest_startup_s());
@@ -430,8 +336,6 @@
     }
 }
 
-/// What the cloud says where it has no more machines of an offer.
-const NO_CAPACITY: &str = "no capacity";
 /// Longer transactions count as this long in the summary.
 const LONGEST_TXN_MS: u64 = 60_000;
 /// Part of the store's writes that is used: renewals and repeats need some.
--- a/src/controller/quota.rs
+++ b/src/controller/quota.rs
@@ -138,10 +138,10 @@
     /// From here on every start of the team changes its record. The replica that
     /// shows this change shows all starts that did not.
     pub(super) fn make_quota_strict(&mut self, condition: Condition) {
-        if self.transactions.locked_keys.contains(&condition.key) || !self.may_write_as(WritePriority::First) {
+        if self.transactions.is_locked(&condition.key) || !self.may_write_as(WritePriority::First) {
             return;
         }
-        let rec = records::TeamRecord { strict: true, count: self.outbox.next_call };
+        let rec = records::TeamRecord { strict: true, count: self.outbox.next_call_id() };
         let ops = vec![Op::Put { key: condition.key.clone(), data: records::to_value(&rec), lease: None }];
         self.txn(Txn { conditions: vec![condition], ops }, Why::Limit);
     }
--- a/src/controller/registration.rs
+++ b/src/controller/registration.rs
@@ -23,9 +23,9 @@
         let key = records::machine_group_key(&report.machine);
         let led = self.leader_name().is_some() && self.state.is_live(&self.process.member, self.process.incarnation);
         // What can be started on machines that are known already comes first.
-        let need = 1.0 + self.transactions.rate.rate * ACCEPT_RESERVE;
+        let need = 1.0 + self.transactions.write_rate() * ACCEPT_RESERVE;
         if !led
-            || self.transactions.locked_keys.contains(&key)
+            || self.transactions.is_locked(&key)
             || self.releases.is_released(&report.machine)
             || !self.may_write(need)
         {
@@ -65,7 +65,7 @@
     /// conditional on none having a record of its own, and such records on no
     /// pack having been written meanwhile.
     pub(super) fn enrol_rentals(&mut self) {
-        if self.transactions.locked_keys.contains(records::MACHINE_GROUPS_KEY)
+        if self.transactions.is_locked(records::MACHINE_GROUPS_KEY)
             || !self.am_leader()
             || !self.autoscaler.has_unrecorded()
         {
@@ -89,7 +89,7 @@
         let mut txn =
             Txn { conditions: vec![self.leader_condition(), self.machine_groups_condition()], ops: Vec::new() };
         txn.conditions.extend(names.iter().map(|n| Condition { key: records::machine_group_key(n), version: 0 }));
-        let count = records::to_value(&self.leadership.request_count);
+        let count = records::to_value(&self.leadership.request_count());
         txn.ops.push(Op::Put { key: records::MACHINE_GROUPS_KEY.into(), data: count, lease: None });
         for (machines, owner) in names.chunks(size).zip(owners) {
             let Some(to) = self.state.members.get(owner) else { continue };
@@ -124,7 +124,7 @@
     /// Whether this is the first report interval of the cluster's first term: what
     /// reports and was not rented by us stood there before.
     pub(super) fn beginning(&self) -> bool {
-        let since = self.leadership.led_since.map(|t| self.now.saturating_sub(t));
+        let since = self.leadership.since_first_leader(self.now);
         self.term() == 1 && since.is_some_and(|s| s < self.heartbeat_intervals(1.5))
     }
 }
--- a/src/controller/scheduler/mod.rs
+++ b/src/controller/scheduler/mod.rs
@@ -98,7 +98,7 @@
         }
         self.adopt();
         let revision = self.state.revision;
-        self.transactions.outdated.retain(|_, need| *need > revision);
+        self.transactions.forget_outdated(revision);
         let due = self.journal.is_due(self.now);
         if !self.can_write_segment() || !due && !self.has_urgent_tasks() {
             self.scheduler.request_round();
--- a/src/controller/scheduler/round.rs
+++ b/src/controller/scheduler/round.rs
@@ -43,12 +43,12 @@
 
     /// Whether a transaction under way changes or rests on the job's record.
     pub(super) fn is_locked(&self, uid: &str) -> bool {
-        self.transactions.locked_keys.contains(&records::job_key(uid))
+        self.transactions.is_locked(&records::job_key(uid))
     }
 
     /// Whether the job's record is known to be newer in the store than in the replica.
     pub(super) fn is_outdated(&self, uid: &str) -> bool {
-        self.transactions.outdated.contains_key(&records::job_key(uid))
+        self.transactions.is_outdated(&records::job_key(uid))
     }
 
     /// Whether the objectives ask for the job's tasks to start so soon that arrays are
--- a/src/controller/sharding.rs
+++ b/src/controller/sharding.rs
@@ -14,7 +14,7 @@
 #[derive(Debug, Default)]
 pub(super) struct Sharding {
     /// When tasks are next reassigned.
-    pub(super) reassign_next: Instant,
+    reassign_next: Instant,
     /// When shards are next rebalanced.
     pub(super) rebalance_next: Instant,
     /// No rebalancing before this time: machines were brought together for a gang.
@@ -23,6 +23,17 @@
     pub(super) avoid: HashMap<(String, String), Instant>,
 }
 
+impl Sharding {
+    /// Whether tasks are to be reassigned now; if so, the next time is `interval` later.
+    pub(super) fn reassignment_due(&mut self, now: Instant, interval: Duration) -> bool {
+        let due = now >= self.reassign_next;
+        if due {
+            self.reassign_next = now + interval;
+        }
+        due
+    }
+}
+
 /// After machines were brought together for a gang, blocks are not levelled for
 /// so many report intervals.
 const GATHERED_REPORTS: f64 = 3.0;
@@ -34,19 +45,18 @@
     pub(super) fn grant_shards(&mut self) {
         for member in self.state.restarted() {
             let key = records::shard_grant_key(&member);
-            if self.transactions.locked_keys.contains(&key) || !self.may_write_as(WritePriority::First) {
+            if self.transactions.is_locked(&key) || !self.may_write_as(WritePriority::First) {
                 continue;
             }
             let Some(m) = self.state.members.get(&member) else { continue };
-            self.leadership.epoch += 1;
-            let rec =
-                ShardGrantRecord { incarnation: m.rec.incarnation, term: self.term(), epoch: self.leadership.epoch };
+            let (incarnation, version) = (m.rec.incarnation, m.version);
+            let rec = ShardGrantRecord { incarnation, term: self.term(), epoch: self.leadership.next_epoch() };
             tracing::debug!(to = %member, "block granted again");
             let txn = Txn {
                 conditions: vec![
                     self.leader_condition(),
                     Condition { key: key.clone(), version: self.state.shard_grant_version(&member) },
-                    Condition { key: records::member_key(&member), version: m.version },
+                    Condition { key: records::member_key(&member), version },
                 ],
                 ops: vec![Op::Put { key, data: records::to_value(&rec), lease: None }],
             };
@@ -57,7 +67,7 @@
         }
         let now = self.now;
         let ops = self.config.settings.state.txn_ops;
-        let spare = ops.min(self.transactions.rate.level(self.now) as usize).max(1);
+        let spare = ops.min(self.transactions.unspent_writes(self.now) as usize).max(1);
         let known = self.startup.fleet_known();
         let unreached = if known { self.unreached_machines() } else { Vec::new() };
         let deaf: BTreeSet<&str> =
@@ -90,15 +100,14 @@
             let (Some(p), Some(to)) = (self.state.machine_groups.get(&m.group), self.state.members.get(&m.to)) else {
                 continue;
             };
-            if self.transactions.locked_keys.contains(&key) {
+            if self.transactions.is_locked(&key) {
                 continue;
             }
-            self.leadership.epoch += 1;
             let rec = MachineGroupRecord {
                 owner: m.to.clone(),
                 incarnation: to.rec.incarnation,
                 term: self.term(),
-                epoch: self.leadership.epoch,
+                epoch: self.leadership.next_epoch(),
                 ..p.rec.clone()
             };
             for machine in p.rec.machines.iter().filter(|m| unreached.iter().any(|u| u.0 == **m)) {
