--- a/src/controller/agents/adoption.rs
+++ b/src/controller/agents/adoption.rs
@@ -52,7 +52,7 @@
 
 impl Controller {
     /// Brings the machines in memory in line with the grants in the replica.
-    pub(in crate::controller) fn adopt(&mut self) {
+    pub(in crate::controller) fn adopt_granted_machines(&mut self) {
         self.agents.follow_grants(&self.state, &self.process, self.now);
     }
 }
--- a/src/controller/agents/commands.rs
+++ b/src/controller/agents/commands.rs
@@ -80,7 +80,7 @@
     }
 
     /// Sends starts and kills straight to the agent, where that is safe.
-    pub(in crate::controller) fn push(&mut self, name: &str) {
+    pub(in crate::controller) fn push_commands(&mut self, name: &str) {
         if !self.entitled() || !self.fresh() {
             return;
         }
@@ -138,13 +138,13 @@
 
     /// Tells the machines of ours on which the job has tasks to end them, whoever wrote
     /// that it is cancelled: by their own heartbeats they would run on for a while.
-    pub(in crate::controller) fn stop(&mut self, uid: &str) {
+    pub(in crate::controller) fn stop_job(&mut self, uid: &str) {
         let Some(job) = self.state.jobs.get(uid) else { return };
         let places = job.chunks.values().flat_map(|chunk| &chunk.rec.on);
         let own = places.map(|place| &place.machine).filter(|name| self.agents.machine(name).is_some());
         let own: BTreeSet<String> = own.cloned().collect();
         for name in own {
-            self.push(&name);
+            self.push_commands(&name);
         }
     }
 }
--- a/src/controller/agents/heartbeats.rs
+++ b/src/controller/agents/heartbeats.rs
@@ -1,12 +1,11 @@
 //! Heartbeats of agents: who answers them, and what they change.
 
-use super::{Agents, HEARD_REPORTS};
+use super::{Agents, MAX_HEARTBEAT_GAP};
 use crate::connectivity::hearing::News;
 use crate::controller::Controller;
 use crate::effects::{ConnId, Instant};
 use crate::protocol::encode;
 use crate::protocol::worker::{Heartbeat, HeartbeatResponse, Redirect};
-use std::time::Duration;
 
 /// A heartbeat waits for a grant this long, in heartbeat intervals.
 const GRANT_WAIT: f64 = 0.75;
@@ -67,14 +66,14 @@
             machine.unlisted = false;
             self.hearing.proved(name, machine.at, now);
         }
-        machine.note_pace(silent.is_some_and(|intervals| intervals > HEARD_REPORTS), is_new_epoch);
+        machine.note_pace(silent.is_some_and(|intervals| intervals > MAX_HEARTBEAT_GAP), is_new_epoch);
         Ok(wakes_scheduler)
     }
 }
 
 impl Controller {
     /// An agent's heartbeat.
-    pub(in crate::controller) fn report(&mut self, conn: ConnId, heartbeat: Heartbeat) {
+    pub(in crate::controller) fn receive_heartbeat(&mut self, conn: ConnId, heartbeat: Heartbeat) {
         let machine = self.agents.machine(&heartbeat.machine);
         if machine.is_some_and(|machine| machine.belies(heartbeat.fencing_token)) {
             // A copy from before its end, or it ended since.
@@ -109,7 +108,7 @@
     /// Who answers the heartbeat. A machine that nobody knows is registered, one that may
     /// have been restarted is called.
     fn route_heartbeat(&mut self, heartbeat: &Heartbeat, news: News) -> Route {
-        if let Some(peer) = self.better_off() {
+        if let Some(peer) = self.better_connected_peer() {
             return Route::Redirect(Some(peer));
         }
         if !self.entitled() {
@@ -123,7 +122,7 @@
             if self.state.owned(&machine.rec) {
                 let owner = machine.rec.owner.clone();
                 if news == News::New {
-                    self.note_stray(&heartbeat.machine);
+                    self.report_misdirected_machine(&heartbeat.machine);
                 }
                 return Route::Redirect(Some(owner));
             }
@@ -146,7 +145,7 @@
 
     /// Takes in a heartbeat of a machine of ours, and answers it with commands.
     fn accept_heartbeat(&mut self, conn: ConnId, heartbeat: &Heartbeat, news: News) {
-        self.adopt();
+        self.adopt_granted_machines();
         let interval_s = self.config.settings.workers.heartbeat_interval_s;
         match self.agents.record_heartbeat(heartbeat, news, self.now, interval_s) {
             Ok(wakes_scheduler) => self.scheduler.request_round_if(wakes_scheduler),
@@ -157,7 +156,7 @@
         if self.agents.machine(name).is_some_and(|m| m.lapsed(self.now, expiry.lease, expiry.cancel)) {
             // Before it is answered again: what ran under the answers that came has
             // ended, and the next one starts nothing of it.
-            self.give_places_up(name);
+            self.give_up_places(name);
         }
         self.reconcile(name);
         let waits_out = self.agents.machine(name).is_some_and(|m| m.waits_out(self.now, expiry.lease, expiry.cancel));
@@ -191,12 +190,3 @@
         self.state.is_live(&leader.rec.member, leader.rec.incarnation).then(|| leader.rec.member.clone())
     }
 }
-
-/// When the lease of a machine has surely expired, by drifting clocks.
-#[derive(Debug, Clone, Copy)]
-pub(super) struct LeaseExpiry {
-    /// Since an answer of ours.
-    pub(super) lease: Duration,
-    /// Since a grant, before which others may have answered.
-    pub(super) cancel: Duration,
-}
--- a/src/controller/agents/mod.rs
+++ b/src/controller/agents/mod.rs
@@ -42,12 +42,12 @@
 }
 
 /// An agent waits this long for an answer, then a little to try the next controller.
-pub(super) const WORKER_MOVES_S: f64 = 4.0 + 1.0 + 0.5;
+pub(super) const CONTROLLER_SWITCH_S: f64 = 4.0 + 1.0 + 0.5;
 /// Heartbeats come at an interval, give or take a quarter: an agent that was heard within
 /// this many intervals is not silent.
-pub(super) const HEARD_REPORTS: f64 = 1.5;
+pub(super) const MAX_HEARTBEAT_GAP: f64 = 1.5;
 /// Machines that are cut off with others are waited for this many leases.
-pub(super) const CUT_LEASES: f64 = 2.0;
+pub(super) const CUT_OFF_LEASES: f64 = 2.0;
 
 impl Agents {
     /// The machine, if this controller owns it.
@@ -192,7 +192,7 @@
 impl Controller {
     /// What is due for the agents.
     pub(super) fn check_agents(&mut self) {
-        self.adopt();
+        self.adopt_granted_machines();
         self.retry_pending_heartbeats();
         if !self.fresh() {
             return;
--- a/src/controller/agents/preemption.rs
+++ b/src/controller/agents/preemption.rs
@@ -1,7 +1,7 @@
 //! Stopping tasks to place them again: for more urgent ones, or because their machine
 //! will be taken away.
 
-use super::{Agents, HEARD_REPORTS};
+use super::{Agents, MAX_HEARTBEAT_GAP};
 use crate::controller::Controller;
 use crate::placement::MachineCapacity;
 use crate::protocol::user::JobKind;
@@ -57,7 +57,7 @@
             self.agents.mark_preempted(preemption);
         }
         for machine in machines {
-            self.push(&machine);
+            self.push_commands(&machine);
         }
     }
 
@@ -77,7 +77,7 @@
                     continue;
                 }
                 let place = Placement { machine: name.clone(), index: *index, attempt: *attempt };
-                preemptions.extend(self.moved_on_notice(uid, job, &place, left_s, &mut capacities));
+                preemptions.extend(self.preemptions_on_notice(uid, job, &place, left_s, &mut capacities));
             }
         }
         for preemption in &preemptions {
@@ -94,7 +94,7 @@
 
     /// Which tasks are stopped for one whose machine is taken away in `left_s` seconds.
     /// Free capacities are looked up when first needed, and taken from.
-    fn moved_on_notice(
+    fn preemptions_on_notice(
         &self,
         uid: &str,
         job: &Job,
@@ -121,7 +121,7 @@
 
     /// Whether all placed tasks of the job are seen to run on machines of ours.
     fn runs_everywhere(&self, uid: &str, job: &Job) -> bool {
-        let recent = self.heartbeat_intervals(HEARD_REPORTS);
+        let recent = self.heartbeat_intervals(MAX_HEARTBEAT_GAP);
         let runs = |place: &Placement| {
             self.agents.machine(&place.machine).is_some_and(|machine| {
                 let seen = machine.find(uid, place.index, place.attempt);
--- a/src/controller/agents/release.rs
+++ b/src/controller/agents/release.rs
@@ -1,7 +1,6 @@
 //! Giving machines back to the cloud, and what was placed on them.
 
 use super::Agents;
-use super::heartbeats::LeaseExpiry;
 use crate::controller::transactions::Why;
 use crate::controller::{Controller, DRIFT, Purpose};
 use crate::coordination::machine::Machine;
@@ -11,10 +10,20 @@
 use crate::protocol::store::{Condition, Op, Txn};
 use crate::state::records;
 use std::collections::BTreeMap;
+use std::time::Duration;
 
 /// The cloud's answer to a release is waited for so long, in heartbeat intervals.
 const RELEASE_TIMEOUT: f64 = 2.0;
 
+/// When the lease of a machine has surely expired, by drifting clocks.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct LeaseExpiry {
+    /// Since an answer of ours.
+    pub(super) lease: Duration,
+    /// Since a grant, before which others may have answered.
+    pub(super) cancel: Duration,
+}
+
 impl Agents {
     /// Whether the machine is being given back.
     pub(super) fn set_releasing(&mut self, name: &str, releasing: bool) {
@@ -58,7 +67,7 @@
         let empty: Vec<String> = self.agents.machines().filter(is_empty).map(|(name, _)| name.clone()).collect();
         let mut released = Vec::new();
         for name in empty {
-            if !self.give_places_up(&name) && self.releases.gone.contains(&name) {
+            if !self.give_up_places(&name) && self.releases.gone.contains(&name) {
                 released.push(name);
             }
         }
@@ -82,7 +91,7 @@
 
     /// All that is placed on a machine that is proved empty is given up; whether
     /// there was any.
-    pub(super) fn give_places_up(&mut self, name: &str) -> bool {
+    pub(super) fn give_up_places(&mut self, name: &str) -> bool {
         let (Some(placed), Some(machine)) = (self.state.placed.get(name), self.agents.machines.get_mut(name)) else {
             return false;
         };
--- a/src/controller/agents/suspicion.rs
+++ b/src/controller/agents/suspicion.rs
@@ -1,7 +1,7 @@
 //! Which machines of this controller's shard are given up: those that fell silent,
 //! and those that nothing is needed of any more.
 
-use super::{CUT_LEASES, HEARD_REPORTS, WORKER_MOVES_S};
+use super::{CONTROLLER_SWITCH_S, CUT_OFF_LEASES, MAX_HEARTBEAT_GAP};
 use crate::connectivity::account::{Group, Silence, of_silence};
 use crate::controller::{Controller, DRIFT};
 use crate::coordination::machine::Machine;
@@ -108,14 +108,14 @@
     fn silence_limits(&self) -> SilenceLimits {
         let workers = &self.config.settings.workers;
         // Whoever reaches it has to have had the time to say so.
-        let peers_say = self.heartbeat_intervals(HEARD_REPORTS)
+        let peers_say = self.heartbeat_intervals(MAX_HEARTBEAT_GAP)
             + Self::heartbeat_interval(self.heartbeat_intervals(1.0)).mul_f64(PEER_HEARTBEATS);
         let heard = self.heartbeat_intervals(self.config.operator.silent_reports).max(peers_say);
         SilenceLimits {
             heard,
-            never_heard: (heard + self.secs(WORKER_MOVES_S)).max(self.round_of_all()),
+            never_heard: (heard + self.secs(CONTROLLER_SWITCH_S)).max(self.full_retry_round()),
             lease: self.secs(workers.lease_s * DRIFT + workers.heartbeat_interval_s),
-            cut_off: self.secs(workers.lease_s * CUT_LEASES),
+            cut_off: self.secs(workers.lease_s * CUT_OFF_LEASES),
             cancel: self.secs(workers.cancel_s * DRIFT + workers.heartbeat_interval_s),
         }
     }
@@ -130,7 +130,7 @@
 
     /// How much of the shard, and of its part in each zone, was heard of late.
     fn shard_silence(&self) -> ShardSilence {
-        let recent = self.heartbeat_intervals(HEARD_REPORTS);
+        let recent = self.heartbeat_intervals(MAX_HEARTBEAT_GAP);
         let mut zones: BTreeMap<String, Group> = BTreeMap::new();
         for (name, machine) in self.agents.machines().filter(|(_, machine)| machine.heard_at.is_some()) {
             let group = zones.entry(self.zone_of(name).to_string()).or_default();
@@ -139,7 +139,7 @@
         }
         let sum = |count: fn(&Group) -> usize| zones.values().map(count).sum();
         let shard = Group { heard: sum(|group| group.heard), all: sum(|group| group.all) };
-        ShardSilence { zones, shard, peers: self.speaking() }
+        ShardSilence { zones, shard, peers: self.reachable_peers() }
     }
 
     fn zone_of(&self, name: &str) -> &str {
@@ -197,7 +197,8 @@
             return true;
         }
         // Without places it was rented and may be booting: the leader waits for it.
-        is_placed && (!self.may_be_answered(name) || machine.lapsed(self.now, limits.lease, limits.cancel))
+        is_placed
+            && (!self.may_be_answered_by_previous_owner(name) || machine.lapsed(self.now, limits.lease, limits.cancel))
     }
 
     fn explain_silence(&self, zone: &str, silence: &ShardSilence) -> Silence {
@@ -242,7 +243,7 @@
     }
 
     fn peers_hear(&self, name: &str) -> bool {
-        let limit = self.round_of_all();
+        let limit = self.full_retry_round();
         let answered_us = self.agents.probed_at(name).is_some_and(|at| self.now.saturating_sub(at) < limit);
         answered_us || self.reported_newer_elsewhere(name, limit)
     }
--- a/src/controller/api.rs
+++ b/src/controller/api.rs
@@ -43,7 +43,7 @@
             Route::Poll(uid) => self.poll(conn, uid),
             Route::Cancel(uid) => self.cancel(conn, uid),
             Route::Heartbeat => match decode::<Heartbeat>(body) {
-                Ok(report) => self.report(conn, report),
+                Ok(report) => self.receive_heartbeat(conn, report),
                 Err(_) => self.refuse(conn, 400, "not a report"),
             },
             Route::WrongMethod => self.refuse(conn, 405, "wrong method"),
--- a/src/controller/autoscaler.rs
+++ b/src/controller/autoscaler.rs
@@ -354,7 +354,7 @@
     /// Whether the machine was up before it fell silent, not long ago: it is not coming,
     /// and its owner, which knows what fell silent with it, decides what becomes of it.
     fn fell_silent(&self, name: &str) -> bool {
-        let long = self.secs(self.config.settings.workers.lease_s * agents::CUT_LEASES);
+        let long = self.secs(self.config.settings.workers.lease_s * agents::CUT_OFF_LEASES);
         let listed = !self.cloud.unlisted.contains(name);
         listed && self.autoscaler.up_at.get(name).is_some_and(|t| self.now.saturating_sub(*t) < long)
     }
--- a/src/controller/connectivity/heartbeats.rs
+++ b/src/controller/connectivity/heartbeats.rs
@@ -25,7 +25,7 @@
 
     /// Tells the other controllers what is seen from here, and calls silent machines.
     pub(in crate::controller) fn send_heartbeat(&mut self) {
-        let keep = self.round_of_all() + self.heartbeat_intervals(1.0);
+        let keep = self.full_retry_round() + self.heartbeat_intervals(1.0);
         self.agents.prune_heard(&self.state, self.now, keep);
         if self.store.session.following() {
             self.agents.retain_images_of(&self.state);
@@ -159,7 +159,7 @@
 
     /// An agent that should have reported to its owner came here: the others
     /// hear of it sooner than by the next regular heartbeat.
-    pub(in crate::controller) fn note_stray(&mut self, machine: &str) {
+    pub(in crate::controller) fn report_misdirected_machine(&mut self, machine: &str) {
         let keep = self.heartbeat_intervals(MISDIRECTED_INTERVALS);
         if self.connectivity.record_misdirected(machine, self.now, keep) {
             self.connectivity.hasten_heartbeat(self.now + self.heartbeat_intervals(HASTENED_HEARTBEAT));
--- a/src/controller/connectivity/mod.rs
+++ b/src/controller/connectivity/mod.rs
@@ -144,7 +144,7 @@
 impl Controller {
     /// Whom an agent should go to while we may not act or should not: somebody
     /// who reaches the store, if we do not.
-    pub(super) fn better_off(&self) -> Option<String> {
+    pub(super) fn better_connected_peer(&self) -> Option<String> {
         if self.fresh() {
             return None;
         }
@@ -155,13 +155,13 @@
 
     /// How long an agent that can reach few of the controllers may take to come
     /// round to one of them.
-    pub(super) fn round_of_all(&self) -> Duration {
-        let round_s = super::agents::WORKER_MOVES_S * self.config.controllers() as f64;
+    pub(super) fn full_retry_round(&self) -> Duration {
+        let round_s = super::agents::CONTROLLER_SWITCH_S * self.config.controllers() as f64;
         self.secs(round_s.min(self.config.settings.workers.lease_s)).max(self.heartbeat_intervals(3.0))
     }
 
     /// The other live controllers, and how many of them are heard both ways.
-    pub(super) fn speaking(&self) -> Group {
+    pub(super) fn reachable_peers(&self) -> Group {
         let others = || self.state.members.keys().filter(|member| **member != self.process.member);
         let is_heard = |member: &&String| self.connectivity.peers.both_ways(member, self.now);
         Group { heard: others().filter(is_heard).count(), all: others().count() }
--- a/src/controller/connectivity/partitions.rs
+++ b/src/controller/connectivity/partitions.rs
@@ -69,7 +69,7 @@
         let now = self.now;
         self.connectivity.follow_owners(&self.state, now);
         self.sharding.avoid.retain(|_, until| *until > now);
-        if !self.connectivity.begin_diagnosis(now, self.round_of_all()) {
+        if !self.connectivity.begin_diagnosis(now, self.full_retry_round()) {
             return;
         }
         let diagnoses = self.diagnose_owners();
@@ -91,14 +91,15 @@
         let mut unreached: BTreeMap<&String, Vec<String>> = BTreeMap::new();
         for (name, heard_at) in &elsewhere {
             let Some(owner) = self.owner_of(name) else { continue };
-            if self.sight(name, owner, Some(*heard_at)).unreached().is_some() {
+            if self.observe_machine(name, owner, Some(*heard_at)).unreached().is_some() {
                 unreached.entry(owner).or_default().push(name.to_string());
             }
         }
         let diagnose = |(owner, unreached): (&String, Vec<String>)| {
             let shard = self.state.machines.iter().filter(|(_, machine)| machine.rec.owner == *owner);
-            let sights: Vec<Sight> =
-                shard.map(|(name, _)| self.sight(name, owner, elsewhere.get(name.as_str()).copied())).collect();
+            let sights: Vec<Sight> = shard
+                .map(|(name, _)| self.observe_machine(name, owner, elsewhere.get(name.as_str()).copied()))
+                .collect();
             OwnerDiagnosis { owner: owner.clone(), account: of_owner(&sights), unreached }
         };
         unreached.into_iter().map(diagnose).collect()
@@ -130,14 +131,14 @@
 
     /// Whether a machine that never reported to us may still be answered by its
     /// owner before us, which is not known to have seen that it is ours.
-    pub(in crate::controller) fn may_be_answered(&self, machine: &str) -> bool {
+    pub(in crate::controller) fn may_be_answered_by_previous_owner(&self, machine: &str) -> bool {
         let Some(known) = self.connectivity.ownership.get(machine) else { return false };
         known.previous_owner.as_ref().is_some_and(|previous| {
             *previous != self.process.member && !self.connectivity.peers.has_seen(previous, known.grant)
         })
     }
 
-    fn sight(&self, machine: &str, owner: &str, by_other: Option<Instant>) -> Sight {
+    fn observe_machine(&self, machine: &str, owner: &str, by_other: Option<Instant>) -> Sight {
         let (by_owner, owner_says_at) = if owner == self.process.member {
             (self.agents.heard_at(machine), Some(self.now))
         } else {
@@ -183,7 +184,7 @@
     /// hears nothing comes round to all in turn.
     fn misses_new_owner(&self, name: &str, owner: &str) -> bool {
         let since = self.connectivity.owned_since(name).unwrap_or(self.now);
-        let has_had_time = self.now.saturating_sub(since) > self.round_of_all();
+        let has_had_time = self.now.saturating_sub(since) > self.full_retry_round();
         has_had_time && self.last_contact(name, owner).is_none_or(|at| at < since)
     }
 
--- a/src/controller/connectivity/probes.rs
+++ b/src/controller/connectivity/probes.rs
@@ -2,7 +2,7 @@
 
 use super::heartbeats::HASTENED_HEARTBEAT;
 use crate::connectivity::hearing::At;
-use crate::controller::agents::HEARD_REPORTS;
+use crate::controller::agents::MAX_HEARTBEAT_GAP;
 use crate::controller::{Controller, Purpose};
 use crate::coordination::machine::Machine;
 use crate::effects::{NoAnswer, Reply, Target};
@@ -20,8 +20,8 @@
     /// Machines of ours that fell silent of late, with their addresses: whether anybody
     /// reaches them decides what becomes of them.
     pub(super) fn silent_machines(&self) -> Vec<(String, String)> {
-        let from = self.heartbeat_intervals(HEARD_REPORTS);
-        let to = self.round_of_all() + self.heartbeat_intervals(PROBED_INTERVALS);
+        let from = self.heartbeat_intervals(MAX_HEARTBEAT_GAP);
+        let to = self.full_retry_round() + self.heartbeat_intervals(PROBED_INTERVALS);
         let silent = |machine: &Machine| machine.heard_at.map_or(Duration::MAX, |at| self.now.saturating_sub(at));
         let fell_silent = |(_, machine): &(&String, &Machine)| {
             !machine.releasing && !machine.addr.is_empty() && (from..to).contains(&silent(machine))
--- a/src/controller/journal/mod.rs
+++ b/src/controller/journal/mod.rs
@@ -249,7 +249,7 @@
         let places = facts.values().flat_map(|facts| &facts.starts);
         let machines: BTreeSet<&String> = places.map(|place| &place.machine).collect();
         for machine in machines {
-            self.push(machine);
+            self.push_commands(machine);
         }
     }
 
--- a/src/controller/journal/segment.rs
+++ b/src/controller/journal/segment.rs
@@ -89,7 +89,7 @@
         order: &[String],
         mut starts: BTreeMap<String, Vec<Start>>,
     ) -> DraftedSegment {
-        let mut builder = SegmentBuilder {
+        let mut builder = SegmentPlanner {
             inputs,
             reservations,
             draft: Draft::new(limits),
@@ -110,12 +110,12 @@
                 break;
             }
         }
-        let SegmentBuilder { draft, quota, near_limit, .. } = builder;
+        let SegmentPlanner { draft, quota, near_limit, .. } = builder;
         DraftedSegment { draft, quota, is_full, near_limit }
     }
 }
 
-struct SegmentBuilder<'a> {
+struct SegmentPlanner<'a> {
     inputs: SegmentInputs<'a>,
     reservations: &'a mut QuotaReservations,
     draft: Draft,
@@ -123,7 +123,7 @@
     near_limit: Option<Condition>,
 }
 
-impl SegmentBuilder<'_> {
+impl SegmentPlanner<'_> {
     /// Adds the job's exits; gives those back that found no room.
     fn add_exits(&mut self, uid: &str, mut exits: PendingExits) -> Result<(), PendingExits> {
         let Some(job) = self.inputs.state.jobs.get(uid) else { return Ok(()) };
--- a/src/controller/maintenance.rs
+++ b/src/controller/maintenance.rs
@@ -143,7 +143,7 @@
     }
 
     fn heard_now(&self, name: &str) -> bool {
-        let limit = self.heartbeat_intervals(agents::HEARD_REPORTS);
+        let limit = self.heartbeat_intervals(agents::MAX_HEARTBEAT_GAP);
         let ours = self.agents.machine(name).and_then(|m| m.heard_at);
         ours.is_some_and(|t| self.now.saturating_sub(t) < limit) || self.reported_newer_elsewhere(name, limit * 2)
     }
@@ -242,7 +242,7 @@
         for (machine, key) in stops {
             tracing::debug!(job = %key.0, index = key.1, %machine, "moved for a campaign");
             self.agents.mark_preempted(agents::Preemption::of_task(&machine, key, 0.0));
-            self.push(&machine);
+            self.push_commands(&machine);
         }
     }
 
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -206,7 +206,7 @@
             startup: Start::new(
                 Duration::from_secs_f64(p.workers.lease_s),
                 Duration::from_secs_f64(
-                    p.workers.heartbeat_interval_s * startup::LONGEST_REPORT + agents::WORKER_MOVES_S,
+                    p.workers.heartbeat_interval_s * startup::LONGEST_REPORT + agents::CONTROLLER_SWITCH_S,
                 ),
             ),
             leadership: Leadership::default(),
@@ -430,7 +430,7 @@
             }
         }
         for uid in std::mem::take(&mut self.state.let_go) {
-            self.stop(&uid);
+            self.stop_job(&uid);
         }
         self.retry_pending_heartbeats();
         self.answer_requests(RequestEvent::ClusterState(self.state.revision));
--- a/src/controller/scheduler/gangs.rs
+++ b/src/controller/scheduler/gangs.rs
@@ -3,7 +3,7 @@
 
 use super::Scheduler;
 use super::round::SchedulingRound;
-use crate::controller::agents::HEARD_REPORTS;
+use crate::controller::agents::MAX_HEARTBEAT_GAP;
 use crate::controller::journal::is_wide_gang;
 use crate::coordination::machine::Machine;
 use crate::effects::Instant;
@@ -47,7 +47,7 @@
 /// Whether all places of the job are on machines of ours that were heard of late and
 /// satisfy `condition`.
 fn all_places(round: &SchedulingRound, job: &Job, condition: impl Fn(&Machine, &Placement) -> bool) -> bool {
-    let recent = round.heartbeat_intervals(HEARD_REPORTS);
+    let recent = round.heartbeat_intervals(MAX_HEARTBEAT_GAP);
     let is_recent = |machine: &Machine| machine.heard_at.is_some_and(|t| round.now.saturating_sub(t) < recent);
     job.chunks.values().flat_map(|chunk| &chunk.rec.on).all(|place| {
         round.agents.machine(&place.machine).is_some_and(|machine| is_recent(machine) && condition(machine, place))
--- a/src/controller/scheduler/mod.rs
+++ b/src/controller/scheduler/mod.rs
@@ -96,7 +96,7 @@
         if !self.store.session.following() || !self.entitled() {
             return;
         }
-        self.adopt();
+        self.adopt_granted_machines();
         let revision = self.state.revision;
         self.transactions.outdated.retain(|_, need| *need > revision);
         let due = self.journal.is_due(self.now);
