--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -134,7 +134,7 @@
             startup: Start::new(
                 Duration::from_secs_f64(p.workers.lease_s),
                 Duration::from_secs_f64(
-                    p.workers.heartbeat_interval_s * startup::LONGEST_REPORT + agents::WORKER_MOVES_S,
+                    p.workers.heartbeat_interval_s * startup::LONGEST_REPORT + agents::CONTROLLER_SWITCH_S,
                 ),
             ),
             leadership: Leadership::default(),
@@ -329,7 +329,7 @@
             self.record_finished(&spec, at_ms);
         }
         for uid in std::mem::take(&mut self.state.let_go) {
-            self.stop(&uid);
+            self.stop_job(&uid);
         }
         self.retry_pending_heartbeats();
         self.answer_requests(RequestEvent::ClusterState(self.state.revision));
