--- /dev/null
+++ b/crates/emulator/src/cloud/machine/tests.rs
@@ -0,0 +1,81 @@
+//! Tests of the emulated cloud: instances, capacity, bills and faults.
+
+use super::*;
+
+fn s(x: f64) -> Duration {
+    Duration::from_secs_f64(x)
+}
+
+fn cloud() -> Cloud {
+    let kind = MachineType {
+        label: "std".into(),
+        cores: 8.0,
+        gpus: 0.0,
+        mem_gb: 32.0,
+        disk_gb: 60.0,
+        pull_gb_per_s: 1.0,
+        on_demand_price: 0.4,
+        spot_price: 0.1,
+        startup_s: 10.0,
+        zones: vec!["a".into()],
+    };
+    let capacity = BTreeMap::from([("a".to_string(), (3, 5))]);
+    let offers = vec![Offer { kind, capacity, cold: 0.0 }];
+    Cloud::new(
+        Config { offers, rps: 5.0, list_lag: s(4.0), notice: s(10.0), silent_share: 0.0, worker_port: 9000 },
+        7,
+        0,
+    )
+}
+
+fn ask(request_id: &str, number: u32, spot: bool) -> RentRequest<'_> {
+    RentRequest { request_id: request_id.into(), machine_type: "std".into(), zone: "a".into(), spot, number }
+}
+
+#[test]
+fn a_request_id_rents_once_and_no_more_than_there_is() {
+    let mut c = cloud();
+    let first = c.rent(s(0.0), &ask("r-1", 2, false)).unwrap();
+    assert_eq!(c.rent(s(1.0), &ask("r-1", 2, false)).unwrap(), first);
+    assert_eq!(c.rent(s(1.0), &ask("r-2", 9, false)).unwrap().len(), 1);
+    assert_eq!(c.rent(s(1.0), &ask("r-3", 1, false)), Err(Refusal::NoCapacity));
+    assert_eq!(c.rent(s(1.0), &ask("r-4", 51, true)), Err(Refusal::Malformed));
+    assert_eq!(
+        c.rent(s(1.0), &RentRequest { machine_type: "x".into(), ..ask("r-5", 1, true) }),
+        Err(Refusal::Malformed)
+    );
+    c.release(s(2.0), &ReleaseRequest { machines: vec![first[0].clone(), "nobody".into()].into() }).unwrap();
+    let next = c.rent(s(2.0), &ask("r-3", 1, false)).unwrap();
+    assert!(!first.contains(&next[0]), "names are never used again");
+    c.fault(s(2.0), &Fault::Scarce(0.2));
+    assert_eq!(c.rent(s(2.0), &ask("r-6", 5, true)).unwrap().len(), 1);
+}
+
+#[test]
+fn machines_come_up_late_or_never_and_go_with_notice() {
+    let mut c = cloud();
+    let name = c.rent(s(0.0), &ask("r-1", 1, true)).unwrap().remove(0);
+    assert!(c.advance(s(5.9)).is_empty());
+    assert_eq!(c.advance(s(15.1)), [Happening::Up { name: name.clone() }]);
+    c.fault(s(16.0), &Fault::Recall { count: 3 });
+    assert!(matches!(&c.advance(s(16.0))[..], [Happening::Notice { .. }]));
+    assert_eq!(c.advance(s(31.1)), [Happening::Gone { name, why: "recalled" }]);
+    c.fault(s(32.0), &Fault::Cold { machine_type: None, on: true });
+    c.rent(s(32.0), &ask("r-2", 1, true)).unwrap();
+    assert!(c.advance(s(3600.0)).is_empty());
+}
+
+#[test]
+fn the_list_lags_and_keeps_what_it_has_shown() {
+    let mut c = cloud();
+    let name = c.rent(s(10.0), &ask("r-1", 1, false)).unwrap().remove(0);
+    assert!(c.list(s(13.9), "", 500).machines.is_empty());
+    let shown = (0..50).map(|i| c.list(s(14.0 + 0.1 * f64::from(i)), "", 500).machines.len()).collect::<Vec<_>>();
+    assert!(shown.is_sorted() && shown[49] == 1, "{shown:?}");
+    c.advance(s(30.0));
+    c.release(s(30.0), &ReleaseRequest { machines: vec![name].into() }).unwrap();
+    assert_eq!(c.list(s(33.9), "", 500).machines.len(), 1);
+    assert!(c.list(s(38.1), "", 500).machines.is_empty());
+    assert_eq!(c.admit(s(40.0)), Ok(()));
+    assert_eq!((0..20).filter(|_| c.admit(s(40.0)).is_ok()).count(), 9);
+}
--- a/crates/emulator/src/main.rs
+++ b/crates/emulator/src/main.rs
@@ -7,7 +7,7 @@
 use finchquay_emulator::run::{self, Options, Outcome, RunError};
 use finchquay_emulator::scenario::Scenario;
 use finchquay_emulator::state::{machine::Limits, probe, service as state};
-use finchquay_emulator::suite::{self, Expect};
+use finchquay_emulator::suite::{self, Expect, SuiteScenario};
 use finchquay_emulator::view::Model;
 use finchquay_emulator::{checker, cluster, lock};
 use finchquay_hcl::HclError;
@@ -398,12 +398,12 @@
 async fn play_suite(common: Common, names: Vec<String>, jobs: usize, out: &Path) -> Result<ExitCode, MainError> {
     for n in &names {
         if suite::find(n).is_none() {
-            let all: Vec<&str> = suite::SUITE.iter().map(|(n, ..)| *n).collect();
+            let all: Vec<&str> = suite::SUITE.iter().map(|s| s.name).collect();
             return Err(MainError::Usage(format!("no scenario {n:?} in the suite; there are {}", all.join(", "))));
         }
     }
-    let chosen: Vec<&suite::Item> =
-        suite::SUITE.iter().filter(|(n, ..)| names.is_empty() || names.iter().any(|m| m == n)).collect();
+    let wanted = |scenario: &&SuiteScenario| names.is_empty() || names.iter().any(|n| n == scenario.name);
+    let chosen: Vec<&SuiteScenario> = suite::SUITE.iter().filter(wanted).collect();
     let mut running = tokio::task::JoinSet::new();
     let mut failed = 0;
     let mut waiting = chosen.into_iter();
@@ -411,7 +411,7 @@
     println!("|---|---|---|---|---|---|---|");
     loop {
         while running.len() < jobs
-            && let Some((name, text, expect)) = waiting.next()
+            && let Some(SuiteScenario { name, text, expect }) = waiting.next()
         {
             let dir = out.join(name);
             // A suite begins anew each time.
--- /dev/null
+++ b/crates/emulator/src/report/tests.rs
@@ -0,0 +1,66 @@
+//! Tests of the figures of a report.
+
+use super::*;
+use finchquay_protocol::user::{JobSpec, Status};
+
+fn lines() -> Vec<Line> {
+    let call = |asked, status, state| Event::Call {
+        asked,
+        uid: "run-1".into(),
+        controller: "c".into(),
+        began_s: 0.0,
+        status,
+        state,
+        done: 0,
+    };
+    let start = |index| Event::Start { machine: "m".into(), job: "run-1".into(), index, attempt: 1 };
+    let stop =
+        |index| Event::Stop { machine: "m".into(), job: "run-1".into(), index, attempt: 1, cause: "done".into() };
+    let sample = |changes, cpu| Event::Sample {
+        machines_up: 1,
+        machines_booting: 0,
+        tasks_running: 1,
+        store_changes: changes,
+        store_requests: changes * 2,
+        spent: 1.0,
+        controllers: BTreeMap::from([("c".to_string(), (5.0, cpu))]),
+    };
+    let controller = |what: &str| Event::Controller { controller: "c".into(), what: what.into() };
+    let up = Event::MachineUp { machine: "m".into(), machine_type: "std".into(), zone: "a".into(), spot: false };
+    [
+        (0.0, controller("started")),
+        (0.5, up),
+        (1.0, Event::Job { spec: JobSpec::example("run-1") }),
+        (1.5, call(Asked::Submit, None, None)),
+        (3.0, call(Asked::Submit, Some(201), Some(Status::Queued))),
+        (4.0, start(0)),
+        (5.0, sample(10, 1.0)),
+        (5.5, controller("killed")),
+        (6.0, start(1)),
+        (7.0, sample(50, 0.5)),
+        (8.0, stop(0)),
+        (8.0, stop(1)),
+        (9.0, call(Asked::Poll, Some(200), Some(Status::Done))),
+        (10.0, Event::Over { settled: true }),
+    ]
+    .map(|(t, event)| Line { t, event })
+    .into()
+}
+
+#[test]
+fn figures_follow_from_the_history() {
+    let r = report(&lines());
+    let c = &r.classes["c"];
+    assert!((c.accept.max_ms - 2000.0).abs() < 20.0 && (c.done.p50_ms - 8000.0).abs() < 80.0);
+    assert_eq!((c.start.count, c.jobs, c.tasks), (2, 1, 2));
+    assert_eq!((r.answers["none"], r.stops["done"], r.tasks_done_per_s), (1, 2, 0.2));
+    assert!((r.curve[1].changes_per_s - 20.0).abs() < 0.01);
+    let p = &r.controllers["c"];
+    assert!((p.cpu - 0.15).abs() < 1e-9 && p.starts == 1, "{p:?}");
+    assert!(r.verdict.holds());
+    let html = page(&r);
+    assert!(html.contains("<svg") && html.contains("tasks running"));
+    let back: Report = serde_json::from_str(&serde_json::to_string(&r).unwrap()).unwrap();
+    assert_eq!(back, r);
+    assert!(compare(&r, &r).lines().all(|l| !l.contains("tasks done a second") || l.ends_with("0.000")));
+}
--- a/crates/emulator/src/suite.rs
+++ b/crates/emulator/src/suite.rs
@@ -9,42 +9,55 @@
     Recorded,
 }
 
-/// Name, text, what is expected.
-pub type Item = (&'static str, &'static str, Expect);
+/// One scenario of the suite.
+#[derive(Debug, Clone, Copy)]
+pub struct SuiteScenario {
+    /// Name of the scenario and, without its ending, of its file.
+    pub name: &'static str,
+    /// Text of the scenario file.
+    pub text: &'static str,
+    /// What the run must show.
+    pub expect: Expect,
+}
 
-macro_rules! item {
+macro_rules! scenario {
     ($name:literal, $expect:ident) => {
-        ($name, include_str!(concat!("../scenarios/", $name, ".hcl")), Expect::$expect)
+        SuiteScenario {
+            name: $name,
+            text: include_str!(concat!("../scenarios/", $name, ".hcl")),
+            expect: Expect::$expect,
+        }
     };
 }
 
 /// All scenarios of the suite, in the order in which they are played.
-pub const SUITE: &[Item] = &[
-    item!("filing-eve", Holds),
-    item!("cold-machine", Holds),
-    item!("all-late", Holds),
-    item!("store-away-all-restart", Holds),
-    item!("write-late", Holds),
-    item!("write-unanswered", Holds),
-    item!("store-killed", Holds),
-    item!("machines-fall", Holds),
-    item!("controllers-fall", Holds),
-    item!("links-fall", Holds),
-    item!("quick-restarts", Holds),
-    item!("drawn", Holds),
-    item!("lost-job", Recorded),
-    item!("lost-tasks", Recorded),
-    item!("lost-machines", Recorded),
-    item!("lost-control", Recorded),
-    item!("lost-any", Recorded),
-    item!("lost-tail", Recorded),
+pub const SUITE: &[SuiteScenario] = &[
+    scenario!("filing-eve", Holds),
+    scenario!("cold-machine", Holds),
+    scenario!("all-late", Holds),
+    scenario!("store-away-all-restart", Holds),
+    scenario!("write-late", Holds),
+    scenario!("write-unanswered", Holds),
+    scenario!("store-killed", Holds),
+    scenario!("machines-fall", Holds),
+    scenario!("controllers-fall", Holds),
+    scenario!("links-fall", Holds),
+    scenario!("quick-restarts", Holds),
+    scenario!("drawn", Holds),
+    scenario!("lost-job", Recorded),
+    scenario!("lost-tasks", Recorded),
+    scenario!("lost-machines", Recorded),
+    scenario!("lost-control", Recorded),
+    scenario!("lost-any", Recorded),
+    scenario!("lost-tail", Recorded),
 ];
 
 /// What `up` plays.
 pub const SAMPLE: &str = include_str!("../scenarios/sample.hcl");
 
-pub fn find(name: &str) -> Option<&'static Item> {
-    SUITE.iter().find(|(n, ..)| *n == name)
+/// The scenario of the suite with this name.
+pub fn find(name: &str) -> Option<&'static SuiteScenario> {
+    SUITE.iter().find(|scenario| scenario.name == name)
 }
 
 #[cfg(test)]
@@ -54,7 +67,7 @@
 
     #[test]
     fn every_scenario_that_comes_along_is_sound_and_named_after_its_file() {
-        for (name, text, _) in SUITE {
+        for SuiteScenario { name, text, .. } in SUITE {
             let s = Scenario::parse(name, text).unwrap();
             assert_eq!(s.name, *name);
             assert!(s.duration_s + s.settle_s <= 300.0, "{name}: the suite is of minutes");
