--- a/src/controller/agents/release.rs
+++ b/src/controller/agents/release.rs
@@ -119,8 +119,7 @@
     fn remove_from_group(&mut self, group: &str, names: &[String]) {
         let key = records::machine_group_key(group);
         let Some(record) = self.state.machine_groups.get(group) else { return };
-        if record.version > self.state.revision || self.transactions.is_locked(&key) || !self.may_write(1.0)
-        {
+        if record.version > self.state.revision || self.transactions.is_locked(&key) || !self.may_write(1.0) {
             return;
         }
         let op = match self.state.in_force(record).without(names) {
--- a/src/controller/autoscaler/scale_in.rs
+++ b/src/controller/autoscaler/scale_in.rs
@@ -169,9 +169,8 @@
         saves_cost: bool,
     ) -> Vec<&'a MachineCapacity> {
         let has_services = |name: &str| self.state.loads.get(name).is_some_and(|load| !load.standing.is_empty());
-        let group_locked = |machine: &MachineRecord| {
-            self.transactions.is_locked(&records::machine_group_key(&machine.group))
-        };
+        let group_locked =
+            |machine: &MachineRecord| self.transactions.is_locked(&records::machine_group_key(&machine.group));
         let mut removable: Vec<&MachineCapacity> = capacities
             .iter()
             .filter(|r| r.total_cores <= if r.spot || !saves_cost { least_free.cheap } else { least_free.ordinary })
--- a/src/controller/connectivity/heartbeats.rs
+++ b/src/controller/connectivity/heartbeats.rs
@@ -4,7 +4,7 @@
 use crate::connectivity::frame_fitting::{self, Turns};
 use crate::controller::Controller;
 use crate::effects::Action;
-use crate::protocol::peer::{FRAME_LIMIT, Frame, RecentMachine, PeerHeartbeat, Revocations};
+use crate::protocol::peer::{FRAME_LIMIT, Frame, PeerHeartbeat, RecentMachine, Revocations};
 use std::time::Duration;
 
 /// So many heartbeats tell of the images of all machines.
