--- a/benches/load.rs
+++ b/benches/load.rs
@@ -7,7 +7,7 @@
 use finchquay::protocol::user::JobSpec;
 use finchquay::protocol::{decode, encode};
 use finchquay::state::ClusterState;
-use finchquay::state::log_segment::{Facts, LogSegmentRecord, RING};
+use finchquay::state::log_segment::{Facts, LOG_SLOTS, LogSegmentRecord};
 use finchquay::state::records::{self, JobRecord, MachineGroupRecord, Placement, TaskRange, TaskRangeCheckpoint};
 use std::collections::BTreeMap;
 use std::hint::black_box;
@@ -51,12 +51,12 @@
         let on: Vec<Placement> = (0..TASKS).map(place).collect();
         if n % IN_SEGMENTS == 0 {
             let facts = Facts { starts: on, ..Facts::default() };
-            let at = (n % MEMBERS, u64::from(n / MEMBERS) % RING + 1);
+            let at = (n % MEMBERS, u64::from(n / MEMBERS) % LOG_SLOTS + 1);
             segments.entry(at).or_default().insert(uid, facts);
         } else {
             let rec =
                 TaskRangeCheckpoint { on, highest_attempt: 1, as_of_revision: 3, ..TaskRangeCheckpoint::default() };
-            rows.insert(records::chunk_key(&uid, 0), (records::to_value(&rec), 4));
+            rows.insert(records::checkpoint_key(&uid, 0), (records::to_value(&rec), 4));
         }
     }
     for ((member, seq), facts) in segments {
--- a/src/connectivity/frame_fitting.rs
+++ b/src/connectivity/frame_fitting.rs
@@ -28,7 +28,7 @@
 
 /// Positions of the lists of which successive heartbeats cover different parts.
 #[derive(Debug, Clone, Copy)]
-pub struct Turns {
+pub struct Rotation {
     /// Heartbeats before this one.
     pub heartbeats: usize,
     /// Heartbeats before this one that covered the images of the same machines.
@@ -36,8 +36,8 @@
 }
 
 /// Leaves out of a heartbeat what does not fit into a frame. One that fits is not changed.
-/// `told_first`: machines whose absence would make a difference to receivers.
-pub fn fit(heartbeat: &mut PeerHeartbeat, turns: Turns, told_first: impl Fn(&str) -> bool) {
+/// `must_include`: machines whose absence would make a difference to receivers.
+pub fn fit(heartbeat: &mut PeerHeartbeat, turns: Rotation, must_include: impl Fn(&str) -> bool) {
     if size(heartbeat) + TAG_BYTES <= FRAME_LIMIT {
         return;
     }
@@ -50,7 +50,7 @@
     let heard = std::mem::take(&mut heartbeat.recent_machines);
     let remaining_bytes = FRAME_LIMIT.saturating_sub(size(heartbeat) + TAG_BYTES);
     heartbeat.recent_machines = heard;
-    heartbeat.recent_machines.sort_by_cached_key(|recent| (!told_first(&recent.machine), recent.ago_ms));
+    heartbeat.recent_machines.sort_by_cached_key(|recent| (!must_include(&recent.machine), recent.ago_ms));
     keep_first(&mut heartbeat.recent_machines, remaining_bytes);
 }
 
--- a/src/connectivity/frame_fitting/tests.rs
+++ b/src/connectivity/frame_fitting/tests.rs
@@ -62,7 +62,7 @@
 
 fn fitted(machines: usize, heartbeats: usize) -> PeerHeartbeat {
     let mut heartbeat = largest(machines, heartbeats);
-    fit(&mut heartbeat, Turns { heartbeats, held: heartbeats / PARTS }, stray);
+    fit(&mut heartbeat, Rotation { heartbeats, held: heartbeats / PARTS }, stray);
     heartbeat
 }
 
@@ -89,7 +89,7 @@
     for machines in [ASKED, 100, 600] {
         let before = largest(machines, 3);
         let mut after = before.clone();
-        fit(&mut after, Turns { heartbeats: 3, held: 0 }, stray);
+        fit(&mut after, Rotation { heartbeats: 3, held: 0 }, stray);
         assert_eq!(encode(&Frame::PeerHeartbeat(Box::new(after))), encode(&Frame::PeerHeartbeat(Box::new(before))));
     }
 }
@@ -100,9 +100,9 @@
 fn machines_that_reach_other_controllers_are_in_every_heartbeat() {
     for machines in FLEETS {
         for heartbeats in 0..8 {
-            let told: BTreeSet<String> =
+            let included: BTreeSet<String> =
                 fitted(machines, heartbeats).recent_machines.into_iter().map(|h| h.machine).collect();
-            assert!((0..STRAYS).all(|n| told.contains(&name(n * 20))));
+            assert!((0..STRAYS).all(|n| included.contains(&name(n * 20))));
         }
     }
 }
@@ -113,12 +113,12 @@
 fn the_oldest_machines_are_left_out() {
     for machines in FLEETS {
         let heartbeat = fitted(machines, 0);
-        let told: BTreeSet<&str> = heartbeat.recent_machines.iter().map(|h| h.machine.as_str()).collect();
+        let included: BTreeSet<&str> = heartbeat.recent_machines.iter().map(|h| h.machine.as_str()).collect();
         let own = |h: &&RecentMachine| !stray(&h.machine);
-        let oldest_told = heartbeat.recent_machines.iter().filter(own).map(|h| h.ago_ms).max().unwrap();
+        let oldest_included = heartbeat.recent_machines.iter().filter(own).map(|h| h.ago_ms).max().unwrap();
         let whole = largest(machines, 0);
-        let left_out = whole.recent_machines.iter().filter(|h| !told.contains(h.machine.as_str()));
-        assert!(left_out.map(|h| h.ago_ms).min().unwrap() >= oldest_told);
+        let left_out = whole.recent_machines.iter().filter(|h| !included.contains(h.machine.as_str()));
+        assert!(left_out.map(|h| h.ago_ms).min().unwrap() >= oldest_included);
     }
 }
 
@@ -135,15 +135,15 @@
 /// Lists that receivers accumulate must cover every machine in the end.
 #[test]
 fn rotated_lists_cover_all_machines() {
-    let mut told = [const { BTreeSet::new() }; 3];
+    let mut included = [const { BTreeSet::new() }; 3];
     for heartbeats in 0..ROUND {
         let heartbeat = fitted(FLEETS[0], heartbeats);
-        told[0].extend(heartbeat.unlisted.iter().cloned());
-        told[1].extend(heartbeat.provisioned.iter().cloned());
-        told[2].extend(heartbeat.cached_images().map(|(machine, images)| {
+        included[0].extend(heartbeat.unlisted.iter().cloned());
+        included[1].extend(heartbeat.provisioned.iter().cloned());
+        included[2].extend(heartbeat.cached_images().map(|(machine, images)| {
             assert_eq!(images.len(), IMAGES);
             machine.to_string()
         }));
     }
-    assert_eq!(told.map(|names| names.len()), [FLEETS[0]; 3]);
+    assert_eq!(included.map(|names| names.len()), [FLEETS[0]; 3]);
 }
--- a/src/connectivity/heartbeat_tracking.rs
+++ b/src/connectivity/heartbeat_tracking.rs
@@ -20,7 +20,7 @@
 
 /// How a message compares with the newest one known of its machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum News {
+pub enum Freshness {
     /// Newer.
     New,
     /// Nothing was known of the machine.
@@ -44,23 +44,23 @@
 
 /// The newest message of every machine that is known here.
 #[derive(Debug, Default)]
-pub struct Hearing {
+pub struct HeartbeatTracker {
     machines: BTreeMap<String, TrackedMachine>,
 }
 
-impl Hearing {
+impl HeartbeatTracker {
     /// Records a heartbeat that was received here, and tells how new it is.
-    pub fn report(&mut self, machine: &str, at: At, now: Instant) -> News {
+    pub fn report(&mut self, machine: &str, at: At, now: Instant) -> Freshness {
         let Some(tracked) = self.machines.get_mut(machine) else {
             self.machines.insert(machine.to_string(), TrackedMachine { at, ..TrackedMachine::default() });
-            return News::First;
+            return Freshness::First;
         };
         if at <= tracked.at {
-            return News::Old;
+            return Freshness::Old;
         }
         tracked.at = at;
         tracked.heard = Some(now);
-        News::New
+        Freshness::New
     }
 
     /// The machine is proved alive: it presented our fencing token, or answered a probe.
@@ -72,13 +72,13 @@
 
     /// The machine restarted: it answered our probe with counters below those that were
     /// known when the probe was sent.
-    pub fn begins_anew(&mut self, machine: &str, at: At, now: Instant) {
+    pub fn agent_restarted(&mut self, machine: &str, at: At, now: Instant) {
         let tracked = self.machines.entry(machine.to_string()).or_default();
         *tracked = TrackedMachine { at, heard: Some(now), restarted: Some(now), probed: tracked.probed };
     }
 
     /// Another controller received this message of the machine at `when`.
-    pub fn told(&mut self, machine: &str, at: At, when: Instant) {
+    pub fn heard_elsewhere(&mut self, machine: &str, at: At, when: Instant) {
         let tracked = self.machines.entry(machine.to_string()).or_default();
         if tracked.restarted.is_none_or(|restarted| when > restarted) {
             tracked.at = tracked.at.max(at);
--- a/src/connectivity/partition_diagnosis.rs
+++ b/src/connectivity/partition_diagnosis.rs
@@ -24,7 +24,7 @@
 
 /// What the controllers observe of one machine.
 #[derive(Debug, Clone, Copy)]
-pub struct Sight {
+pub struct MachineObservation {
     /// When its owner last received a heartbeat of it, by the owner's newest heartbeat.
     pub by_owner: Option<Duration>,
     /// When the owner's newest heartbeat was sent; none where there is no reliable one.
@@ -35,7 +35,7 @@
     pub owned_since: Duration,
 }
 
-impl Sight {
+impl MachineObservation {
     /// When it reached another controller, if it was redirected to its owner then and did
     /// not reach it.
     pub fn unreached(&self) -> Option<Duration> {
@@ -58,11 +58,11 @@
 }
 
 /// Diagnoses the owner of these machines.
-pub fn of_owner(shard: &[Sight]) -> Account {
-    let unreached: Vec<Duration> = shard.iter().filter_map(Sight::unreached).collect();
+pub fn diagnose_owner(shard: &[MachineObservation]) -> Account {
+    let unreached: Vec<Duration> = shard.iter().filter_map(MachineObservation::unreached).collect();
     let Some(first) = unreached.iter().min() else { return Account::Well };
     // Only machines that reached it after the first one did not are evidence for it.
-    let reached_since = |machine: &&Sight| machine.by_owner.is_some_and(|time| time > *first);
+    let reached_since = |machine: &&MachineObservation| machine.by_owner.is_some_and(|time| time > *first);
     let reached = shard.iter().filter(|machine| machine.unreached().is_none()).filter(reached_since).count();
     let enough = unreached.len() >= MIN_EVIDENCE.min(shard.len());
     if enough && unreached.len() > reached { Account::Deaf } else { Account::SomeCutOff }
@@ -70,7 +70,7 @@
 
 /// The cause of a machine's silence.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Silence {
+pub enum SilenceCause {
     /// The machine is dead: it alone is silent, and every controller that could receive
     /// its heartbeats says that it does not.
     Dead,
@@ -102,15 +102,15 @@
 /// Diagnoses a machine that no controller received a heartbeat of: `shard` is the
 /// observer's own, `zone` the part of it in the machine's zone, `others` the other live
 /// controllers, of which those count as heard that are connected in both directions.
-pub fn of_silence(shard: Group, zone: Group, others: Group) -> Silence {
+pub fn diagnose_silence(shard: Group, zone: Group, others: Group) -> SilenceCause {
     if shard.silent() || zone.silent() {
-        Silence::Cut
+        SilenceCause::Cut
     } else if others.heard >= others.all {
-        Silence::Dead
+        SilenceCause::Dead
     } else if others.heard > 0 && others.heard * 2 >= others.all {
-        Silence::Likely
+        SilenceCause::Likely
     } else {
-        Silence::Undecided
+        SilenceCause::Undecided
     }
 }
 
--- a/src/connectivity/partition_diagnosis/tests.rs
+++ b/src/connectivity/partition_diagnosis/tests.rs
@@ -6,8 +6,13 @@
     Duration::from_secs_f64(x)
 }
 
-fn sight(by_owner: f64, says: f64, by_other: Option<f64>) -> Sight {
-    Sight { by_owner: Some(s(by_owner)), owner_says_at: Some(s(says)), by_other: by_other.map(s), owned_since: s(0.0) }
+fn sight(by_owner: f64, says: f64, by_other: Option<f64>) -> MachineObservation {
+    MachineObservation {
+        by_owner: Some(s(by_owner)),
+        owner_says_at: Some(s(says)),
+        by_other: by_other.map(s),
+        owned_since: s(0.0),
+    }
 }
 
 /// A worker that has just started contacts any controller first. That is no reason to
@@ -17,9 +22,9 @@
     assert_eq!(sight(90.0, 100.5, Some(100.0)).unreached(), None);
     assert_eq!(sight(100.3, 102.0, Some(100.0)).unreached(), None);
     assert_eq!(sight(90.0, 102.0, Some(100.0)).unreached(), Some(s(100.0)));
-    let moved = Sight { owned_since: s(99.5), ..sight(90.0, 102.0, Some(100.0)) };
+    let moved = MachineObservation { owned_since: s(99.5), ..sight(90.0, 102.0, Some(100.0)) };
     assert_eq!(moved.unreached(), None);
-    let silent = Sight { owner_says_at: None, ..sight(90.0, 102.0, Some(100.0)) };
+    let silent = MachineObservation { owner_says_at: None, ..sight(90.0, 102.0, Some(100.0)) };
     assert_eq!(silent.unreached(), None, "an owner that sends no heartbeats is not diagnosed");
 }
 
@@ -28,15 +33,15 @@
 fn an_owner_is_cut_off_if_most_of_its_shard_is() {
     let lost = sight(90.0, 104.0, Some(100.0));
     let well = |t| sight(t, 104.0, None);
-    assert_eq!(of_owner(&[well(101.0), well(95.0)]), Account::Well);
+    assert_eq!(diagnose_owner(&[well(101.0), well(95.0)]), Account::Well);
     let mut shard = vec![lost; 3];
     // Thirty whose heartbeats came before the first one was lost are no evidence.
     shard.extend(vec![well(99.0); 30]);
-    assert_eq!(of_owner(&shard), Account::Deaf);
+    assert_eq!(diagnose_owner(&shard), Account::Deaf);
     shard.extend(vec![well(102.0); 3]);
-    assert_eq!(of_owner(&shard), Account::SomeCutOff);
-    assert_eq!(of_owner(&[lost, well(99.0)]), Account::SomeCutOff, "one of two is not enough");
-    assert_eq!(of_owner(&[lost]), Account::Deaf);
+    assert_eq!(diagnose_owner(&shard), Account::SomeCutOff);
+    assert_eq!(diagnose_owner(&[lost, well(99.0)]), Account::SomeCutOff, "one of two is not enough");
+    assert_eq!(diagnose_owner(&[lost]), Account::Deaf);
 }
 
 /// Machines of a cut-off controller were returned to the cloud: they were silent, and
@@ -45,13 +50,17 @@
 fn only_a_single_silence_that_all_confirm_is_death() {
     let group = |heard, all| Group { heard, all };
     let (shard, zone) = (group(90, 100), group(40, 45));
-    assert_eq!(of_silence(shard, zone, group(2, 2)), Silence::Dead);
-    assert_eq!(of_silence(shard, zone, group(1, 2)), Silence::Likely);
-    assert_eq!(of_silence(shard, zone, group(0, 2)), Silence::Undecided);
-    assert_eq!(of_silence(shard, zone, group(2, 6)), Silence::Undecided);
-    assert_eq!(of_silence(group(40, 100), zone, group(2, 2)), Silence::Cut);
-    assert_eq!(of_silence(group(60, 100), group(5, 40), group(2, 2)), Silence::Cut);
-    assert_eq!(of_silence(group(0, 1), group(0, 1), group(2, 2)), Silence::Dead, "one machine is all there is");
+    assert_eq!(diagnose_silence(shard, zone, group(2, 2)), SilenceCause::Dead);
+    assert_eq!(diagnose_silence(shard, zone, group(1, 2)), SilenceCause::Likely);
+    assert_eq!(diagnose_silence(shard, zone, group(0, 2)), SilenceCause::Undecided);
+    assert_eq!(diagnose_silence(shard, zone, group(2, 6)), SilenceCause::Undecided);
+    assert_eq!(diagnose_silence(group(40, 100), zone, group(2, 2)), SilenceCause::Cut);
+    assert_eq!(diagnose_silence(group(60, 100), group(5, 40), group(2, 2)), SilenceCause::Cut);
+    assert_eq!(
+        diagnose_silence(group(0, 1), group(0, 1), group(2, 2)),
+        SilenceCause::Dead,
+        "one machine is all there is"
+    );
 }
 
 /// A flapping link must not have shards reassigned back and forth.
--- a/src/connectivity/peer_table.rs
+++ b/src/connectivity/peer_table.rs
@@ -237,7 +237,7 @@
 
     /// A controller in whose fresh replica we are not among the live controllers: our
     /// machines belong to others by now, or soon will.
-    pub fn expelled_by(&self, now: Duration) -> Option<&str> {
+    pub fn removed_by(&self, now: Duration) -> Option<&str> {
         let is_us = |(member, incarnation): &(String, u64)| *member == self.me && *incarnation == self.incarnation;
         let expelled = |peer: &Peer| !peer.members.is_empty() && !peer.members.iter().any(is_us);
         self.peers().find(|(member, peer)| expelled(peer) && self.both_ways(member, now)).map(|(member, _)| member)
@@ -245,7 +245,7 @@
 
     /// The revision that the replicas of all peers that sent a heartbeat `within` this
     /// time have reached, as far as they said.
-    pub fn seen_by_all(&self, now: Duration, within: Duration) -> Option<u64> {
+    pub fn min_applied_revision(&self, now: Duration, within: Duration) -> Option<u64> {
         let recent = self.peers.values().filter(|peer| now.saturating_sub(peer.at) < within);
         recent.filter_map(|peer| peer.revision).min()
     }
--- a/src/connectivity/peer_table/tests.rs
+++ b/src/connectivity/peer_table/tests.rs
@@ -105,12 +105,12 @@
         ..heartbeat(seq, Some(n), &[], Some(5))
     };
     peers.receive("a", &with(1, &[("a", 9), ("me", 1)]), s(10.1));
-    assert_eq!((peers.expelled_by(s(10.2)), peers.served(s(10.2), s(2.0))), (None, Some("a")));
+    assert_eq!((peers.removed_by(s(10.2)), peers.served(s(10.2), s(2.0))), (None, Some("a")));
     peers.receive("a", &with(2, &[]), s(10.3));
-    assert_eq!(peers.expelled_by(s(10.4)), None, "its replica is not fresh");
+    assert_eq!(peers.removed_by(s(10.4)), None, "its replica is not fresh");
     peers.receive("a", &with(3, &[("a", 9), ("me", 7)]), s(10.5));
-    assert_eq!(peers.expelled_by(s(10.6)), Some("a"), "that was another incarnation");
-    assert_eq!(peers.expelled_by(s(60.0)), None, "an old heartbeat");
+    assert_eq!(peers.removed_by(s(10.6)), Some("a"), "that was another incarnation");
+    assert_eq!(peers.removed_by(s(60.0)), None, "an old heartbeat");
 }
 
 /// The read index needs every other controller, and is the oldest time of all.
@@ -159,6 +159,6 @@
     assert_eq!(peers.attested(["a"], 40, |o| *o == revocations), Some(s(10.0)));
     assert_eq!(peers.attested(["a"], 40, |o| o.cancelled.is_empty()), None, "not applied");
     assert_eq!(peers.attested(["a"], 39, |_| true), None, "changes between 39 and 40 are unknown");
-    assert_eq!(peers.seen_by_all(s(11.0), s(18.0)), Some(47));
-    assert_eq!(peers.seen_by_all(s(40.0), s(18.0)), None, "no recent heartbeat");
+    assert_eq!(peers.min_applied_revision(s(11.0), s(18.0)), Some(47));
+    assert_eq!(peers.min_applied_revision(s(40.0), s(18.0)), None, "no recent heartbeat");
 }
--- a/src/controller/agents/commands.rs
+++ b/src/controller/agents/commands.rs
@@ -1,12 +1,12 @@
 //! Commands for agents: what shall run on a machine, and what is sent to it at once.
 
+use crate::config::Settings;
 use crate::controller::scheduler::is_partly_placed;
 use crate::controller::{Controller, Purpose};
 use crate::coordination::machine::Machine;
 use crate::effects::{CallId, NoAnswer, Reply, Target};
 use crate::protocol::encode;
 use crate::protocol::worker::{Cause, Command, CommandRequest, Heartbeat, TaskId, TaskState};
-use crate::settings::Settings;
 use crate::state::{ClusterState, Job, PlacedTasks};
 use std::collections::BTreeSet;
 
@@ -49,7 +49,7 @@
         }
         let (uid, index) = (&seen.task.job, seen.task.index);
         let lacks_result =
-            |job: &Job| !job.cancelled() && !job.is_done(index, state.chunk_size) && index < job.spec.task_count;
+            |job: &Job| !job.cancelled() && !job.is_done(index, state.checkpoint_size) && index < job.spec.task_count;
         if state.jobs.get(uid).is_some_and(lacks_result) {
             kept.entry((uid.clone(), index)).or_insert(seen.attempt);
         }
@@ -130,7 +130,7 @@
         };
         machine.push = None;
         if machine.take(&heartbeat) {
-            machine.note_sure(true);
+            machine.set_report_proven(true);
             self.agents.hearing.proved(name, machine.at, self.now);
         }
         self.reconcile(name);
--- a/src/controller/agents/heartbeats.rs
+++ b/src/controller/agents/heartbeats.rs
@@ -1,7 +1,7 @@
 //! Heartbeats of agents: who answers them, and what they change.
 
 use super::{Agents, MAX_HEARTBEAT_GAP};
-use crate::connectivity::heartbeat_tracking::News;
+use crate::connectivity::heartbeat_tracking::Freshness;
 use crate::controller::Controller;
 use crate::effects::{ConnId, Instant};
 use crate::protocol::encode;
@@ -24,7 +24,7 @@
 pub(super) struct PendingHeartbeat {
     conn: ConnId,
     heartbeat: Heartbeat,
-    news: News,
+    news: Freshness,
     /// It is refused after this time.
     until: Instant,
 }
@@ -45,7 +45,7 @@
     fn record_heartbeat(
         &mut self,
         heartbeat: &Heartbeat,
-        news: News,
+        news: Freshness,
         now: Instant,
         heartbeat_interval_s: f64,
     ) -> Result<bool, &'static str> {
@@ -55,18 +55,18 @@
         if !machine.take(heartbeat) {
             return Err(OLDER);
         }
-        if !machine.outrank() {
+        if !machine.raise_token_above_agent() {
             return Err(OUTRANKED);
         }
-        machine.note_reply(news == News::New, now);
+        machine.observe_report(news == Freshness::New, now);
         let silent = machine.heard_at.map(|at| now.saturating_sub(at).as_secs_f64() / heartbeat_interval_s);
         let wakes_scheduler = silent.is_none_or(|intervals| intervals > 1.0) || machine.answered_at.is_none();
-        if news == News::New || machine.sure {
+        if news == Freshness::New || machine.sure {
             machine.heard_at = Some(now);
             machine.unlisted = false;
             self.hearing.proved(name, machine.at, now);
         }
-        machine.note_pace(silent.is_some_and(|intervals| intervals > MAX_HEARTBEAT_GAP), is_new_epoch);
+        machine.observe_report_timing(silent.is_some_and(|intervals| intervals > MAX_HEARTBEAT_GAP), is_new_epoch);
         Ok(wakes_scheduler)
     }
 }
@@ -75,7 +75,7 @@
     /// An agent's heartbeat.
     pub(in crate::controller) fn receive_heartbeat(&mut self, conn: ConnId, heartbeat: Heartbeat) {
         let machine = self.agents.machine(&heartbeat.machine);
-        if machine.is_some_and(|machine| machine.belies(heartbeat.fencing_token)) {
+        if machine.is_some_and(|machine| machine.contradicts_token(heartbeat.fencing_token)) {
             // A copy from before its end, or it ended since.
             self.call_back(&heartbeat);
             return self.refuse(conn, UNAVAILABLE, OLDER);
@@ -107,7 +107,7 @@
 
     /// Who answers the heartbeat. A machine that nobody knows is registered, one that may
     /// have been restarted is called.
-    fn route_heartbeat(&mut self, heartbeat: &Heartbeat, news: News) -> Route {
+    fn route_heartbeat(&mut self, heartbeat: &Heartbeat, news: Freshness) -> Route {
         if let Some(peer) = self.better_connected_peer() {
             return Route::Redirect(Some(peer));
         }
@@ -121,7 +121,7 @@
         if !self.owns(machine) {
             if self.state.owned(&machine.rec) {
                 let owner = machine.rec.owner.clone();
-                if news == News::New {
+                if news == Freshness::New {
                     self.report_misdirected_machine(&heartbeat.machine);
                 }
                 return Route::Redirect(Some(owner));
@@ -135,7 +135,7 @@
         if self.state.revision < machine.rec.granted {
             return Route::Pending;
         }
-        if news == News::Old {
+        if news == Freshness::Old {
             // A copy, or a machine that ended and is back.
             self.call_back(heartbeat);
             return Route::Refuse(OLDER);
@@ -144,7 +144,7 @@
     }
 
     /// Takes in a heartbeat of a machine of ours, and answers it with commands.
-    fn accept_heartbeat(&mut self, conn: ConnId, heartbeat: &Heartbeat, news: News) {
+    fn accept_heartbeat(&mut self, conn: ConnId, heartbeat: &Heartbeat, news: Freshness) {
         self.adopt_granted_machines();
         let interval_s = self.config.settings.workers.heartbeat_interval_s;
         match self.agents.record_heartbeat(heartbeat, news, self.now, interval_s) {
@@ -159,8 +159,9 @@
             self.give_up_places(name);
         }
         self.reconcile(name);
-        let waits_out = self.agents.machine(name).is_some_and(|m| m.waits_out(self.now, expiry.lease, expiry.cancel));
-        if waits_out && self.holds_places(name) {
+        let must_await_lease_expiry =
+            self.agents.machine(name).is_some_and(|m| m.must_await_lease_expiry(self.now, expiry.lease, expiry.cancel));
+        if must_await_lease_expiry && self.holds_places(name) {
             return self.refuse(conn, UNAVAILABLE, HEARS_NOTHING);
         }
         self.respond_with_commands(conn, name);
--- a/src/controller/agents/mod.rs
+++ b/src/controller/agents/mod.rs
@@ -10,7 +10,7 @@
 mod suspicion;
 
 use super::Controller;
-use crate::connectivity::heartbeat_tracking::{At, Hearing, News};
+use crate::connectivity::heartbeat_tracking::{At, Freshness, HeartbeatTracker};
 use crate::coordination::machine::Machine;
 use crate::effects::Instant;
 use crate::protocol::store::Condition;
@@ -32,7 +32,7 @@
     /// The state of the replica's machine records that `machines` follows.
     followed_records: Option<u64>,
     /// The newest heartbeat of each machine.
-    hearing: Hearing,
+    hearing: HeartbeatTracker,
     /// Images on machines of other shards.
     images_elsewhere: HashMap<String, Images>,
     /// Silent machines that answered a call of ours, and when.
@@ -113,7 +113,7 @@
 
     /// Another controller heard the machine say this at `when`.
     pub(super) fn heard_elsewhere(&mut self, name: &str, at: At, when: Instant) {
-        self.hearing.told(name, at, when);
+        self.hearing.heard_elsewhere(name, at, when);
     }
 
     /// When the machine last spoke to this controller, of late.
@@ -164,21 +164,23 @@
         let name = &answer.machine;
         self.probed.insert(name.clone(), now);
         let at = (answer.agent_epoch, answer.heartbeat_seq);
-        let is_belied =
-            self.machines.get(name).is_some_and(|machine| at > machine.at && machine.belies(answer.fencing_token));
+        let is_belied = self
+            .machines
+            .get(name)
+            .is_some_and(|machine| at > machine.at && machine.contradicts_token(answer.fencing_token));
         if at >= known && !is_belied {
             return false;
         }
         tracing::info!(machine = %name, agent_epoch = at.0, heartbeat_seq = at.1, "agent_restarted");
-        self.hearing.begins_anew(name, at, now);
+        self.hearing.agent_restarted(name, at, now);
         let Some(machine) = self.machines.get_mut(name) else { return false };
-        machine.begin_anew(answer);
+        machine.restart_incarnation(answer);
         machine.heard_at = Some(now);
         true
     }
 
     /// Whether the heartbeat is news, as of what is known of its machine.
-    fn classify(&mut self, heartbeat: &Heartbeat, now: Instant) -> News {
+    fn classify(&mut self, heartbeat: &Heartbeat, now: Instant) -> Freshness {
         self.hearing.report(&heartbeat.machine, (heartbeat.agent_epoch, heartbeat.heartbeat_seq), now)
     }
 }
--- a/src/controller/agents/reconciliation.rs
+++ b/src/controller/agents/reconciliation.rs
@@ -9,7 +9,7 @@
 use crate::effects::Instant;
 use crate::protocol::user::JobKind;
 use crate::protocol::worker::{Cause, TaskState};
-use crate::reconciliation::difference::{Case, Shown, Stored, case};
+use crate::reconciliation::difference::{Difference, ObservedState, RecordedState, compare};
 use crate::state::{ClusterState, Job};
 use std::rc::Rc;
 use std::time::Duration;
@@ -81,16 +81,16 @@
     /// Records the task's exit, if it shows one that counts.
     fn record_exit(&mut self, seen: &ObservedTask, job: &Job) {
         let task = (seen.task.job.clone(), seen.task.index);
-        let stored = Stored::of(&self.tasks.wanted, &self.tasks.kept, &task, seen.attempt);
+        let stored = RecordedState::of(&self.tasks.wanted, &self.tasks.kept, &task, seen.attempt);
         // A gang that is placed whole comes, whoever gave up waiting for it.
         let comes = job.spec.kind == JobKind::Gang && job.placed == job.spec.task_count && !job.cancelled();
-        let is_gone = match case(stored, Shown::of(seen.state, seen.cause), comes) {
-            Case::Finished => {
+        let is_gone = match compare(stored, ObservedState::of(seen.state, seen.cause), comes) {
+            Difference::Finished => {
                 self.record_finished(seen, job);
-                job.cancelled() && stored == Stored::Ending
+                job.cancelled() && stored == RecordedState::Ending
             }
             // A copy may show what was ordered again since.
-            Case::Failed => self.machine.sure,
+            Difference::Failed => self.machine.sure,
             _ => false,
         };
         if is_gone {
@@ -100,7 +100,7 @@
 
     fn record_finished(&mut self, seen: &ObservedTask, job: &Job) {
         let (uid, index) = (&seen.task.job, seen.task.index);
-        if index >= job.spec.task_count || job.is_done(index, self.state.chunk_size) || job.cancelled() {
+        if index >= job.spec.task_count || job.is_done(index, self.state.checkpoint_size) || job.cancelled() {
             return;
         }
         // A gang completes together: the heartbeats of the others may be lost with
@@ -157,14 +157,14 @@
         let done = |uid: &str| self.state.jobs.get(uid).map_or(0, |job| job.done);
         let fails_everywhere = |uid: &str| self.scheduler.fails_everywhere(uid, done(uid));
         match self.machine.failures.verdict(fails_everywhere, |uid| done(uid) > 0) {
-            Verdict::Well => {}
-            Verdict::Open => {
+            Verdict::Healthy => {}
+            Verdict::Undecided => {
                 let pause = Duration::from_secs_f64(self.heartbeat_interval_s * UNDECIDED_PAUSE);
-                self.machine.shut_until = self.now + pause;
+                self.machine.cordoned_until = self.now + pause;
             }
             Verdict::Faulty => {
                 tracing::info!(machine = %self.name, failures = ?self.machine.failures, "machine_quarantined");
-                self.machine.shut_until = self.now + Duration::from_secs_f64(self.lease_s);
+                self.machine.cordoned_until = self.now + Duration::from_secs_f64(self.lease_s);
                 self.machine.failures.served();
             }
         }
--- a/src/controller/agents/release.rs
+++ b/src/controller/agents/release.rs
@@ -122,7 +122,7 @@
         if record.version > self.state.revision || self.transactions.is_locked(&key) || !self.may_write(1.0) {
             return;
         }
-        let op = match self.state.in_force(record).without(names) {
+        let op = match self.state.with_current_grant(record).without(names) {
             Some(rest) => Op::Put { key: key.clone(), data: records::to_value(&rest), lease: None },
             None => Op::Delete { key: key.clone() },
         };
--- a/src/controller/agents/suspicion.rs
+++ b/src/controller/agents/suspicion.rs
@@ -2,13 +2,13 @@
 //! and those that nothing is needed of any more.
 
 use super::{CONTROLLER_SWITCH_S, CUT_OFF_LEASES, MAX_HEARTBEAT_GAP};
-use crate::connectivity::partition_diagnosis::{Group, Silence, of_silence};
+use crate::connectivity::partition_diagnosis::{Group, SilenceCause, diagnose_silence};
 use crate::controller::{Controller, DRIFT};
 use crate::coordination::machine::Machine;
 use crate::effects::Instant;
 use crate::protocol::cloud::RELEASE_LIMIT;
 use crate::retry::Purpose as Retry;
-use crate::scaling::given_up_after_s;
+use crate::scaling::declared_lost_after_s;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -165,12 +165,12 @@
             return None;
         }
         let wait = match self.explain_silence(self.zone_of(name), silence) {
-            Silence::Dead => limit,
-            Silence::Likely => limit.max(limits.lease.min(limit * 2)),
-            Silence::Undecided => limit.max(limits.lease),
-            Silence::Cut => limit.max(limits.cut_off),
+            SilenceCause::Dead => limit,
+            SilenceCause::Likely => limit.max(limits.lease.min(limit * 2)),
+            SilenceCause::Undecided => limit.max(limits.lease),
+            SilenceCause::Cut => limit.max(limits.cut_off),
         };
-        let reason = if machine.hears_nothing() { ReleaseReason::HearsNothing } else { ReleaseReason::Silent };
+        let reason = if machine.answers_are_lost() { ReleaseReason::HearsNothing } else { ReleaseReason::Silent };
         (silent > wait).then_some(reason)
     }
 
@@ -179,7 +179,7 @@
         let limit = if machine.heard_at.is_some() { limits.heard } else { limits.never_heard };
         let limit = self.given_up_after(name, limit);
         // What runs on a machine that hears nothing may run on to its lease's end.
-        if machine.hears_nothing() { limit.max(limits.lease) } else { limit }
+        if machine.answers_are_lost() { limit.max(limits.lease) } else { limit }
     }
 
     /// Whether a silent machine may be held to be dead.
@@ -187,7 +187,7 @@
         if !self.startup.fleet_known() || self.connectivity.is_unhearing(&self.process.member, self.now) {
             return false;
         }
-        if !machine.hears_nothing() && self.peers_hear(name) {
+        if !machine.answers_are_lost() && self.peers_hear(name) {
             return false;
         }
         if machine.heard_at.is_some() {
@@ -198,11 +198,11 @@
             && (!self.may_be_answered_by_previous_owner(name) || machine.lapsed(self.now, limits.lease, limits.cancel))
     }
 
-    fn explain_silence(&self, zone: &str, silence: &ShardSilence) -> Silence {
+    fn explain_silence(&self, zone: &str, silence: &ShardSilence) -> SilenceCause {
         if self.connectivity.is_cut_off(zone, self.now) {
-            return Silence::Cut;
+            return SilenceCause::Cut;
         }
-        of_silence(silence.shard, silence.zones.get(zone).copied().unwrap_or_default(), silence.peers)
+        diagnose_silence(silence.shard, silence.zones.get(zone).copied().unwrap_or_default(), silence.peers)
     }
 
     /// Gives machines back, as many at once as is allowed.
@@ -233,7 +233,7 @@
         let pull_gb_per_s = machine_type.map_or(f64::INFINITY, |machine_type| machine_type.pull_gb_per_s);
         let largest_gb = load.by_image.values().map(|tasks| tasks.image_gb).fold(0.0, f64::max);
         let lease_s = self.config.settings.workers.lease_s;
-        self.secs(given_up_after_s(limit.as_secs_f64(), largest_gb / pull_gb_per_s, lease_s))
+        self.secs(declared_lost_after_s(limit.as_secs_f64(), largest_gb / pull_gb_per_s, lease_s))
     }
 
     fn peers_hear(&self, name: &str) -> bool {
@@ -252,6 +252,6 @@
 /// How long the machine has been silent. One that hears nothing is as good as silent,
 /// though its heartbeats come.
 fn silent_for(machine: &Machine, now: Instant) -> Duration {
-    let last = if machine.hears_nothing() { machine.reached_at } else { machine.heard_at };
+    let last = if machine.answers_are_lost() { machine.reached_at } else { machine.heard_at };
     now.saturating_sub(last.unwrap_or(machine.owned_since))
 }
--- a/src/controller/api.rs
+++ b/src/controller/api.rs
@@ -7,7 +7,7 @@
 use crate::protocol::store::{Condition, Op};
 use crate::protocol::user::{ErrorBody, JobKind, JobSpec, JobState, Route, Status, route, valid_uid};
 use crate::protocol::{decode, encode};
-use crate::requests::{Answer, Asked, Event, Known, Request, Stage, Written};
+use crate::requests::{Answer, Event, KnownStatus, Request, RequestKind, Stage, WriteOutcome};
 use crate::retry::Side;
 
 /// Requests of users that are under way, and what clients are told to do.
@@ -16,7 +16,7 @@
     /// Requests that were not answered yet.
     requests: Requests,
     /// Spreads the times at which refused clients come back.
-    retry_after: Returns,
+    retry_after: RetryAfter,
     /// The last answer to a health check.
     was_healthy: Option<bool>,
 }
@@ -66,7 +66,7 @@
     /// Refuses a change that may not be written now: the store is away, or writes are
     /// wanting, and then with a place in what can be written.
     fn not_now(&mut self, conn: ConnId, error: &str) {
-        if self.retry.is_open(Side::State) {
+        if self.retry.is_open(Side::Store) {
             return self.refuse(conn, 503, "the state service does not answer");
         }
         let retry_after = Some(self.api.retry_after.after(self.now, self.transactions.write_rate()));
@@ -90,7 +90,7 @@
             has_others: !self.config.others.is_empty(),
             others: recent.map(|p| p.stale.saturating_add(since(p))).collect(),
             entitled: self.entitled(),
-            store_away: self.retry.is_open(Side::State),
+            store_away: self.retry.is_open(Side::Store),
             margin,
         })
     }
@@ -111,16 +111,16 @@
         if self.transactions.is_locked(&key) {
             // Ours is under way; its user may have been told more elsewhere than that
             // it is accepted.
-            return self.ask(conn, &spec.uid, Asked::Submitted);
+            return self.ask(conn, &spec.uid, RequestKind::Submitted);
         }
         // Without the store nothing can be accepted: say so rather than wait.
         if !self.fresh() {
             return self.refuse(conn, 503, "the state service does not answer");
         }
         if self.never_runs(&spec) {
-            return self.ask(conn, &spec.uid, Asked::Impossible);
+            return self.ask(conn, &spec.uid, RequestKind::Impossible);
         }
-        if !self.may_write_as(WritePriority::Answers) {
+        if !self.may_write_as(WritePriority::Responses) {
             return self.not_now(conn, "too many submissions");
         }
         let uid = spec.uid.clone();
@@ -140,7 +140,7 @@
             ops: vec![Op::Put { key, data: records::to_value(&rec), lease: None }],
         };
         let until = self.now + self.answered_within();
-        self.api.requests.came(conn, &uid, Asked::Submitted, Stage::Writing, until);
+        self.api.requests.came(conn, &uid, RequestKind::Submitted, Stage::Writing, until);
         self.txn_within(txn, Why::Accept(uid), self.answered_within());
     }
 
@@ -178,7 +178,7 @@
         if !self.store.session.following() {
             return self.refuse(conn, 503, "not ready");
         }
-        self.ask(conn, uid, Asked::State);
+        self.ask(conn, uid, RequestKind::State);
     }
 
     /// So long a user's request is worked on.
@@ -186,7 +186,7 @@
         self.heartbeat_intervals(0.75).min(self.secs(USERS_WAIT_S * ANSWERED_WITHIN))
     }
 
-    fn ask(&mut self, conn: ConnId, uid: &str, asked: Asked) {
+    fn ask(&mut self, conn: ConnId, uid: &str, asked: RequestKind) {
         let until = self.now + self.answered_within();
         self.api.requests.came(conn, uid, asked, Stage::Queued, until);
     }
@@ -204,30 +204,30 @@
     /// Something happened that requests may wait for.
     pub(super) fn answer_requests(&mut self, event: Event) {
         let view = &self.state;
-        let told = self.api.requests.event(event, |uid| known(view, uid));
-        self.answer_and_cancel(told);
+        let answered = self.api.requests.event(event, |uid| known(view, uid));
+        self.answer_and_cancel(answered);
     }
 
     /// A write ended that was made because users asked this about the job.
-    pub(super) fn request_written(&mut self, uid: &str, asked: Asked, ended: &Ended) {
+    pub(super) fn request_written(&mut self, uid: &str, asked: RequestKind, ended: &Ended) {
         let how = match ended {
-            Ended::Done(_) => Written::Done,
-            Ended::Void { .. } => Written::Void,
-            Ended::Refused(429) => Written::Limited,
-            Ended::Refused(_) | Ended::Unknown => Written::Failed,
+            Ended::Done(_) => WriteOutcome::Done,
+            Ended::Void { .. } => WriteOutcome::Void,
+            Ended::Refused(429) => WriteOutcome::Limited,
+            Ended::Refused(_) | Ended::Unknown => WriteOutcome::Failed,
         };
         let view = &self.state;
-        let told = self.api.requests.written(uid, asked, how, |uid| known(view, uid));
-        self.answer_with(told);
-        let accepted = asked == Asked::Submitted && how == Written::Done;
+        let answered = self.api.requests.written(uid, asked, how, |uid| known(view, uid));
+        self.answer_with(answered);
+        let accepted = asked == RequestKind::Submitted && how == WriteOutcome::Done;
         if let Some(j) = self.state.jobs.get(uid).filter(|_| accepted) {
             let to: Vec<&str> = j.rec.rec.task_ranges.iter().map(|s| s.member.as_str()).collect();
             tracing::debug!(job = %uid, class = %j.spec.class, tasks = j.spec.task_count, ?to, "accepted");
         }
     }
 
-    fn answer_with(&mut self, told: Vec<(Request, Answer)>) {
-        for (r, answer) in told {
+    fn answer_with(&mut self, answered: Vec<(Request, Answer)>) {
+        for (r, answer) in answered {
             match answer {
                 Answer::Accepted => {
                     let state = JobState { uid: r.uid.into(), status: Status::Queued, done: 0, running: 0 };
@@ -245,13 +245,13 @@
 
     pub(super) fn requests_tick(&mut self) {
         let view = &self.state;
-        let told = self.api.requests.due(self.now, |uid| known(view, uid));
-        self.answer_and_cancel(told);
+        let answered = self.api.requests.due(self.now, |uid| known(view, uid));
+        self.answer_and_cancel(answered);
     }
 
     /// Answers, and takes up cancellations that may be written now.
-    fn answer_and_cancel(&mut self, told: Vec<(Request, Answer)>) {
-        self.answer_with(told);
+    fn answer_and_cancel(&mut self, answered: Vec<(Request, Answer)>) {
+        self.answer_with(answered);
         for uid in self.api.requests.cancelling() {
             self.send_cancel(&uid);
         }
@@ -268,15 +268,15 @@
         if over {
             return self.tell(conn, uid);
         }
-        if self.retry.is_open(Side::State) {
+        if self.retry.is_open(Side::Store) {
             return self.not_now(conn, "not stored");
         }
         if !self.state.jobs.contains_key(uid) {
             // Accepted elsewhere a moment ago, perhaps: a fresh read decides.
-            return self.ask(conn, uid, Asked::Cancelled);
+            return self.ask(conn, uid, RequestKind::Cancelled);
         }
         let until = self.now + self.answered_within();
-        self.api.requests.came(conn, uid, Asked::Cancelled, Stage::Writing, until);
+        self.api.requests.came(conn, uid, RequestKind::Cancelled, Stage::Writing, until);
         self.send_cancel(uid);
     }
 
@@ -285,10 +285,11 @@
         if self.transactions.is_locked(&key) {
             return; // taken up again by the next tick
         }
-        if !self.may_write_as(WritePriority::First) {
+        if !self.may_write_as(WritePriority::Critical) {
             let view = &self.state;
-            let told = self.api.requests.written(uid, Asked::Cancelled, Written::Limited, |uid| known(view, uid));
-            return self.answer_with(told);
+            let answered =
+                self.api.requests.written(uid, RequestKind::Cancelled, WriteOutcome::Limited, |uid| known(view, uid));
+            return self.answer_with(answered);
         }
         let Some(job) = self.state.jobs.get(uid) else { return };
         let rec = records::JobRecord { end: Some(Status::Cancelled), ..job.rec.rec.clone() };
@@ -301,11 +302,11 @@
 }
 
 /// What the view has of a job, for the table.
-fn known(view: &ClusterState, uid: &str) -> Known {
+fn known(view: &ClusterState, uid: &str) -> KnownStatus {
     match view.status(uid).map(|s| s.0) {
-        None => Known::Nothing,
-        Some(Status::Queued) => Known::Queued,
-        Some(Status::Running) => Known::Running,
-        Some(Status::Done | Status::Cancelled) => Known::Over,
+        None => KnownStatus::Nothing,
+        Some(Status::Queued) => KnownStatus::Queued,
+        Some(Status::Running) => KnownStatus::Running,
+        Some(Status::Done | Status::Cancelled) => KnownStatus::Over,
     }
 }
--- a/src/controller/autoscaler/demand.rs
+++ b/src/controller/autoscaler/demand.rs
@@ -144,7 +144,7 @@
             spec,
             tasks,
             spot_only: late || policy.awaits_boots,
-            zones: self.state.zones_of(job),
+            zones: self.state.tasks_by_zone(job),
             of: spec.task_count,
             spare: false,
         };
--- a/src/controller/autoscaler/scale_in.rs
+++ b/src/controller/autoscaler/scale_in.rs
@@ -248,7 +248,7 @@
     ) -> Option<([Condition; 2], Op)> {
         let key = records::machine_group_key(group);
         let p = self.state.machine_groups.get(group).filter(|_| !self.transactions.is_locked(&key))?;
-        let mut rec = self.state.in_force(p);
+        let mut rec = self.state.with_current_grant(p);
         rec.drain.retain(|m| !names.contains(m));
         if drain {
             rec.drain.extend_from_slice(names);
--- a/src/controller/capacity.rs
+++ b/src/controller/capacity.rs
@@ -5,7 +5,7 @@
 use crate::placement::MachineCapacity;
 use crate::protocol::user::{JobKind, JobSpec};
 use crate::protocol::worker::TaskState;
-use crate::state::objectives::Aims;
+use crate::state::objectives::Objectives;
 use crate::state::records::{MachineRecord, Versioned};
 use crate::state::{Images, MachineLoad};
 
@@ -25,7 +25,7 @@
 
 /// Which tasks count when capacity for the job is sought: a service goes where its image
 /// is, even if arrays must make room there.
-pub(super) fn counted_for(spec: &JobSpec, objectives: &Aims) -> Counted {
+pub(super) fn counted_for(spec: &JobSpec, objectives: &Objectives) -> Counted {
     let starts_soon = spec.kind == JobKind::Service && objectives.start_within(spec).is_some();
     if starts_soon { Counted::Lasting } else { Counted::All }
 }
@@ -99,7 +99,7 @@
         let is_ready = agent.heard_at.is_some() && silent < limit && agent.fencing_token == agent.token();
         let is_there = if everyone { silent < limit * 2 } else { is_ready };
         let is_leaving = agent.preemption_notice_s.is_some() || agent.releasing;
-        is_there && !is_leaving && agent.shut_until <= self.now
+        is_there && !is_leaving && agent.cordoned_until <= self.now
     }
 
     /// What runs there though it should not takes room as well.
--- a/src/controller/cloud.rs
+++ b/src/controller/cloud.rs
@@ -25,7 +25,7 @@
 /// The cloud's catalog and list of machines, and this controller's part of its rate limit.
 #[derive(Debug)]
 pub(super) struct CloudAccess {
-    request_rate: Account,
+    request_rate: RateLimiter,
     catalog: Vec<MachineType>,
     catalog_read_next: Instant,
     catalog_read_in_flight: bool,
@@ -87,7 +87,7 @@
     /// Nothing was read yet; `requests_per_s` is this controller's part of the limit.
     pub(super) fn new(requests_per_s: f64) -> CloudAccess {
         CloudAccess {
-            request_rate: Account::new(requests_per_s),
+            request_rate: RateLimiter::new(requests_per_s),
             catalog: Vec::new(),
             catalog_read_next: Duration::ZERO,
             catalog_read_in_flight: false,
--- a/src/controller/connectivity/heartbeats.rs
+++ b/src/controller/connectivity/heartbeats.rs
@@ -1,7 +1,7 @@
 //! Heartbeats between controllers: what is said of this one's view, and what follows
 //! from that of the others.
 
-use crate::connectivity::frame_fitting::{self, Turns};
+use crate::connectivity::frame_fitting::{self, Rotation};
 use crate::controller::Controller;
 use crate::effects::Action;
 use crate::protocol::peer::{FRAME_LIMIT, Frame, PeerHeartbeat, RecentMachine, Revocations};
@@ -38,8 +38,8 @@
         self.connectivity.heartbeats = self.connectivity.heartbeats.wrapping_add(1);
         let sent = self.connectivity.heartbeats;
         self.add_images(&mut heartbeat, sent);
-        let turns = Turns { heartbeats: sent, held: sent / HEARTBEATS_PER_ROUND };
-        frame_fitting::fit(&mut heartbeat, turns, |machine| self.must_be_told(machine));
+        let turns = Rotation { heartbeats: sent, held: sent / HEARTBEATS_PER_ROUND };
+        frame_fitting::fit(&mut heartbeat, turns, |machine| self.must_include(machine));
         for other in &self.config.others {
             let frame = Frame::PeerHeartbeat(Box::new(heartbeat.clone()));
             self.outbox.push(Action::Send { member: other.member.clone(), frame });
@@ -94,18 +94,18 @@
 
     /// Whether a heartbeat that has no room for all machines must name this one: another
     /// controller owns or hears it, or it has no task by which the others know that it is up.
-    fn must_be_told(&self, machine: &str) -> bool {
+    fn must_include(&self, machine: &str) -> bool {
         let is_own = self.owner_of(machine).is_some_and(|owner| *owner == self.process.member);
         !is_own || self.connectivity.peers.knows(machine) || !self.state.loads.contains_key(machine)
     }
 
     /// Cancellations and grants that others have not seen yet, as far as they said.
     fn revocations(&self) -> Option<Revocations> {
-        if !self.store.session.following() || !self.state.has_all_known() {
+        if !self.store.session.following() || !self.state.has_applied_all_known() {
             return None;
         }
         let recently = self.secs(self.config.settings.workers.lease_s);
-        let since = self.connectivity.peers.seen_by_all(self.now, recently).unwrap_or(self.state.revision);
+        let since = self.connectivity.peers.min_applied_revision(self.now, recently).unwrap_or(self.state.revision);
         let named = |(name, revision): (&String, u64)| (name.clone(), revision);
         let cancelled: Vec<(String, u64)> = self.state.cancelled_since(since).map(named).collect();
         let granted: Vec<(String, u64)> = self.state.granted_since(since).map(named).collect();
@@ -124,7 +124,7 @@
         let revision = self.state.revision;
         let (mut jobs, mut newest) = (0, 0);
         for (uid, cancelled_at) in revocations.cancelled.iter().filter(|(_, at)| *at > revision) {
-            if !self.state.lets_go(uid) {
+            if !self.state.must_not_run(uid) {
                 self.state.cancelled_elsewhere(uid, *cancelled_at);
                 jobs += 1;
                 newest = newest.max(*cancelled_at);
@@ -143,7 +143,7 @@
         let is_own = |machine: &str, granted_at: u64| {
             self.state.machines.get(machine).is_some_and(|known| self.owns(known) && known.rec.granted < granted_at)
         };
-        revocations.cancelled.iter().all(|(uid, at)| *at <= revision || self.state.lets_go(uid))
+        revocations.cancelled.iter().all(|(uid, at)| *at <= revision || self.state.must_not_run(uid))
             && !revocations.granted.iter().any(|(machine, at)| *at > revision && is_own(machine, *at))
     }
 
--- a/src/controller/connectivity/mod.rs
+++ b/src/controller/connectivity/mod.rs
@@ -150,7 +150,7 @@
         }
         let peers = self.connectivity.peers();
         let is_served = || peers.served(self.now, self.heartbeat_intervals(1.0)).filter(|_| !self.entitled());
-        peers.expelled_by(self.now).or_else(is_served).map(Into::into)
+        peers.removed_by(self.now).or_else(is_served).map(Into::into)
     }
 
     /// How long an agent that can reach few of the controllers may take to come
--- a/src/controller/connectivity/partitions.rs
+++ b/src/controller/connectivity/partitions.rs
@@ -2,7 +2,7 @@
 //! controllers do not hear their machines.
 
 use super::{Connectivity, Ownership};
-use crate::connectivity::partition_diagnosis::{Account, Sight, of_owner};
+use crate::connectivity::partition_diagnosis::{Account, MachineObservation, diagnose_owner};
 use crate::controller::Controller;
 use crate::effects::Instant;
 use crate::state::ClusterState;
@@ -97,10 +97,10 @@
         }
         let diagnose = |(owner, unreached): (&String, Vec<String>)| {
             let shard = self.state.machines.iter().filter(|(_, machine)| machine.rec.owner == *owner);
-            let sights: Vec<Sight> = shard
+            let sights: Vec<MachineObservation> = shard
                 .map(|(name, _)| self.observe_machine(name, owner, elsewhere.get(name.as_str()).copied()))
                 .collect();
-            OwnerDiagnosis { owner: owner.clone(), account: of_owner(&sights), unreached }
+            OwnerDiagnosis { owner: owner.clone(), account: diagnose_owner(&sights), unreached }
         };
         unreached.into_iter().map(diagnose).collect()
     }
@@ -138,7 +138,7 @@
         })
     }
 
-    fn observe_machine(&self, machine: &str, owner: &str, by_other: Option<Instant>) -> Sight {
+    fn observe_machine(&self, machine: &str, owner: &str, by_other: Option<Instant>) -> MachineObservation {
         let (by_owner, owner_says_at) = if owner == self.process.member {
             (self.agents.heard_at(machine), Some(self.now))
         } else {
@@ -146,7 +146,7 @@
             (peers.heard_at(owner, machine), peers.news(owner).map(|peer| peer.at))
         };
         let owned_since = self.connectivity.owned_since(machine).unwrap_or(self.now);
-        Sight { by_owner, owner_says_at, by_other, owned_since }
+        MachineObservation { by_owner, owner_says_at, by_other, owned_since }
     }
 
     /// Machines that reach another controller, but not their owner, and which:
--- a/src/controller/journal/compaction.rs
+++ b/src/controller/journal/compaction.rs
@@ -3,10 +3,10 @@
 use super::LogSlot;
 use crate::controller::transactions::{Transactions, Why};
 use crate::controller::{Controller, SPARE_WRITES};
-use crate::coordination::log::fitting;
+use crate::coordination::log_writer::fitting;
 use crate::protocol::encode;
 use crate::protocol::store::{Condition, Op, Txn};
-use crate::state::log_segment::RING;
+use crate::state::log_segment::LOG_SLOTS;
 use crate::state::records::TaskRangeCheckpoint;
 use crate::state::{ClusterState, Job, records};
 use std::collections::BTreeSet;
@@ -46,7 +46,7 @@
 ) -> Result<Option<Checkpoint>, NotYet> {
     let chunk = state.jobs.get(uid).and_then(|job: &Job| job.chunks.get(&range));
     let Some(chunk) = chunk.filter(|chunk| chunk.rec.as_of_revision < slot_version) else { return Ok(None) };
-    let key = records::chunk_key(uid, range);
+    let key = records::checkpoint_key(uid, range);
     let is_busy = transactions.is_locked(&key) || transactions.is_outdated(&key);
     if chunk.last > state.revision || is_busy {
         return Err(NotYet);
@@ -62,7 +62,7 @@
     /// All checkpoints that have to be stored before a segment takes the slot.
     pub(super) fn checkpoints_for_slot(&self, next: &LogSlot) -> Result<Vec<Checkpoint>, NotYet> {
         let slots = self.state.logs.get(&self.process.member).map(|log| &log.slots);
-        let Some(slot) = slots.and_then(|slots| slots.get(&(next.seq % RING))) else { return Ok(Vec::new()) };
+        let Some(slot) = slots.and_then(|slots| slots.get(&(next.seq % LOG_SLOTS))) else { return Ok(Vec::new()) };
         let mut checkpoints = Vec::new();
         for (uid, range) in &slot.touched {
             checkpoints.extend(checkpoint(&self.state, &self.transactions, uid, *range, slot.version)?);
@@ -86,9 +86,9 @@
     /// Checkpoints, `limit` at most, of the slots that are to be written over next.
     fn checkpoints_of_old_slots(&self, limit: usize) -> Vec<Checkpoint> {
         let Some(log) = self.state.logs.get(&self.process.member) else { return Vec::new() };
-        let oldest = (log.seq + 1).saturating_sub(RING);
-        let newest = log.seq.saturating_sub((RING as f64 * AHEAD) as u64);
-        let slots = (oldest..newest).filter_map(|seq| log.slots.get(&(seq % RING)).filter(|slot| slot.seq == seq));
+        let oldest = (log.seq + 1).saturating_sub(LOG_SLOTS);
+        let newest = log.seq.saturating_sub((LOG_SLOTS as f64 * AHEAD) as u64);
+        let slots = (oldest..newest).filter_map(|seq| log.slots.get(&(seq % LOG_SLOTS)).filter(|slot| slot.seq == seq));
         let mut checkpoints: Vec<Checkpoint> = Vec::new();
         let mut seen = BTreeSet::new();
         for slot in slots {
--- a/src/controller/journal/mod.rs
+++ b/src/controller/journal/mod.rs
@@ -9,13 +9,13 @@
 use super::Controller;
 use super::quota::Reservation;
 use super::transactions::{Ended, Why};
-use crate::coordination::log::{Limits, Writer, byte_shares, wide};
+use crate::config::Settings;
+use crate::coordination::log_writer::{Limits, LogWriter, byte_shares, wide};
 use crate::effects::Instant;
 use crate::placement::Start;
 use crate::protocol::store::{Condition, Op, Txn};
 use crate::protocol::user::{JobKind, JobSpec};
-use crate::settings::Settings;
-use crate::state::log_segment::{Facts, LogSegmentRecord, RING};
+use crate::state::log_segment::{Facts, LOG_SLOTS, LogSegmentRecord};
 use crate::state::{ClusterState, records};
 use compaction::Checkpoint;
 pub(super) use exits::PendingExits;
@@ -29,7 +29,7 @@
     /// Exits of tasks that are not stored yet, by job.
     exits: BTreeMap<String, PendingExits>,
     /// When the next segment goes.
-    writer: Writer,
+    writer: LogWriter,
     /// Quota that segments without an answer would take: whether they do is known once
     /// their slot is written.
     in_doubt: Vec<Reservation>,
@@ -136,7 +136,7 @@
     fn next(state: &ClusterState, member: &str) -> LogSlot {
         let log = state.logs.get(member);
         let seq = log.map_or(0, |log| log.seq) + 1;
-        let version = log.and_then(|log| log.slots.get(&(seq % RING))).map_or(0, |slot| slot.version);
+        let version = log.and_then(|log| log.slots.get(&(seq % LOG_SLOTS))).map_or(0, |slot| slot.version);
         LogSlot { seq, key: records::log_key(member, seq), version }
     }
 }
@@ -228,7 +228,7 @@
                 self.quota.settle(reservation, carried_out, self.now);
             }
         }
-        let slot_lost = self.note_outdated(txn, ended);
+        let slot_lost = self.mark_outdated_records(txn, ended);
         // If this segment took the slot, it voids those in doubt; otherwise one of them did.
         for reservation in self.journal.segment_ended(carried_out || slot_lost) {
             self.quota.settle(reservation, slot_lost, self.now);
@@ -255,7 +255,7 @@
 
     /// Remembers which records had changed, until the replica shows it; whether the
     /// log's slot was one of them.
-    pub(super) fn note_outdated(&mut self, txn: &Txn, ended: &Ended) -> bool {
+    pub(super) fn mark_outdated_records(&mut self, txn: &Txn, ended: &Ended) -> bool {
         let Ended::Void { failed, revision } = ended else { return false };
         let all = txn.conditions.iter().map(|condition| &condition.key).filter(|_| failed.is_empty());
         let mut slot_lost = false;
--- a/src/controller/journal/segment.rs
+++ b/src/controller/journal/segment.rs
@@ -2,16 +2,16 @@
 //! conditions.
 
 use super::{Journal, PendingExits, is_wide_gang};
+use crate::config::Settings;
 use crate::controller::agents::{Agents, shard_condition};
 use crate::controller::process::Process;
 use crate::controller::quota::{QuotaReservations, QuotaUse, has_limit};
 use crate::controller::transactions::Transactions;
-use crate::coordination::log::{Draft, Limits, Need};
+use crate::coordination::log_writer::{FactRequirements, Limits, SegmentBuilder};
 use crate::effects::Instant;
 use crate::placement::Start;
 use crate::protocol::store::Condition;
 use crate::protocol::user::{JobKind, JobSpec};
-use crate::settings::Settings;
 use crate::state::log_segment::bytes;
 use crate::state::records::{Placement, TeamRecord};
 use crate::state::{ClusterState, Job, Resources, records};
@@ -34,7 +34,7 @@
 /// A segment that is ready to be sent.
 #[derive(Debug)]
 pub(super) struct DraftedSegment {
-    pub(super) draft: Draft,
+    pub(super) draft: SegmentBuilder,
     /// What the starts take of their teams' limits.
     pub(super) quota: BTreeMap<String, TakenQuota>,
     /// Some facts found no room.
@@ -72,7 +72,7 @@
 /// A start that may go into the segment.
 struct PlannedStart {
     place: Placement,
-    need: Need,
+    need: FactRequirements,
 }
 
 /// The segment has no room for more.
@@ -92,7 +92,7 @@
         let mut builder = SegmentPlanner {
             inputs,
             reservations,
-            draft: Draft::new(limits),
+            draft: SegmentBuilder::new(limits),
             quota: BTreeMap::new(),
             near_limit: None,
         };
@@ -118,7 +118,7 @@
 struct SegmentPlanner<'a> {
     inputs: SegmentInputs<'a>,
     reservations: &'a mut QuotaReservations,
-    draft: Draft,
+    draft: SegmentBuilder,
     quota: BTreeMap<String, TakenQuota>,
     near_limit: Option<Condition>,
 }
@@ -141,10 +141,10 @@
 
     /// Adds that a task has finished, unless that is stored already.
     fn add_done(&mut self, uid: &str, job: &Job, index: u32) -> Result<(), Full> {
-        if job.is_done(index, self.inputs.state.chunk_size) || job.cancelled() {
+        if job.is_done(index, self.inputs.state.checkpoint_size) || job.cancelled() {
             return Ok(());
         }
-        self.take(uid, &[&Need { bytes: bytes::DONE, ..Need::default() }])?;
+        self.take(uid, &[&FactRequirements { bytes: bytes::DONE, ..FactRequirements::default() }])?;
         if let Some(facts) = self.draft.facts.get_mut(uid) {
             facts.done.insert(index);
         }
@@ -154,10 +154,10 @@
     /// Adds that an attempt is gone. What is not ours to say, or known, is dropped: it
     /// will be seen again.
     fn add_gone(&mut self, uid: &str, job: &Job, index: u32, attempt: u64) -> Result<(), Full> {
-        let place = job.place(index, self.inputs.state.chunk_size).filter(|place| place.attempt == attempt);
+        let place = job.place(index, self.inputs.state.checkpoint_size).filter(|place| place.attempt == attempt);
         let proved = place.filter(|place| self.is_proved_gone(&place.machine, uid, index, attempt));
         let Some(conditions) = proved.and_then(|place| self.grant_conditions(&place.machine)) else { return Ok(()) };
-        self.take(uid, &[&Need { conditions, machine: None, bytes: bytes::GONE }])?;
+        self.take(uid, &[&FactRequirements { conditions, machine: None, bytes: bytes::GONE }])?;
         if let Some(facts) = self.draft.facts.get_mut(uid) {
             facts.gone.insert((index, attempt));
         }
@@ -182,7 +182,7 @@
             planned.iter_mut().for_each(|start| start.need.conditions.push(quota.condition.clone()));
         }
         if as_a_whole {
-            let needs: Vec<&Need> = planned.iter().map(|start| &start.need).collect();
+            let needs: Vec<&FactRequirements> = planned.iter().map(|start| &start.need).collect();
             if !self.draft.take(uid, &needs) {
                 // A gang too large for any segment does not keep the others waiting.
                 return if self.draft.is_empty() { Ok(()) } else { Err(Full) };
@@ -206,7 +206,7 @@
     /// The starts that are still possible, and what each needs in the segment; none if
     /// one of those that go as a whole is not.
     fn planned_starts(&self, uid: &str, job: &Job, starts: &[Start], as_a_whole: bool) -> Option<Vec<PlannedStart>> {
-        let size = self.inputs.state.chunk_size;
+        let size = self.inputs.state.checkpoint_size;
         let attempt = next_attempt(job);
         let mut planned = Vec::new();
         for start in starts {
@@ -219,7 +219,7 @@
             };
             conditions.push((records::job_key(uid), job.rec.version));
             let place = Placement { index: start.index, machine: start.machine.clone(), attempt };
-            let need = Need { conditions, machine: Some(start.machine.clone()), bytes: bytes::START };
+            let need = FactRequirements { conditions, machine: Some(start.machine.clone()), bytes: bytes::START };
             planned.push(PlannedStart { place, need });
         }
         Some(planned)
@@ -323,7 +323,7 @@
         agent.is_under(record.rec.term, record.rec.epoch) && agent.gone.contains(&(uid.to_string(), index, attempt))
     }
 
-    fn take(&mut self, uid: &str, needs: &[&Need]) -> Result<(), Full> {
+    fn take(&mut self, uid: &str, needs: &[&FactRequirements]) -> Result<(), Full> {
         if self.draft.take(uid, needs) { Ok(()) } else { Err(Full) }
     }
 
--- a/src/controller/maintenance.rs
+++ b/src/controller/maintenance.rs
@@ -256,7 +256,7 @@
         image: bool,
     ) -> bool {
         let zone = self.state.machines.get(machine).map(|h| h.rec.zone.as_str());
-        let mut zones = self.state.zones_of(j);
+        let mut zones = self.state.tasks_by_zone(j);
         if let Some(n) = zone.and_then(|s| zones.get_mut(s)) {
             *n -= 1;
         }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -24,10 +24,11 @@
 mod task_ranges;
 mod transactions;
 
+use crate::config::Settings;
 use crate::connectivity::peer_table::PeerTable;
-use crate::coordination::account::{Account, Charge, WritePriority};
-use crate::coordination::session::Session;
-use crate::coordination::writes::Writes as OpenWrites;
+use crate::coordination::in_flight_writes::InFlightWrites;
+use crate::coordination::rate_limiter::{Charge, RateLimiter, WritePriority};
+use crate::coordination::store_session::StoreSession;
 use crate::effects::{Action, CallId, ConnId, Event, Instant, NoAnswer, Reply, Target};
 use crate::protocol::cloud::{ListedMachine, MachineType};
 use crate::protocol::peer::Frame;
@@ -35,10 +36,9 @@
 use crate::protocol::worker::Heartbeat;
 use crate::reconciliation::phase::Start;
 use crate::requests::{Event as RequestEvent, Requests};
-use crate::retry::{Outcome, Purpose as Retry, Retries, Returns, Side};
-use crate::settings::Settings;
+use crate::retry::{Outcome, Purpose as Retry, RetryAfter, RetryPolicy, Side};
 use crate::state::ClusterState;
-use crate::state::objectives::Aims;
+use crate::state::objectives::Objectives;
 use crate::state::records::{self, Versioned};
 use agents::Agents;
 use api::Api;
@@ -69,7 +69,7 @@
     vec![
         (Retry::Lease, gap * 2),
         (Retry::Renew, ttl / 16),
-        (Retry::Load, gap),
+        (Retry::Scan, gap),
         (Retry::Watch, gap * 2),
         (Retry::Barrier, gap * 2),
         (Retry::Write, report / 10),
@@ -92,7 +92,7 @@
     process: Process,
     now: Instant,
     outbox: Outbox,
-    retry: Retries,
+    retry: RetryPolicy,
     state: ClusterState,
     store: StoreAccess,
     transactions: Transactions,
@@ -122,14 +122,17 @@
         let gap = Duration::from_secs_f64(n / (p.state.rps * 0.25));
         let ttl = Duration::from_secs_f64((p.workers.heartbeat_interval_s * 2.0).min(p.workers.lease_s / 3.0));
         let heartbeat_interval = Self::heartbeat_interval(Duration::from_secs_f64(p.workers.heartbeat_interval_s));
-        let chunk = records::chunk_size(p.state.value_kb, p.state.write_rps / n);
+        let chunk = records::checkpoint_size(p.state.value_kb, p.state.write_rps / n);
         Controller {
             process: Process::new(set.member.clone(), incarnation >> 1, wall),
             now: Duration::ZERO,
             outbox: Outbox::new(),
-            retry: Retries::new(incarnation, pauses(&set, ttl, gap)),
+            retry: RetryPolicy::new(incarnation, pauses(&set, ttl, gap)),
             state: ClusterState::new(chunk),
-            store: StoreAccess::new(Session::new(ttl, gap, p.state.rps * LOAD_BURST / n), ClusterState::new(chunk)),
+            store: StoreAccess::new(
+                StoreSession::new(ttl, gap, p.state.rps * LOAD_BURST / n),
+                ClusterState::new(chunk),
+            ),
             transactions: Transactions::new(p.state.write_rps / n * WRITE_SHARE),
             startup: Start::new(
                 Duration::from_secs_f64(p.workers.lease_s),
@@ -148,7 +151,7 @@
             autoscaler: Autoscaler::default(),
             releases: Releases::new(),
             maintenance: Maintenance::default(),
-            service_levels: ServiceLevels::new(Aims::new(p.objectives.clone())),
+            service_levels: ServiceLevels::new(Objectives::new(p.objectives.clone())),
             api: Api::default(),
             config: set,
         }
@@ -261,7 +264,7 @@
         let limit = self.secs((w.cancel_s - w.lease_s - margin) / DRIFT);
         let known = |at: Instant| self.now.saturating_sub(at) < limit;
         // A view read anew may lack what was told by the one before.
-        let whole = self.store.session.following() && self.state.has_all_known();
+        let whole = self.store.session.following() && self.state.has_applied_all_known();
         whole && (self.store.session.fresh_at.is_some_and(known) || self.surely_fresh_at().is_some_and(known))
     }
 
@@ -291,9 +294,9 @@
 
     fn answer(&mut self, id: CallId, purpose: Purpose, result: Result<Reply, NoAnswer>) {
         if let Some(retry) = purpose.retry() {
-            let was_away = self.retry.is_open(Side::State);
+            let was_away = self.retry.is_open(Side::Store);
             self.retry.ended(retry, outcome(retry, &result), self.now);
-            if was_away && !self.retry.is_open(Side::State) {
+            if was_away && !self.retry.is_open(Side::Store) {
                 self.transactions.store_recovered(self.now);
             }
         }
--- a/src/controller/outbox.rs
+++ b/src/controller/outbox.rs
@@ -47,7 +47,7 @@
         Some(match self {
             Purpose::Lease => Retry::Lease,
             Purpose::Renew => Retry::Renew,
-            Purpose::Scan => Retry::Load,
+            Purpose::Scan => Retry::Scan,
             Purpose::Watch => Retry::Watch,
             Purpose::Barrier => Retry::Barrier,
             Purpose::Catalog => Retry::Catalog,
--- a/src/controller/quota.rs
+++ b/src/controller/quota.rs
@@ -2,12 +2,12 @@
 
 use super::Controller;
 use super::transactions::Why;
-use crate::coordination::account::WritePriority;
-use crate::coordination::parts::{Limit, Parts};
+use crate::config::Team;
+use crate::coordination::quota_reservation::{Limit, QuotaReservation};
+use crate::coordination::rate_limiter::WritePriority;
 use crate::effects::Instant;
 use crate::protocol::store::{Condition, Op, Txn};
 use crate::protocol::user::JobSpec;
-use crate::settings::Team;
 use crate::state::{ClusterState, Resources, records};
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,7 +15,7 @@
 /// What this controller took of each team's limit without changing the team's record.
 #[derive(Debug, Default)]
 pub(super) struct QuotaReservations {
-    by_team: BTreeMap<String, Parts>,
+    by_team: BTreeMap<String, QuotaReservation>,
 }
 
 /// A part of a team's limit that the starts of one log segment take.
@@ -76,7 +76,7 @@
     pub(super) fn records_changed(&mut self, txn: &Txn) {
         for op in &txn.ops {
             if let Op::Put { key, .. } = op
-                && let Some(team) = key.strip_prefix(records::TEAMS)
+                && let Some(team) = key.strip_prefix(records::TEAMS_PREFIX)
                 && let Some(reserved) = self.by_team.get_mut(team)
             {
                 reserved.record_changed();
@@ -138,7 +138,7 @@
     /// From here on every start of the team changes its record. The replica that
     /// shows this change shows all starts that did not.
     pub(super) fn make_quota_strict(&mut self, condition: Condition) {
-        if self.transactions.is_locked(&condition.key) || !self.may_write_as(WritePriority::First) {
+        if self.transactions.is_locked(&condition.key) || !self.may_write_as(WritePriority::Critical) {
             return;
         }
         let rec = records::TeamRecord { strict: true, count: self.outbox.next_call_id() };
--- a/src/controller/registration.rs
+++ b/src/controller/registration.rs
@@ -71,7 +71,7 @@
         {
             return;
         }
-        if !self.may_write_as(WritePriority::First) {
+        if !self.may_write_as(WritePriority::Critical) {
             return;
         }
         let Some((offer, mut names)) = self.autoscaler.pop_unrecorded() else { return };
--- a/src/controller/scheduler/gangs.rs
+++ b/src/controller/scheduler/gangs.rs
@@ -3,11 +3,11 @@
 
 use super::Scheduler;
 use super::round::SchedulingRound;
+use crate::config::Settings;
 use crate::controller::agents::MAX_HEARTBEAT_GAP;
 use crate::controller::journal::is_wide_gang;
 use crate::coordination::machine::Machine;
 use crate::effects::Instant;
-use crate::settings::Settings;
 use crate::state::Job;
 use crate::state::records::Placement;
 use std::time::Duration;
--- a/src/controller/scheduler/mod.rs
+++ b/src/controller/scheduler/mod.rs
@@ -14,7 +14,7 @@
 use crate::placement::knapsack::Knapsack;
 use crate::protocol::store::Op;
 use crate::protocol::user::Status;
-use crate::state::objectives::Aims;
+use crate::state::objectives::Objectives;
 use crate::state::{ClusterState, Job, records};
 pub(super) use gangs::is_partly_placed;
 use queue::JobQueue;
@@ -173,7 +173,7 @@
 }
 
 /// Whether the job can still meet its objective, if its tasks started now.
-pub(super) fn can_meet_deadline(job: &Job, objectives: &Aims, wall_ms: u64) -> bool {
+pub(super) fn can_meet_deadline(job: &Job, objectives: &Objectives, wall_ms: u64) -> bool {
     let age_s = age_s(job, wall_ms);
     let run_s = job.spec.estimated_run_s * OPTIMISTIC_RUN_SHARE;
     objectives.end_from(&job.spec, age_s, run_s).is_none_or(|deadline_s| deadline_s - age_s >= run_s)
--- a/src/controller/scheduler/preemption.rs
+++ b/src/controller/scheduler/preemption.rs
@@ -144,7 +144,7 @@
 /// Number of the job's tasks that this controller has to place and that have no place;
 /// finished ones count as well.
 fn own_unplaced_tasks(round: &SchedulingRound, job: &Job) -> u32 {
-    let has_no_place = |index: &u32| job.place(*index, round.state.chunk_size).is_none();
+    let has_no_place = |index: &u32| job.place(*index, round.state.checkpoint_size).is_none();
     let own_ranges = job.rec.rec.task_ranges.iter().filter(|range| range.member == round.member);
     own_ranges.map(|range| (range.from..=range.to).filter(has_no_place).count() as u32).sum()
 }
@@ -199,7 +199,7 @@
 
 /// Tasks of the job by zone, with those that start in this round.
 fn zones_with_starts(round: &SchedulingRound, entry: &UnplacedJob, starts: &[Start]) -> BTreeMap<String, u32> {
-    let mut zones = round.state.zones_of(entry.job);
+    let mut zones = round.state.tasks_by_zone(entry.job);
     for start in starts.iter().filter(|start| start.uid == *entry.uid) {
         if let Some(machine) = round.state.machines.get(&start.machine) {
             *zones.entry(machine.rec.zone.clone()).or_default() += 1;
--- a/src/controller/scheduler/queue.rs
+++ b/src/controller/scheduler/queue.rs
@@ -1,6 +1,6 @@
 //! The jobs with tasks to place: how long each has waited, and how its tasks have failed.
 
-use crate::coordination::fault_attribution::Tried;
+use crate::coordination::fault_attribution::AttemptHistory;
 use crate::effects::Instant;
 use crate::protocol::user::JobKind;
 use crate::state::{ClusterState, Job};
@@ -26,7 +26,7 @@
     /// continues where that of the previous process ended.
     waited_before: Duration,
     failures: u32,
-    failed_on: Tried,
+    failed_on: AttemptHistory,
     /// No task is started before this time.
     not_before: Instant,
     /// Of a gang wider than a log segment: since when only some of its places are stored.
--- a/src/controller/scheduler/round.rs
+++ b/src/controller/scheduler/round.rs
@@ -1,6 +1,7 @@
 //! What a scheduling round reads of the other components.
 
 use super::age_s;
+use crate::config::Settings;
 use crate::controller::agents::Agents;
 use crate::controller::capacity::{Counted, counted_for};
 use crate::controller::journal::Journal;
@@ -8,8 +9,7 @@
 use crate::effects::Instant;
 use crate::protocol::cloud::MachineType;
 use crate::protocol::user::{JobKind, JobSpec};
-use crate::settings::Settings;
-use crate::state::objectives::Aims;
+use crate::state::objectives::Objectives;
 use crate::state::{ClusterState, Job, records};
 use std::time::Duration;
 
@@ -26,7 +26,7 @@
     pub(super) transactions: &'a Transactions,
     pub(super) journal: &'a Journal,
     pub(super) agents: &'a Agents,
-    pub(super) objectives: &'a Aims,
+    pub(super) objectives: &'a Objectives,
     pub(super) machine_types: &'a [MachineType],
 }
 
--- a/src/controller/scheduler/starts.rs
+++ b/src/controller/scheduler/starts.rs
@@ -60,7 +60,7 @@
         Some(Waiting {
             spec,
             waited_s,
-            zones: round.state.zones_of(job),
+            zones: round.state.tasks_by_zone(job),
             slack_s: deadline_s.map_or(f64::INFINITY, |d| d - age_s - run_s),
             work: f64::from(spec.task_count - job.done) * spec.cores * spec.estimated_run_s,
             start_within_s: round.objectives.start_within(spec),
@@ -73,7 +73,7 @@
 
     /// Tasks of the job that this controller may start, before quota.
     fn startable_tasks(&self, round: &SchedulingRound, uid: &str, job: &Job, queued: &QueuedJob) -> Vec<u32> {
-        let waiting = job.waiting(round.state.chunk_size);
+        let waiting = job.waiting(round.state.checkpoint_size);
         let all_wait = waiting.len() as u32 == job.spec.task_count;
         if job.spec.kind == JobKind::Gang && !all_wait && !self.gang_is_assembling(round, job) {
             return Vec::new();
--- a/src/controller/scheduler/write_order.rs
+++ b/src/controller/scheduler/write_order.rs
@@ -3,7 +3,7 @@
 use super::Scheduler;
 use super::round::SchedulingRound;
 use crate::controller::journal::PendingExits;
-use crate::coordination::account::WritePriority;
+use crate::coordination::rate_limiter::WritePriority;
 use crate::placement::Start;
 use crate::state::Job;
 use std::collections::{BTreeMap, BTreeSet};
--- a/src/controller/service_levels.rs
+++ b/src/controller/service_levels.rs
@@ -3,13 +3,13 @@
 use super::*;
 use crate::protocol::user::JobSpec;
 use crate::state::Job;
-use crate::state::service_levels::{HALF, Served, ServiceTally};
+use crate::state::service_levels::{HARDLY_SERVED_SHARE, Served, ServiceTally};
 
 /// Ends and missed objectives as this process saw them.
 #[derive(Debug)]
 pub(super) struct ServiceLevels {
     /// The objectives of the settings, and how well they are met of late.
-    pub(super) objectives: Aims,
+    pub(super) objectives: Objectives,
     /// Shares served, by class, team and the largest jobs.
     served: Served,
     /// When the first machine was seen, by the time of day.
@@ -35,7 +35,7 @@
 
 impl ServiceLevels {
     /// No job has ended yet.
-    pub(super) fn new(objectives: Aims) -> ServiceLevels {
+    pub(super) fn new(objectives: Objectives) -> ServiceLevels {
         ServiceLevels {
             objectives,
             served: Served::default(),
@@ -141,7 +141,7 @@
         for (who, t) in self.service_levels.served.tallies(self.state.jobs.values(), self.wall_ms()) {
             let ServiceTally { judged, in_time, live, untouched, waits_s, replicas, placed } = t;
             tracing::debug!(?who, judged, in_time, live, untouched, waits_s, replicas, placed, "served");
-            if let Some(share) = t.least_share().filter(|s| *s < HALF) {
+            if let Some(share) = t.least_share().filter(|s| *s < HARDLY_SERVED_SHARE) {
                 tracing::warn!(
                     ?who,
                     share,
--- a/src/controller/sharding.rs
+++ b/src/controller/sharding.rs
@@ -2,7 +2,7 @@
 //! together, those that nobody hears moved.
 
 use super::*;
-use crate::coordination::log::fitting;
+use crate::coordination::log_writer::fitting;
 use crate::coordination::shards::{self, wanted_moves};
 use crate::protocol::encode;
 use crate::protocol::store::{Condition, Op};
@@ -45,7 +45,7 @@
     pub(super) fn grant_shards(&mut self) {
         for member in self.state.restarted() {
             let key = records::shard_grant_key(&member);
-            if self.transactions.is_locked(&key) || !self.may_write_as(WritePriority::First) {
+            if self.transactions.is_locked(&key) || !self.may_write_as(WritePriority::Critical) {
                 continue;
             }
             let Some(m) = self.state.members.get(&member) else { continue };
@@ -77,7 +77,7 @@
         let mut moves = wanted_moves(&self.state, &deaf, &unreached, ops);
         let first = !moves.is_empty();
         if moves.is_empty() && level && now >= self.sharding.rebalance_after_gang {
-            moves.extend(shards::level(&self.state, &deaf, |machine, to| self.reaches(machine, to)));
+            moves.extend(shards::rebalance(&self.state, &deaf, |machine, to| self.reaches(machine, to)));
         }
         if moves.is_empty() && level {
             moves = self.gather_moves();
@@ -87,7 +87,7 @@
                 self.sharding.rebalance_after_gang = now + self.heartbeat_intervals(GATHERED_REPORTS);
             }
         }
-        let may = if first { self.may_write_as(WritePriority::First) } else { self.may_write(moves.len() as f64) };
+        let may = if first { self.may_write_as(WritePriority::Critical) } else { self.may_write(moves.len() as f64) };
         if moves.is_empty() || !may {
             return;
         }
@@ -148,7 +148,7 @@
         }
         gangs.sort_by_key(|j| j.rec.rec.at_ms);
         let capacities = self.capacities(true);
-        let found = gangs.into_iter().map(|j| shards::gather(&self.state, &capacities, &j.spec));
+        let found = gangs.into_iter().map(|j| shards::gather_for_gang(&self.state, &capacities, &j.spec));
         found.into_iter().find(|moves| !moves.is_empty()).unwrap_or_default()
     }
 }
--- a/src/controller/startup.rs
+++ b/src/controller/startup.rs
@@ -3,7 +3,7 @@
 
 use super::*;
 use crate::protocol::cloud::Phase as Listing;
-use crate::reconciliation::difference::{Shown, Stored, case};
+use crate::reconciliation::difference::{ObservedState, RecordedState, compare};
 use crate::reconciliation::phase::{Facts, Heard, Phase};
 use crate::state::PlacedTasks;
 
@@ -80,12 +80,12 @@
         let cases = &mut self.startup.cases;
         for s in &m.tasks {
             let key = (s.task.job.clone(), s.task.index);
-            let stored = Stored::of(wanted, kept, &key, s.attempt);
-            *cases.entry(case(stored, Shown::of(s.state, s.cause), true)).or_default() += 1;
+            let stored = RecordedState::of(wanted, kept, &key, s.attempt);
+            *cases.entry(compare(stored, ObservedState::of(s.state, s.cause), true)).or_default() += 1;
         }
         for ((job, index), attempt) in wanted {
             if m.find(job, *index, *attempt).is_none() {
-                *cases.entry(case(Stored::Wanted, Shown::Absent, false)).or_default() += 1;
+                *cases.entry(compare(RecordedState::Wanted, ObservedState::Absent, false)).or_default() += 1;
             }
         }
     }
--- a/src/controller/store_sync.rs
+++ b/src/controller/store_sync.rs
@@ -2,7 +2,7 @@
 //! read barriers that prove the replica fresh.
 
 use super::*;
-use crate::coordination::session::Load;
+use crate::coordination::store_session::SyncState;
 use crate::protocol::decode;
 use crate::protocol::store::{Condition, Lease, LeaseRequest, Op, Rows, TxnResponse, WatchResponse};
 
@@ -10,7 +10,7 @@
 #[derive(Debug)]
 pub(super) struct StoreAccess {
     /// Lease, watch, snapshot read and read barrier.
-    pub(super) session: Session,
+    pub(super) session: StoreSession,
     /// The replica that is read page by page, until it takes the place of the current one.
     snapshot: ClusterState,
 }
@@ -26,7 +26,7 @@
 
 impl StoreAccess {
     /// A session that has not begun, and an empty replica to read into.
-    pub(super) fn new(session: Session, snapshot: ClusterState) -> StoreAccess {
+    pub(super) fn new(session: StoreSession, snapshot: ClusterState) -> StoreAccess {
         StoreAccess { session, snapshot }
     }
 
@@ -42,18 +42,18 @@
 
     /// Whether a call about the lease is to go now.
     fn lease_call_due(&self, now: Instant) -> bool {
-        !self.session.lease_busy && now >= self.session.lease_next
+        !self.session.lease_call_in_flight && now >= self.session.lease_renewal_at
     }
 
     /// A call about the lease goes out.
     fn begin_lease_call(&mut self, now: Instant) {
-        self.session.lease_busy = true;
-        self.session.lease_next = now + self.session.ttl / RENEWALS_PER_LEASE;
+        self.session.lease_call_in_flight = true;
+        self.session.lease_renewal_at = now + self.session.ttl / RENEWALS_PER_LEASE;
     }
 
     /// The request for a lease has ended; true where there is one now.
     fn end_lease_request(&mut self, now: Instant, result: Result<Reply, NoAnswer>) -> bool {
-        self.session.lease_busy = false;
+        self.session.lease_call_in_flight = false;
         match result.ok().filter(|reply| reply.status == 200).and_then(|reply| decode::<Lease>(&reply.body).ok()) {
             Some(lease) => {
                 self.session.lease = Some(lease.id);
@@ -61,7 +61,7 @@
                 true
             }
             None => {
-                self.session.lease_next = now;
+                self.session.lease_renewal_at = now;
                 false
             }
         }
@@ -69,14 +69,14 @@
 
     /// The renewal of the lease has ended.
     fn end_renewal(&mut self, now: Instant, result: &Result<Reply, NoAnswer>) {
-        self.session.lease_busy = false;
+        self.session.lease_call_in_flight = false;
         let status = result.as_ref().ok().map(|reply| reply.status);
         if status.is_some() {
             // A refusal is an answer: it was not carried out.
             self.session.lease_from = now;
         }
         if status != Some(200) {
-            self.session.lease_next = now; // as soon as the retry policy allows
+            self.session.lease_renewal_at = now; // as soon as the retry policy allows
         }
         if status == Some(404) {
             tracing::info!("lease_lost");
@@ -86,42 +86,42 @@
 
     /// Whether the next page of the snapshot may be read now.
     fn page_due(&self, now: Instant) -> bool {
-        !self.session.scan_busy && now >= self.session.load_not_before && self.session.scan_pace.may(now)
+        !self.session.scan_in_flight && now >= self.session.scan_not_before && self.session.scan_bucket.may(now)
     }
 
     /// The read of a page goes out.
     fn begin_page(&mut self, now: Instant) {
-        self.session.scan_busy = true;
-        self.session.scan_pace.take(now);
+        self.session.scan_in_flight = true;
+        self.session.scan_bucket.take(now);
     }
 
     /// Whether the next changes may be asked for now.
     fn watch_due(&self, now: Instant) -> bool {
-        !self.session.watch_busy && self.session.watch_pace.may(now)
+        !self.session.watch_in_flight && self.session.watch_bucket.may(now)
     }
 
     /// The watch goes out.
     fn begin_watch(&mut self, now: Instant) {
-        self.session.watch_busy = true;
-        self.session.watch_pace.take(now);
+        self.session.watch_in_flight = true;
+        self.session.watch_bucket.take(now);
     }
 
     /// Whether a read barrier may go out now.
     fn barrier_may_go(&self, now: Instant) -> bool {
-        !self.session.barrier_busy && self.session.barrier_pace.may(now)
+        !self.session.barrier_in_flight && self.session.barrier_bucket.may(now)
     }
 
     /// A read barrier goes out.
     fn begin_barrier(&mut self, now: Instant) {
-        self.session.barrier_busy = true;
-        self.session.barrier_pace.take(now);
-        self.session.barrier_sent = now;
+        self.session.barrier_in_flight = true;
+        self.session.barrier_bucket.take(now);
+        self.session.barrier_sent_at = now;
     }
 
     /// The store was at `revision` after the barrier was sent: once the replica has
     /// come as far, it is as fresh as that.
     fn pass_barrier(&mut self, revision: u64, replica: u64) {
-        self.session.barriers.push((revision, self.session.barrier_sent));
+        self.session.barriers.push((revision, self.session.barrier_sent_at));
         self.session.reached(replica);
     }
 }
@@ -132,8 +132,8 @@
         self.store.drop_unrenewed_lease(self.now);
         self.renew_lease();
         match self.store.session.load {
-            Load::Reading => self.read_next_page(),
-            Load::Following => self.follow_store(),
+            SyncState::Reading => self.read_next_page(),
+            SyncState::Following => self.follow_store(),
         }
     }
 
@@ -167,11 +167,11 @@
 
     /// Reads the next page of the stored state.
     fn read_next_page(&mut self) {
-        if !self.store.page_due(self.now) || !self.retry.may(Retry::Load, self.now) {
+        if !self.store.page_due(self.now) || !self.retry.may(Retry::Scan, self.now) {
             return;
         }
         self.store.begin_page(self.now);
-        let path = store::scan_path(records::PREFIX, &self.store.session.scan_after);
+        let path = store::scan_path(records::PREFIX, &self.store.session.scan_cursor);
         self.call(Target::State, "GET", path, None, self.store.session.ttl, Purpose::Scan);
     }
 
@@ -241,7 +241,7 @@
     }
 
     fn page_answer(&mut self, result: Result<Reply, NoAnswer>) {
-        self.store.session.scan_busy = false;
+        self.store.session.scan_in_flight = false;
         if let Ok(reply) = result
             && reply.status == 200
             && let Ok(rows) = decode::<Rows>(&reply.body)
@@ -251,7 +251,7 @@
     }
 
     fn watch_answer(&mut self, result: Result<Reply, NoAnswer>) {
-        self.store.session.watch_busy = false;
+        self.store.session.watch_in_flight = false;
         match result {
             Ok(reply) if reply.status == 200 => match decode::<WatchResponse>(&reply.body) {
                 Ok(changes) => self.watched(changes),
@@ -265,7 +265,7 @@
     /// The key of the barrier never exists: the answer that counts is that it is absent,
     /// and as of which revision.
     fn barrier_answer(&mut self, result: &Result<Reply, NoAnswer>) {
-        self.store.session.barrier_busy = false;
+        self.store.session.barrier_in_flight = false;
         let absent = result.as_ref().ok().filter(|reply| reply.status == 404);
         let revision = absent.and_then(|reply| decode::<TxnResponse>(&reply.body).ok()).map(|answer| answer.revision);
         self.answer_requests(revision.map_or(RequestEvent::ReadFailed, RequestEvent::Read));
@@ -278,12 +278,12 @@
     fn reload(&mut self) {
         tracing::info!("watch_fell_behind");
         self.transactions.observe_gap();
-        self.store.session.restart_load(self.now);
+        self.store.session.restart_scan(self.now);
     }
 
     fn scanned(&mut self, rows: Rows) {
         if self.store.session.scan_revision.is_none() {
-            self.store.snapshot = ClusterState::loading(self.state.chunk_size, rows.revision);
+            self.store.snapshot = ClusterState::loading(self.state.checkpoint_size, rows.revision);
             self.store.session.scan_revision = Some(rows.revision);
         }
         for row in &rows.rows {
@@ -293,7 +293,7 @@
         if let Some(last) = rows.rows.last()
             && rows.truncated
         {
-            self.store.session.scan_after = last.key.clone();
+            self.store.session.scan_cursor = last.key.clone();
             return self.read_next_page();
         }
         // Changes during the paging come again from the watch.
@@ -305,13 +305,13 @@
                 known = records::FORMAT_VERSION,
                 "the stored state is of a later form than this program knows; nothing is started"
             );
-            self.store.session.restart_load(self.now + self.secs(self.config.settings.workers.lease_s));
+            self.store.session.restart_scan(self.now + self.secs(self.config.settings.workers.lease_s));
             return;
         }
         view.follows(&self.state);
         self.state = view;
         self.agents.forget_followed_records();
-        self.store.session.load = Load::Following;
+        self.store.session.load = SyncState::Following;
         self.startup.loaded(self.now);
         if let Some(c) = self.state.catalog.as_ref().filter(|_| self.cloud.catalog().is_empty()) {
             // Until the cloud answers; it is asked all the same.
--- a/src/controller/task_ranges.rs
+++ b/src/controller/task_ranges.rs
@@ -44,7 +44,7 @@
             let may = match () {
                 _ if !ready => false,
                 _ if cancelled => self.may_write(1.0 + self.transactions.write_rate() * SPARE_WRITES),
-                _ => self.may_write_as(WritePriority::Answers),
+                _ => self.may_write_as(WritePriority::Responses),
             };
             let Some(j) = self.state.jobs.get(&uid).filter(|_| may) else {
                 self.journal.end_jobs([uid]);
@@ -57,7 +57,7 @@
             };
             let stored = j.chunks.iter().filter(|(_, c)| c.version > 0);
             let most = self.config.settings.state.txn_ops - 1;
-            txn.ops.extend(stored.map(|(n, _)| Op::Delete { key: records::chunk_key(&uid, *n) }).take(most));
+            txn.ops.extend(stored.map(|(n, _)| Op::Delete { key: records::checkpoint_key(&uid, *n) }).take(most));
             self.txn(txn, Why::Close);
         }
     }
@@ -65,7 +65,7 @@
     /// Leases waiting tasks anew whose holder is gone, or has no room while
     /// another block has.
     pub(super) fn reassign_tasks(&mut self) {
-        let size = self.state.chunk_size;
+        let size = self.state.checkpoint_size;
         let seen = [Counted::All, Counted::Lasting].map(|c| self.capacities_counting(true, c));
         let mut ahead: BTreeMap<(bool, Priority), BTreeMap<String, f64>> = BTreeMap::new();
         let members: Vec<String> = self.state.members.keys().cloned().collect();
@@ -96,9 +96,9 @@
                     *q = (*q - cores).max(0.0);
                 }
             }
-            let zones = self.state.zones_of(j);
+            let zones = self.state.tasks_by_zone(j);
             let alike = BTreeMap::new();
-            let shards = shards::Shards {
+            let shards = shards::AssignmentInputs {
                 members: &members,
                 capacities,
                 queues: &others,
@@ -160,10 +160,14 @@
             *alike.entry(share.member.clone()).or_default() += share.to + 1 - share.from;
         }
         let name = members.iter().map(String::len).max().unwrap_or(0);
-        let grain =
-            records::lease_size(self.config.settings.state.value_kb, name, self.state.chunk_size, spec.task_count);
-        let shards = shards::Shards { members: &members, capacities, queues, grain, zones, alike: &alike };
-        shards::lease(spec, waits, &shards, &self.process.member, whole)
+        let grain = records::task_range_size(
+            self.config.settings.state.value_kb,
+            name,
+            self.state.checkpoint_size,
+            spec.task_count,
+        );
+        let shards = shards::AssignmentInputs { members: &members, capacities, queues, grain, zones, alike: &alike };
+        shards::assign_task_ranges(spec, waits, &shards, &self.process.member, whole)
     }
 
     /// Whether the job can still meet its aim, if its tasks started now.
--- a/src/controller/transactions.rs
+++ b/src/controller/transactions.rs
@@ -2,8 +2,8 @@
 //! answers. The one place that writes to the state service.
 
 use super::*;
-use crate::coordination::writes::Proof;
-use crate::requests::Asked;
+use crate::coordination::in_flight_writes::Proof;
+use crate::requests::RequestKind;
 use crate::state::log_segment::Facts;
 use ciborium::Value;
 
@@ -11,14 +11,14 @@
 #[derive(Debug)]
 pub(super) struct Transactions {
     /// Transactions without a result, and what settles them.
-    in_flight: OpenWrites,
+    in_flight: InFlightWrites,
     /// Keys that a transaction under way writes or rests on.
     locked_keys: BTreeSet<String>,
     /// Records that a refused write had outdated: it would be refused again until
     /// the replica has come to this revision.
     outdated: BTreeMap<String, u64>,
     /// This controller's part of the store's write limit.
-    rate: Account,
+    rate: RateLimiter,
     /// When the store answered again after the last outage.
     store_recovered_at: Option<Instant>,
     /// What was written since the last summary, by kind.
@@ -31,10 +31,10 @@
     /// Nothing under way; `rate` is this controller's part of the changes a second.
     pub(super) fn new(rate: f64) -> Transactions {
         Transactions {
-            in_flight: OpenWrites::default(),
+            in_flight: InFlightWrites::default(),
             locked_keys: BTreeSet::new(),
             outdated: BTreeMap::new(),
-            rate: Account::new(rate),
+            rate: RateLimiter::new(rate),
             store_recovered_at: None,
             written: BTreeMap::new(),
             durations_ms: Histogram::new_with_max(LONGEST_TXN_MS, 2).expect("bounds are good"),
@@ -282,9 +282,11 @@
     /// The same, given up after `timeout`.
     pub(super) fn txn_within(&mut self, txn: Txn, why: Why, timeout: Duration) {
         let mut keys: Vec<String> = txn.conditions.iter().map(|c| c.key.clone()).collect();
-        keys.retain(|k| !k.starts_with("fq/h/") && !k.starts_with(records::SHARD_GRANTS) && k != records::LEADER_KEY);
+        keys.retain(|k| {
+            !k.starts_with("fq/h/") && !k.starts_with(records::SHARD_GRANTS_PREFIX) && k != records::LEADER_KEY
+        });
         // A team's record that is only looked at keeps nobody else from it.
-        keys.retain(|k| !k.starts_with(records::TEAMS) || txn.puts(k));
+        keys.retain(|k| !k.starts_with(records::TEAMS_PREFIX) || txn.puts(k));
         self.send_txn_within(txn, why, keys, timeout);
     }
 
@@ -333,7 +335,7 @@
     }
 
     fn view_puts(&mut self, txn: &Txn, revision: u64) {
-        self.state.note_known_revision(revision);
+        self.state.observe_revision(revision);
         for op in &txn.ops {
             // Deletes wait for the watch: it could still bring an older put.
             if let store::Op::Put { key, data, .. } = op {
@@ -353,16 +355,16 @@
             tracing::debug!(?ended, ?why, "transaction_not_applied");
         }
         match why {
-            Why::Accept(uid) => self.request_written(&uid, Asked::Submitted, &ended),
-            Why::Cancel(uid) => self.request_written(&uid, Asked::Cancelled, &ended),
+            Why::Accept(uid) => self.request_written(&uid, RequestKind::Submitted, &ended),
+            Why::Cancel(uid) => self.request_written(&uid, RequestKind::Cancelled, &ended),
             Why::Segment { facts, reservations } => self.segment_answer(&txn, facts, reservations, &ended),
             Why::Fold => {
                 self.journal.compaction_ended();
                 self.scheduler.request_round();
-                self.note_outdated(&txn, &ended);
+                self.mark_outdated_records(&txn, &ended);
             }
             Why::Close => {
-                self.note_outdated(&txn, &ended);
+                self.mark_outdated_records(&txn, &ended);
             }
             Why::Enrol => self.enrol_rentals(),
             _ => {}
@@ -373,7 +375,7 @@
     /// A transaction whose host keys count as busy as well, and blocks that it grants.
     pub(super) fn txn_keyed(&mut self, txn: Txn, why: Why) {
         let mut keys: Vec<String> = txn.conditions.iter().map(|c| c.key.clone()).collect();
-        keys.retain(|k| k != records::LEADER_KEY && (!k.starts_with(records::SHARD_GRANTS) || txn.puts(k)));
+        keys.retain(|k| k != records::LEADER_KEY && (!k.starts_with(records::SHARD_GRANTS_PREFIX) || txn.puts(k)));
         self.send_txn(txn, why, keys);
     }
 }
--- a/src/coordination/fault_attribution.rs
+++ b/src/coordination/fault_attribution.rs
@@ -27,9 +27,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
     /// No fault of the machine is known.
-    Well,
+    Healthy,
     /// Either the machine or the job is at fault.
-    Open,
+    Undecided,
     /// The machine is at fault.
     Faulty,
 }
@@ -66,11 +66,11 @@
             .collect();
         let failures: u32 = unexplained.iter().map(|(_, failures)| failures).sum();
         if failures < FAILURES_TO_CORDON {
-            Verdict::Well
+            Verdict::Healthy
         } else if unexplained.len() > 1 || unexplained.iter().any(|(job, _)| succeeded(job)) {
             Verdict::Faulty
         } else {
-            Verdict::Open
+            Verdict::Undecided
         }
     }
 }
@@ -82,9 +82,6 @@
     failed_on: BTreeSet<String>,
 }
 
-/// The old name of [`AttemptHistory`], until all callers use the new one.
-pub type Tried = AttemptHistory;
-
 impl AttemptHistory {
     /// A task of the job failed on this machine.
     pub fn failed_on(&mut self, machine: &str) {
--- a/src/coordination/in_flight_writes.rs
+++ b/src/coordination/in_flight_writes.rs
@@ -99,9 +99,6 @@
     touched: BTreeSet<CallId>,
 }
 
-/// The old name of [`InFlightWrites`], until all callers use the new one.
-pub type Writes = InFlightWrites;
-
 impl InFlightWrites {
     /// A transaction is sent; `newest_revision` is the newest one of which anything is
     /// known. A transaction that puts none of the keys it is conditional on is resolved by
--- a/src/coordination/log_writer.rs
+++ b/src/coordination/log_writer.rs
@@ -25,9 +25,6 @@
     next_at: Instant,
 }
 
-/// The old name of [`LogWriter`], until all callers use the new one.
-pub type Writer = LogWriter;
-
 impl LogWriter {
     /// Whether facts that can wait have waited long enough.
     pub fn due(&self, now: Instant) -> bool {
@@ -104,9 +101,6 @@
     machines: BTreeSet<String>,
 }
 
-/// The old name of [`SegmentBuilder`], until all callers use the new one.
-pub type Draft = SegmentBuilder;
-
 /// What one fact needs in a segment.
 #[derive(Debug, Clone, Default)]
 pub struct FactRequirements {
@@ -118,9 +112,6 @@
     pub bytes: usize,
 }
 
-/// The old name of [`FactRequirements`], until all callers use the new one.
-pub type Need = FactRequirements;
-
 impl SegmentBuilder {
     pub fn new(limits: Limits) -> SegmentBuilder {
         SegmentBuilder {
--- a/src/coordination/machine.rs
+++ b/src/coordination/machine.rs
@@ -104,7 +104,7 @@
     /// Tasks that failed here.
     pub failures: Failures,
     /// The machine is cordoned until then: nothing is placed on it.
-    pub shut_until: Instant,
+    pub cordoned_until: Instant,
     /// Images that it is known to hold.
     pub images: Images,
     /// Images that it is fetching, and since when that is known.
@@ -153,7 +153,7 @@
             pushed_at: None,
             pushed: BTreeSet::new(),
             failures: Failures::default(),
-            shut_until: Duration::ZERO,
+            cordoned_until: Duration::ZERO,
             images: Images::default(),
             fetches: BTreeMap::new(),
             releasing: false,
@@ -203,11 +203,11 @@
 
     /// The agent was restarted, as its answer to our call shows: nothing that was pushed to
     /// its earlier incarnation may be carried out any more.
-    pub fn begin_anew(&mut self, report: &Heartbeat) {
+    pub fn restart_incarnation(&mut self, report: &Heartbeat) {
         self.push_lost();
         self.at = (0, 0);
         self.take(report);
-        self.note_sure(true);
+        self.set_report_proven(true);
         self.ready = false;
         self.since.clear();
         self.fetches.clear();
@@ -225,7 +225,7 @@
 
     /// The agent has seen a token above ours: raises the counter past it where that is
     /// possible. Returns whether ours is now at least as high.
-    pub fn outrank(&mut self) -> bool {
+    pub fn raise_token_above_agent(&mut self) -> bool {
         // Within our grant only a counter that we raised ourselves can be ahead.
         let highest_of_grant = FencingToken::new(self.term, self.epoch, u64::MAX).0;
         while self.token() < self.fencing_token {
--- a/src/coordination/machine/commands.rs
+++ b/src/coordination/machine/commands.rs
@@ -4,7 +4,7 @@
 use super::{AttemptKey, Machine, ObservedTask};
 use crate::effects::{CallId, Instant};
 use crate::protocol::worker::{Command, TaskId};
-use crate::reconciliation::difference::{Act, Shown, Stored, case};
+use crate::reconciliation::difference::{ObservedState, RecordedState, Remedy, compare};
 use crate::state::PlacedTasks;
 
 /// The most commands in one message, which keeps it below the limit of the body's size.
@@ -45,9 +45,9 @@
         let mut commands = Vec::new();
         for observed in &self.tasks {
             let key = (observed.task.job.clone(), observed.task.index);
-            let stored = Stored::of(wanted, kept, &key, observed.attempt);
+            let stored = RecordedState::of(wanted, kept, &key, observed.attempt);
             // A gang's task that gave up waiting and is still wanted has a gang that comes.
-            let difference = case(stored, Shown::of(observed.state, observed.cause), true);
+            let difference = compare(stored, ObservedState::of(observed.state, observed.cause), true);
             self.add_commands(&mut commands, observed, difference.act(confirmed));
         }
         for ((job, index), attempt) in wanted {
@@ -60,20 +60,20 @@
     }
 
     /// Adds the commands by which the agent carries out `act` on a reported attempt.
-    fn add_commands(&self, commands: &mut Vec<Command>, observed: &ObservedTask, act: Act) {
+    fn add_commands(&self, commands: &mut Vec<Command>, observed: &ObservedTask, act: Remedy) {
         let (task, attempt) = (observed.task.to_string(), observed.attempt);
         match act {
-            Act::Kill => {
+            Remedy::Kill => {
                 let grace_period_s = self.preempted.get(&observed.key()).copied().unwrap_or(0.0);
                 commands.push(Command::Kill { task, attempt, grace_period_s });
             }
-            Act::Forget => commands.push(Command::Forget { task, attempt }),
-            Act::Again => {
+            Remedy::Forget => commands.push(Command::Forget { task, attempt }),
+            Remedy::Restart => {
                 // The same attempt waits for its gang again, with its image there by now.
                 commands.push(Command::Forget { task: task.clone(), attempt });
                 commands.push(Command::Run { task, attempt });
             }
-            Act::Leave | Act::Run | Act::StoreResult | Act::StoreGone => {}
+            Remedy::Nothing | Remedy::Run | Remedy::StoreResult | Remedy::StoreGone => {}
         }
     }
 
--- a/src/coordination/machine/liveness.rs
+++ b/src/coordination/machine/liveness.rs
@@ -17,9 +17,9 @@
     /// A copy from before a restart may be above all that is known of an agent that is back,
     /// and show all that its present incarnation began with. It never shows our token. So
     /// until the agent has, what it does not show proves nothing about the lease, and is a
-    /// reason to wait (`waits_out`).
-    pub fn note_reply(&mut self, news: bool, now: Instant) {
-        self.note_sure(self.confirmed() || news && self.ready);
+    /// reason to wait (`must_await_lease_expiry`).
+    pub fn observe_report(&mut self, news: bool, now: Instant) {
+        self.set_report_proven(self.confirmed() || news && self.ready);
         if self.answered_token <= self.fencing_token {
             self.missed_answers = 0;
             self.reached_at = Some(now);
@@ -42,7 +42,7 @@
 
     /// Records whether the newest report is proved to be the agent's own and of its present
     /// incarnation, as an answer to our own call is.
-    pub fn note_sure(&mut self, sure: bool) {
+    pub fn set_report_proven(&mut self, sure: bool) {
         self.sure = sure;
         if sure {
             self.lowest_token = self.fencing_token;
@@ -51,7 +51,7 @@
 
     /// Whether a report that shows this token cannot be of the same incarnation as the
     /// newest report that was `sure`: one of the two incarnations is over.
-    pub fn belies(&self, fencing_token: u64) -> bool {
+    pub fn contradicts_token(&self, fencing_token: u64) -> bool {
         fencing_token < self.lowest_token
     }
 
@@ -73,7 +73,7 @@
     /// An agent that was cut off for a while reports at its usual interval from then on. If
     /// this one does not, the token is raised, so that its reports tell whether answers
     /// reach it.
-    pub fn note_pace(&mut self, away: bool, lapsed: bool) {
+    pub fn observe_report_timing(&mut self, away: bool, lapsed: bool) {
         self.late_reports = if away { self.late_reports + 1 } else { 0 };
         if (self.late_reports > 1 || lapsed) && self.confirmed() {
             self.counter += 1;
@@ -82,7 +82,7 @@
 
     /// Whether reports come that show that answers do not reach the agent. One lost answer
     /// is not enough.
-    pub fn hears_nothing(&self) -> bool {
+    pub fn answers_are_lost(&self) -> bool {
         self.missed_answers >= UNREACHABLE_AFTER
     }
 
@@ -103,8 +103,8 @@
     /// restart: then its lease may have expired, and only the time proves that it has. Once
     /// no earlier owner answers it any more we do not either, until our own answers cannot
     /// have kept the lease alive.
-    pub fn waits_out(&self, now: Instant, lease: Duration, cancel: Duration) -> bool {
+    pub fn must_await_lease_expiry(&self, now: Instant, lease: Duration, cancel: Duration) -> bool {
         let earlier_owners_until = self.owned_since + cancel.saturating_sub(lease);
-        self.hears_nothing() && !self.ready && now > earlier_owners_until && !self.lapsed(now, lease, cancel)
+        self.answers_are_lost() && !self.ready && now > earlier_owners_until && !self.lapsed(now, lease, cancel)
     }
 }
--- a/src/coordination/machine/tests.rs
+++ b/src/coordination/machine/tests.rs
@@ -138,12 +138,12 @@
     let old = m.token();
     let says = |m: &mut Machine, at, fencing_token, now| {
         assert!(m.take(&report(at, fencing_token, &[("run-1/0", 1, TaskState::Exited)])));
-        m.note_reply(true, now);
+        m.observe_report(true, now);
     };
     says(&mut m, (1, 8), old, s(10));
     assert!(m.sure && m.answer(s(10)) == old);
-    m.begin_anew(&report((1, 2), 0, &[]));
-    assert!(m.token() > old && !m.belies(0));
+    m.restart_incarnation(&report((1, 2), 0, &[]));
+    assert!(m.token() > old && !m.contradicts_token(0));
     m.answer(s(20));
     says(&mut m, (1, 7), old, s(21));
     assert!(!m.sure, "it is no proof of the exit that it shows");
@@ -154,7 +154,7 @@
     let token = m.token();
     says(&mut m, (1, 10), token, s(23));
     m.ready = true;
-    assert!(m.sure && m.belies(old) && !m.belies(token));
+    assert!(m.sure && m.contradicts_token(old) && !m.contradicts_token(token));
 }
 
 /// One that hears nothing since it came, and a copy of what it said first in an earlier
@@ -166,23 +166,26 @@
     let (lease, cancel) = (s(18), s(48));
     let says = |m: &mut Machine, heartbeat_seq, fencing_token, now| {
         assert!(m.take(&report((1, heartbeat_seq), fencing_token, &[])));
-        m.note_reply(true, now);
+        m.observe_report(true, now);
     };
     let mut unreachable = Machine::new(1, 1, 1, s(0));
     for n in 0..15 {
         says(&mut unreachable, 1 + n, 3, s(2 * n));
-        assert!(!unreachable.waits_out(s(2 * n), lease, cancel), "an earlier owner may answer it");
+        assert!(!unreachable.must_await_lease_expiry(s(2 * n), lease, cancel), "an earlier owner may answer it");
         unreachable.answer(s(2 * n));
     }
     says(&mut unreachable, 30, 3, s(31));
-    assert!(unreachable.hears_nothing() && !unreachable.sure && unreachable.answered_at == Some(s(28)));
-    assert!(unreachable.waits_out(s(31), lease, cancel) && unreachable.waits_out(s(48), lease, cancel));
-    assert!(unreachable.lapsed(s(49), lease, cancel) && !unreachable.waits_out(s(49), lease, cancel));
+    assert!(unreachable.answers_are_lost() && !unreachable.sure && unreachable.answered_at == Some(s(28)));
+    assert!(
+        unreachable.must_await_lease_expiry(s(31), lease, cancel)
+            && unreachable.must_await_lease_expiry(s(48), lease, cancel)
+    );
+    assert!(unreachable.lapsed(s(49), lease, cancel) && !unreachable.must_await_lease_expiry(s(49), lease, cancel));
     // It hears again: it is answered at once, and what ran there goes on.
     let token = unreachable.token();
     says(&mut unreachable, 31, token, s(33));
     unreachable.ready = true;
-    assert!(unreachable.sure && !unreachable.waits_out(s(33), lease, cancel));
+    assert!(unreachable.sure && !unreachable.must_await_lease_expiry(s(33), lease, cancel));
     // From then on a report without our newest token is its own, and voids.
     unreachable.answer(s(33));
     unreachable.push_lost();
@@ -202,14 +205,14 @@
     let mut m = Machine::new(1, 1, 1, s(0));
     for (heartbeat_seq, at) in [(1, 47), (4, 49), (5, 50)] {
         assert!(m.take(&report((1, heartbeat_seq), 0, &[])));
-        m.note_reply(heartbeat_seq > 1, s(at));
+        m.observe_report(heartbeat_seq > 1, s(at));
         if heartbeat_seq == 1 {
             m.answer(s(at));
         }
     }
     assert_eq!(m.answered_at, Some(s(47)), "our answer may have come");
     assert!(!m.lapsed(s(50), s(18), s(48)) && m.lapsed(s(66), s(18), s(48)));
-    assert!(m.waits_out(s(50), s(18), s(48)));
+    assert!(m.must_await_lease_expiry(s(50), s(18), s(48)));
 }
 
 /// A machine ended while what it had reported last was held back, and was back; its owner
@@ -221,19 +224,19 @@
     let s = Duration::from_secs;
     let mut m = Machine::new(1, 1, 1, s(0));
     m.take(&report((1, 3), 0, &[]));
-    m.note_reply(false, s(1));
+    m.observe_report(false, s(1));
     let old = m.answer(s(1));
     // The present life: above all that is known.
     m.take(&report((1, 5), 0, &[]));
-    m.note_reply(true, s(3));
+    m.observe_report(true, s(3));
     m.answer(s(3));
     m.take(&report((1, 6), old, &[("run-1/0", 1, TaskState::Exited)]));
-    m.note_reply(true, s(4));
+    m.observe_report(true, s(4));
     assert!(!m.confirmed() && !m.sure && m.answered_at == Some(s(3)));
     // The present life's own shows what only it was given.
     let token = m.answer(s(5));
     m.take(&report((1, 7), token, &[("run-1/0", 1, TaskState::Running)]));
-    m.note_reply(true, s(6));
+    m.observe_report(true, s(6));
     assert!(m.confirmed() && m.sure);
 }
 
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -15,9 +15,3 @@
 pub mod shards;
 pub mod store_session;
 pub mod token_bucket;
-
-// Old module paths, until all callers use the new ones.
-pub use self::{
-    in_flight_writes as writes, log_writer as log, quota_reservation as parts, rate_limiter as account,
-    store_session as session, token_bucket as pace,
-};
--- a/src/coordination/quota_reservation.rs
+++ b/src/coordination/quota_reservation.rs
@@ -33,9 +33,6 @@
     recent: VecDeque<(Instant, Resources)>,
 }
 
-/// The old name of [`QuotaReservation`], until all callers use the new one.
-pub type Parts = QuotaReservation;
-
 /// A team's limit of one resource, and how much of it is in use. A maximum of 0 means that
 /// there is no limit.
 #[derive(Debug, Clone, Copy)]
--- a/src/coordination/rate_limiter.rs
+++ b/src/coordination/rate_limiter.rs
@@ -19,9 +19,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum WritePriority {
     /// Cancellations, and changes that everything else waits for.
-    First,
+    Critical,
     /// Acceptances of submissions, and ends of jobs.
-    Answers,
+    Responses,
     /// Starts of services, and the last exits of a job. Waiting exits and starts of
     /// arrays are written in the same transaction.
     Services,
@@ -31,14 +31,14 @@
 
 impl WritePriority {
     const ALL: [WritePriority; 4] =
-        [WritePriority::First, WritePriority::Answers, WritePriority::Services, WritePriority::Arrays];
+        [WritePriority::Critical, WritePriority::Responses, WritePriority::Services, WritePriority::Arrays];
 
     /// The balance that must remain after a write of this priority, as a fraction of one
     /// second's worth. A negative reserve is permission to borrow.
     fn reserve(self) -> f64 {
         match self {
-            WritePriority::First => -1.0,
-            WritePriority::Answers => -0.75,
+            WritePriority::Critical => -1.0,
+            WritePriority::Responses => -0.75,
             WritePriority::Services => -0.5,
             WritePriority::Arrays => 0.25,
         }
@@ -87,9 +87,6 @@
     waiting: [Option<Waiting>; WritePriority::ALL.len()],
 }
 
-/// The old name of [`RateLimiter`], until all callers use the new one.
-pub type Account = RateLimiter;
-
 impl RateLimiter {
     /// A limiter that allows `rate` changes per second and starts with a full balance.
     pub fn new(rate: f64) -> RateLimiter {
@@ -140,7 +137,7 @@
             .into_iter()
             .filter(|other| *other == priority || priority.carries(*other))
             .any(|other| self.is_overdue(other, now));
-        let reserve = if overdue { WritePriority::First } else { priority }.reserve();
+        let reserve = if overdue { WritePriority::Critical } else { priority }.reserve();
         // One write for each lower priority that is overdue and not carried along.
         let overdue_below = WritePriority::ALL
             .into_iter()
--- a/src/coordination/rate_limiter/tests.rs
+++ b/src/coordination/rate_limiter/tests.rs
@@ -32,8 +32,8 @@
         (0..50).for_each(|_| _ = limiter.charge(s(1.0), 24.0));
         let worth = rate.max(1.0);
         assert_eq!(limiter.level(s(1.0)), -worth);
-        assert!(!limiter.admits(WritePriority::First, s(1.0)));
-        assert!(limiter.admits(WritePriority::First, s(1.01 + 1.0 / rate)), "{rate}");
+        assert!(!limiter.admits(WritePriority::Critical, s(1.0)));
+        assert!(limiter.admits(WritePriority::Critical, s(1.01 + 1.0 / rate)), "{rate}");
         assert!(limiter.has(s(1.1 + 2.0 * worth / rate), 1000.0), "{rate}: never full again");
     }
 }
@@ -90,7 +90,7 @@
     assert!(!limiter.admits(WritePriority::Arrays, s(0.0)));
     limiter.charge(s(5.0), 100.0);
     // A token: the first may have it at once.
-    assert!(limiter.admits(WritePriority::First, s(5.0 + 1.01 / 6.0)));
+    assert!(limiter.admits(WritePriority::Critical, s(5.0 + 1.01 / 6.0)));
 }
 
 /// All controllers are back at the same moment: their bursts and their debts came
--- a/src/coordination/shards.rs
+++ b/src/coordination/shards.rs
@@ -10,9 +10,5 @@
 pub use assignment::{AssignmentInputs, assign_task_ranges};
 pub use machine_moves::{Move, gather_for_gang, rebalance, spread, wanted_moves};
 
-// Old names, until all callers use the new ones.
-pub use assignment::{AssignmentInputs as Shards, assign_task_ranges as lease};
-pub use machine_moves::{gather_for_gang as gather, rebalance as level};
-
 #[cfg(test)]
 mod tests;
--- a/src/coordination/shards/assignment.rs
+++ b/src/coordination/shards/assignment.rs
@@ -26,41 +26,41 @@
 
 /// The number of tasks that a shard has room for.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
-struct Room {
+struct ShardCapacity {
     tasks: u32,
     /// Those of `tasks` on machines that hold the job's image.
     with_image: u32,
 }
 
-impl Room {
-    fn plus(self, other: Room) -> Room {
-        Room { tasks: self.tasks + other.tasks, with_image: self.with_image + other.with_image }
+impl ShardCapacity {
+    fn plus(self, other: ShardCapacity) -> ShardCapacity {
+        ShardCapacity { tasks: self.tasks + other.tasks, with_image: self.with_image + other.with_image }
     }
 
-    fn at_most(self, tasks: u32) -> Room {
-        Room { tasks: self.tasks.min(tasks), with_image: self.with_image.min(tasks) }
+    fn at_most(self, tasks: u32) -> ShardCapacity {
+        ShardCapacity { tasks: self.tasks.min(tasks), with_image: self.with_image.min(tasks) }
     }
 }
 
 /// How many tasks of the job each member's shard has room for, in zones where the job may
 /// have them, given those it has in each zone already.
-fn room_by_member<'a>(
+fn capacity_by_member<'a>(
     capacities: &'a [(String, MachineCapacity)],
     spec: &JobSpec,
     zones: &BTreeMap<String, u32>,
-) -> BTreeMap<&'a str, Room> {
-    let mut by_zone: BTreeMap<(&str, &str), Room> = BTreeMap::new();
+) -> BTreeMap<&'a str, ShardCapacity> {
+    let mut by_zone: BTreeMap<(&str, &str), ShardCapacity> = BTreeMap::new();
     for (member, capacity) in capacities {
         let tasks = capacity.fits(spec).min(spec.task_count);
         if tasks > 0 {
             let with_image = if capacity.has_image(spec) { tasks } else { 0 };
-            let room = by_zone.entry((member, &capacity.zone)).or_default();
-            *room = room.plus(Room { tasks, with_image });
+            let capacity_left = by_zone.entry((member, &capacity.zone)).or_default();
+            *capacity_left = capacity_left.plus(ShardCapacity { tasks, with_image });
         }
     }
-    let mut by_member: BTreeMap<&str, Room> = BTreeMap::new();
-    for ((member, zone), room) in by_zone {
-        let in_zone = room.at_most(zone_capacity(spec, spec.task_count, zones, zone));
+    let mut by_member: BTreeMap<&str, ShardCapacity> = BTreeMap::new();
+    for ((member, zone), capacity_left) in by_zone {
+        let in_zone = capacity_left.at_most(zone_capacity(spec, spec.task_count, zones, zone));
         let total = by_member.entry(member).or_default();
         *total = if spec.zone_affinity { (*total).max(in_zone) } else { total.plus(in_zone) };
     }
@@ -93,14 +93,14 @@
 
     /// What each member offers the job, in the order of `members`.
     fn offers(&self, spec: &JobSpec) -> Vec<Offer<'_>> {
-        let rooms = room_by_member(self.capacities, spec, self.zones);
+        let capacities_left = capacity_by_member(self.capacities, spec, self.zones);
         let image_copies = self.image_copies(spec);
         let offer = |member| {
-            let room = rooms.get(member).copied().unwrap_or_default();
+            let capacity_left = capacities_left.get(member).copied().unwrap_or_default();
             Offer {
                 member,
-                fits: i64::from(room.tasks) - self.queued_tasks(spec, member),
-                with_image: room.with_image,
+                fits: i64::from(capacity_left.tasks) - self.queued_tasks(spec, member),
+                with_image: capacity_left.with_image,
                 image_copies: image_copies.get(member).copied().unwrap_or(0),
             }
         };
@@ -180,11 +180,11 @@
 /// with the most room left. A member's range extends to where the next one begins, so that
 /// the ranges cover all of the job's tasks.
 fn split_by_record(spec: &JobSpec, waiting: &[u32], offers: &[Offer], tasks_per_record: u32) -> Vec<TaskRange> {
-    let mut rooms: Vec<i64> = offers.iter().map(|offer| offer.fits).collect();
+    let mut capacities_left: Vec<i64> = offers.iter().map(|offer| offer.fits).collect();
     let mut ranges: Vec<TaskRange> = Vec::new();
     for tasks in waiting.chunk_by(|a, b| a / tasks_per_record == b / tasks_per_record) {
-        let Some(chosen) = (0..offers.len()).max_by_key(|i| (rooms[*i], Reverse(*i))) else { break };
-        rooms[chosen] -= tasks.len() as i64;
+        let Some(chosen) = (0..offers.len()).max_by_key(|i| (capacities_left[*i], Reverse(*i))) else { break };
+        capacities_left[chosen] -= tasks.len() as i64;
         let member = offers[chosen].member;
         let mut from = 0;
         if let Some(last) = ranges.last_mut() {
--- a/src/coordination/shards/machine_moves.rs
+++ b/src/coordination/shards/machine_moves.rs
@@ -153,14 +153,16 @@
 /// the most room gets the machines that are missing. Empty if a shard has room already, or if
 /// all together do not.
 pub fn gather_for_gang(view: &ClusterState, capacities: &[(String, MachineCapacity)], spec: &JobSpec) -> Vec<Move> {
-    let zones = room_by_zone(view, capacities, spec);
-    let most = |room: &TasksByMember| room.values().copied().max().unwrap_or(0);
-    if zones.values().any(|room| most(room) >= spec.task_count) {
+    let zones = capacity_by_zone(view, capacities, spec);
+    let most = |capacity_left: &TasksByMember| capacity_left.values().copied().max().unwrap_or(0);
+    if zones.values().any(|capacity_left| most(capacity_left) >= spec.task_count) {
         return Vec::new(); // an assignment of its tasks is enough
     }
-    let enough = zones.iter().filter(|(_, room)| room.values().sum::<u32>() >= spec.task_count);
-    let Some((zone, room)) = enough.max_by_key(|(_, room)| most(room)) else { return Vec::new() };
-    let Some((to, has)) = room.iter().max_by_key(|(_, tasks)| **tasks) else { return Vec::new() };
+    let enough = zones.iter().filter(|(_, capacity_left)| capacity_left.values().sum::<u32>() >= spec.task_count);
+    let Some((zone, capacity_left)) = enough.max_by_key(|(_, capacity_left)| most(capacity_left)) else {
+        return Vec::new();
+    };
+    let Some((to, has)) = capacity_left.iter().max_by_key(|(_, tasks)| **tasks) else { return Vec::new() };
     let is_usable = |c: &MachineCapacity| (!spec.zone_affinity || c.zone == *zone) && c.fits(spec) > 0;
     let others = capacities.iter().filter(|(member, c)| member != to && is_usable(c));
     let mut others: Vec<&MachineCapacity> = others.map(|(_, c)| c).collect();
@@ -170,7 +172,7 @@
 
 /// How many of the gang's tasks each member's shard has room for, by zone; all zones count as
 /// one where the gang may be spread over them.
-fn room_by_zone<'a>(
+fn capacity_by_zone<'a>(
     view: &ClusterState,
     capacities: &'a [(String, MachineCapacity)],
     spec: &JobSpec,
--- a/src/coordination/store_session.rs
+++ b/src/coordination/store_session.rs
@@ -14,9 +14,6 @@
     Following,
 }
 
-/// The old name of [`SyncState`], until all callers use the new one.
-pub type Load = SyncState;
-
 /// The times and identities of the session. The controller makes the calls themselves.
 #[derive(Debug)]
 pub struct StoreSession {
@@ -26,25 +23,25 @@
     /// When the last answer about the lease came.
     pub lease_from: Instant,
     /// A grant or renewal of the lease is in flight.
-    pub lease_busy: bool,
+    pub lease_call_in_flight: bool,
     /// When the lease is next granted or renewed.
-    pub lease_next: Instant,
+    pub lease_renewal_at: Instant,
     /// The read of a page is in flight.
-    pub scan_busy: bool,
+    pub scan_in_flight: bool,
     /// The last key of the pages read so far.
-    pub scan_after: String,
+    pub scan_cursor: String,
     /// The revision at which the scan began.
     pub scan_revision: Option<u64>,
-    pub scan_pace: TokenBucket,
+    pub scan_bucket: TokenBucket,
     /// A scan that starts over waits until then.
-    pub load_not_before: Instant,
+    pub scan_not_before: Instant,
     /// A watch call is in flight.
-    pub watch_busy: bool,
-    pub watch_pace: TokenBucket,
+    pub watch_in_flight: bool,
+    pub watch_bucket: TokenBucket,
     /// The read of a barrier is in flight.
-    pub barrier_busy: bool,
-    pub barrier_pace: TokenBucket,
-    pub barrier_sent: Instant,
+    pub barrier_in_flight: bool,
+    pub barrier_bucket: TokenBucket,
+    pub barrier_sent_at: Instant,
     /// Barriers that were answered with a revision the watch has not reached:
     /// (revision, sent at).
     pub barriers: Vec<(u64, Instant)>,
@@ -57,9 +54,6 @@
     pub ttl: Duration,
 }
 
-/// The old name of [`StoreSession`], until all callers use the new one.
-pub type Session = StoreSession;
-
 /// The watch and its barriers may save up reads for this many seconds.
 const STEADY_BURST_S: f64 = 0.5;
 
@@ -72,18 +66,18 @@
             load: SyncState::Reading,
             lease: None,
             lease_from: Duration::ZERO,
-            lease_busy: false,
-            lease_next: Duration::ZERO,
-            scan_busy: false,
-            scan_after: String::new(),
+            lease_call_in_flight: false,
+            lease_renewal_at: Duration::ZERO,
+            scan_in_flight: false,
+            scan_cursor: String::new(),
             scan_revision: None,
-            scan_pace: TokenBucket::new(gap, pages),
-            load_not_before: Duration::ZERO,
-            watch_busy: false,
-            watch_pace: steady_pace(),
-            barrier_busy: false,
-            barrier_pace: steady_pace(),
-            barrier_sent: Duration::ZERO,
+            scan_bucket: TokenBucket::new(gap, pages),
+            scan_not_before: Duration::ZERO,
+            watch_in_flight: false,
+            watch_bucket: steady_pace(),
+            barrier_in_flight: false,
+            barrier_bucket: steady_pace(),
+            barrier_sent_at: Duration::ZERO,
             barriers: Vec::new(),
             fresh_at: None,
             gap,
@@ -110,11 +104,11 @@
     }
 
     /// Starts the scan over, after a pause.
-    pub fn restart_load(&mut self, now: Instant) {
+    pub fn restart_scan(&mut self, now: Instant) {
         self.load = SyncState::Reading;
-        self.scan_after.clear();
+        self.scan_cursor.clear();
         self.scan_revision = None;
-        self.load_not_before = now + self.gap;
+        self.scan_not_before = now + self.gap;
         self.barriers.clear();
     }
 }
--- a/src/coordination/token_bucket.rs
+++ b/src/coordination/token_bucket.rs
@@ -20,9 +20,6 @@
     next_due: Instant,
 }
 
-/// The old name of [`TokenBucket`], until all callers use the new one.
-pub type Pace = TokenBucket;
-
 impl TokenBucket {
     /// `interval` is the average time between two reads; `burst` is the number of reads
     /// that may be sent at once after a pause, and counts as at least one.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -15,6 +15,4 @@
 pub mod state;
 pub mod transport;
 
-/// Earlier path of [`config`].
-pub use config as settings;
 pub use finchquay_protocol as protocol;
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,7 +1,7 @@
 //! Command line of finchquay: reads the configuration, sets up logging, runs a controller.
 
 use clap::Parser;
-use finchquay::settings::Settings;
+use finchquay::config::Settings;
 use std::path::PathBuf;
 use std::process::ExitCode;
 
--- a/src/reconciliation/difference.rs
+++ b/src/reconciliation/difference.rs
@@ -9,7 +9,7 @@
 
 /// What the store records of an attempt on this machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Stored {
+pub enum RecordedState {
     /// It is placed here and shall run.
     Wanted,
     /// It is placed here but shall not run: its job was cancelled, it was preempted, or it
@@ -20,39 +20,39 @@
     Nowhere,
 }
 
-impl Stored {
+impl RecordedState {
     /// The recorded state of an attempt, from the placements on one machine: `kept` has
     /// all of them and `wanted` those that shall run.
-    pub fn of(wanted: &PlacedTasks, kept: &PlacedTasks, task: &(String, u32), attempt: u64) -> Stored {
+    pub fn of(wanted: &PlacedTasks, kept: &PlacedTasks, task: &(String, u32), attempt: u64) -> RecordedState {
         if wanted.get(task) == Some(&attempt) {
-            Stored::Wanted
+            RecordedState::Wanted
         } else if kept.get(task) == Some(&attempt) {
-            Stored::Ending
+            RecordedState::Ending
         } else {
-            Stored::Nowhere
+            RecordedState::Nowhere
         }
     }
 }
 
 /// What the newest heartbeat of the machine says about an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Shown {
+pub enum ObservedState {
     /// It fetches its image, waits for its gang, runs or writes a checkpoint.
     Alive,
     Exited(Option<Cause>),
     Absent,
 }
 
-impl Shown {
+impl ObservedState {
     /// The observed state of an attempt that the heartbeat lists.
-    pub fn of(state: TaskState, cause: Option<Cause>) -> Shown {
-        if state == TaskState::Exited { Shown::Exited(cause) } else { Shown::Alive }
+    pub fn of(state: TaskState, cause: Option<Cause>) -> ObservedState {
+        if state == TaskState::Exited { ObservedState::Exited(cause) } else { ObservedState::Alive }
     }
 }
 
 /// How the recorded and the observed state compare.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Case {
+pub enum Difference {
     /// It runs as recorded.
     Running,
     /// It is recorded but not there: it was never commanded to run, the command was lost,
@@ -79,9 +79,9 @@
 
 /// The remedy for a difference.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Act {
+pub enum Remedy {
     /// Do nothing.
-    Leave,
+    Nothing,
     /// Command the machine to run it.
     Run,
     /// Command the machine to stop it.
@@ -93,48 +93,50 @@
     /// Allow the agent to forget it.
     Forget,
     /// Let the agent forget it and command it to run the same attempt again.
-    Again,
+    Restart,
 }
 
 /// Compares the recorded and the observed state of an attempt.
 ///
 /// `comes` means that the other tasks of a gang are being started, so that a task that
 /// stopped waiting for them is started again rather than recorded as failed.
-pub fn case(stored: Stored, shown: Shown, comes: bool) -> Case {
+pub fn compare(stored: RecordedState, shown: ObservedState, comes: bool) -> Difference {
     match (stored, shown) {
-        (Stored::Wanted, Shown::Alive) => Case::Running,
-        (Stored::Wanted, Shown::Absent) => Case::Missing,
-        (Stored::Wanted, Shown::Exited(Some(Cause::GangIncomplete))) if comes => Case::GangTimeout,
-        (Stored::Wanted | Stored::Ending, Shown::Exited(Some(Cause::Done))) => Case::Finished,
-        (Stored::Wanted | Stored::Ending, Shown::Exited(_)) => Case::Failed,
-        (Stored::Ending, Shown::Alive) => Case::Unwanted,
-        (Stored::Ending, Shown::Absent) => Case::Stopped,
-        (Stored::Nowhere, Shown::Alive) => Case::Unrecorded,
-        (Stored::Nowhere, Shown::Exited(_)) => Case::ExitRecorded,
-        (Stored::Nowhere, Shown::Absent) => Case::Unknown,
+        (RecordedState::Wanted, ObservedState::Alive) => Difference::Running,
+        (RecordedState::Wanted, ObservedState::Absent) => Difference::Missing,
+        (RecordedState::Wanted, ObservedState::Exited(Some(Cause::GangIncomplete))) if comes => Difference::GangTimeout,
+        (RecordedState::Wanted | RecordedState::Ending, ObservedState::Exited(Some(Cause::Done))) => {
+            Difference::Finished
+        }
+        (RecordedState::Wanted | RecordedState::Ending, ObservedState::Exited(_)) => Difference::Failed,
+        (RecordedState::Ending, ObservedState::Alive) => Difference::Unwanted,
+        (RecordedState::Ending, ObservedState::Absent) => Difference::Stopped,
+        (RecordedState::Nowhere, ObservedState::Alive) => Difference::Unrecorded,
+        (RecordedState::Nowhere, ObservedState::Exited(_)) => Difference::ExitRecorded,
+        (RecordedState::Nowhere, ObservedState::Absent) => Difference::Unknown,
     }
 }
 
-impl Case {
+impl Difference {
     /// The remedy.
     ///
     /// `confirmed` means that the agent obeys no other controller and that no earlier
     /// message of ours can still reach it, so that its heartbeat is complete. Remedies that
     /// cannot be reverted require it.
-    pub fn act(self, confirmed: bool) -> Act {
+    pub fn act(self, confirmed: bool) -> Remedy {
         match self {
-            Case::Running | Case::Unknown => Act::Leave,
+            Difference::Running | Difference::Unknown => Remedy::Nothing,
             // Safe without confirmation: this attempt may start here and nowhere else.
-            Case::Missing => Act::Run,
-            Case::Unwanted | Case::Unrecorded => Act::Kill,
-            Case::Finished => Act::StoreResult,
-            Case::Failed => Act::StoreGone,
+            Difference::Missing => Remedy::Run,
+            Difference::Unwanted | Difference::Unrecorded => Remedy::Kill,
+            Difference::Finished => Remedy::StoreResult,
+            Difference::Failed => Remedy::StoreGone,
             // Otherwise a delayed `run` command could start what was forgotten or recorded
             // as gone.
-            Case::GangTimeout if confirmed => Act::Again,
-            Case::Stopped if confirmed => Act::StoreGone,
-            Case::ExitRecorded if confirmed => Act::Forget,
-            Case::GangTimeout | Case::Stopped | Case::ExitRecorded => Act::Leave,
+            Difference::GangTimeout if confirmed => Remedy::Restart,
+            Difference::Stopped if confirmed => Remedy::StoreGone,
+            Difference::ExitRecorded if confirmed => Remedy::Forget,
+            Difference::GangTimeout | Difference::Stopped | Difference::ExitRecorded => Remedy::Nothing,
         }
     }
 }
--- a/src/reconciliation/difference/tests.rs
+++ b/src/reconciliation/difference/tests.rs
@@ -14,13 +14,13 @@
     Some(Cause::UnknownTask),
 ];
 
-fn for_every_combination(mut check: impl FnMut(Stored, Shown, bool, bool, Case, Act)) {
-    let shown = [Shown::Alive, Shown::Absent].into_iter().chain(CAUSES.map(Shown::Exited));
+fn for_every_combination(mut check: impl FnMut(RecordedState, ObservedState, bool, bool, Difference, Remedy)) {
+    let shown = [ObservedState::Alive, ObservedState::Absent].into_iter().chain(CAUSES.map(ObservedState::Exited));
     for shown in shown {
-        for stored in [Stored::Wanted, Stored::Ending, Stored::Nowhere] {
+        for stored in [RecordedState::Wanted, RecordedState::Ending, RecordedState::Nowhere] {
             for comes in [false, true] {
                 for confirmed in [false, true] {
-                    let difference = case(stored, shown, comes);
+                    let difference = compare(stored, shown, comes);
                     check(stored, shown, comes, confirmed, difference, difference.act(confirmed));
                 }
             }
@@ -34,28 +34,31 @@
     for_every_combination(|stored, shown, comes, confirmed, difference, act| {
         let combination = format!("{stored:?} {shown:?} comes {comes} confirmed {confirmed}: {difference:?} {act:?}");
         // ran_twice, ran_cancelled: only what the store wants here starts here.
-        if matches!(act, Act::Run | Act::Again) {
-            assert_eq!(stored, Stored::Wanted, "{combination}");
+        if matches!(act, Remedy::Run | Remedy::Restart) {
+            assert_eq!(stored, RecordedState::Wanted, "{combination}");
         }
         // Starting what is there already repeats without end and is refused as `in_use`.
-        assert!(act != Act::Run || shown == Shown::Absent, "{combination}");
+        assert!(act != Remedy::Run || shown == ObservedState::Absent, "{combination}");
         // A result that is not recorded must not be forgotten, nor the task run again.
-        if act == Act::Forget {
-            assert!(stored == Stored::Nowhere && confirmed && matches!(shown, Shown::Exited(_)), "{combination}");
+        if act == Remedy::Forget {
+            assert!(
+                stored == RecordedState::Nowhere && confirmed && matches!(shown, ObservedState::Exited(_)),
+                "{combination}"
+            );
         }
-        let done = shown == Shown::Exited(Some(Cause::Done));
-        assert!(!(done && stored != Stored::Nowhere) || act == Act::StoreResult, "{combination}");
+        let done = shown == ObservedState::Exited(Some(Cause::Done));
+        assert!(!(done && stored != RecordedState::Nowhere) || act == Remedy::StoreResult, "{combination}");
         // What a delayed command may still start is not gone.
-        if act == Act::StoreGone && shown == Shown::Absent {
+        if act == Remedy::StoreGone && shown == ObservedState::Absent {
             assert!(confirmed, "{combination}");
         }
         // What runs and shall run is not touched.
-        if stored == Stored::Wanted && shown == Shown::Alive {
-            assert_eq!(act, Act::Leave, "{combination}");
+        if stored == RecordedState::Wanted && shown == ObservedState::Alive {
+            assert_eq!(act, Remedy::Nothing, "{combination}");
         }
         // What runs and is not recorded to run is stopped.
-        if stored != Stored::Wanted && shown == Shown::Alive {
-            assert_eq!(act, Act::Kill, "{combination}");
+        if stored != RecordedState::Wanted && shown == ObservedState::Alive {
+            assert_eq!(act, Remedy::Kill, "{combination}");
         }
     });
 }
@@ -64,9 +67,18 @@
 /// heartbeats.
 #[test]
 fn only_differences_lead_to_commands() {
-    assert_eq!(case(Stored::Wanted, Shown::Alive, false).act(true), Act::Leave);
-    assert_eq!(case(Stored::Nowhere, Shown::Absent, false).act(true), Act::Leave);
-    assert_eq!(case(Stored::Wanted, Shown::Exited(Some(Cause::GangIncomplete)), true).act(true), Act::Again);
-    assert_eq!(case(Stored::Wanted, Shown::Exited(Some(Cause::GangIncomplete)), true).act(false), Act::Leave);
-    assert_eq!(case(Stored::Wanted, Shown::Exited(Some(Cause::GangIncomplete)), false).act(true), Act::StoreGone);
+    assert_eq!(compare(RecordedState::Wanted, ObservedState::Alive, false).act(true), Remedy::Nothing);
+    assert_eq!(compare(RecordedState::Nowhere, ObservedState::Absent, false).act(true), Remedy::Nothing);
+    assert_eq!(
+        compare(RecordedState::Wanted, ObservedState::Exited(Some(Cause::GangIncomplete)), true).act(true),
+        Remedy::Restart
+    );
+    assert_eq!(
+        compare(RecordedState::Wanted, ObservedState::Exited(Some(Cause::GangIncomplete)), true).act(false),
+        Remedy::Nothing
+    );
+    assert_eq!(
+        compare(RecordedState::Wanted, ObservedState::Exited(Some(Cause::GangIncomplete)), false).act(true),
+        Remedy::StoreGone
+    );
 }
--- a/src/reconciliation/phase.rs
+++ b/src/reconciliation/phase.rs
@@ -15,7 +15,7 @@
 //!   does not use up the time that machines have for their heartbeats.
 //! - A controller that starts with an empty fleet waits for nothing.
 
-use super::difference::Case;
+use super::difference::Difference;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -83,7 +83,7 @@
     elapsed: Duration,
     members_known: bool,
     /// The number of differences found with the first heartbeats of machines.
-    pub cases: BTreeMap<Case, u32>,
+    pub cases: BTreeMap<Difference, u32>,
 }
 
 /// The last time the number of heard machines rose considerably.
--- a/src/requests/mod.rs
+++ b/src/requests/mod.rs
@@ -9,7 +9,7 @@
 mod transitions;
 
 pub use open_requests::{Request, Requests};
-pub use transitions::{Answer, Asked, Event, Known, Stage, Written};
+pub use transitions::{Answer, Event, KnownStatus, RequestKind, Stage, WriteOutcome};
 
 #[cfg(test)]
 mod tests;
--- a/src/requests/open_requests.rs
+++ b/src/requests/open_requests.rs
@@ -1,6 +1,6 @@
 //! The requests that have not been answered yet.
 
-use super::transitions::{Answer, Asked, Event, Known, Next, Stage, Written, step};
+use super::transitions::{Answer, Event, KnownStatus, Next, RequestKind, Stage, WriteOutcome, step};
 use crate::effects::{ConnId, Instant};
 use std::collections::BTreeSet;
 
@@ -9,7 +9,7 @@
 pub struct Request {
     pub conn: ConnId,
     pub uid: String,
-    pub asked: Asked,
+    pub asked: RequestKind,
     stage: Stage,
     until: Instant,
 }
@@ -22,7 +22,7 @@
 
 impl Requests {
     /// Adds a request, to be answered by `until` at the latest.
-    pub fn came(&mut self, conn: ConnId, uid: &str, asked: Asked, stage: Stage, until: Instant) {
+    pub fn came(&mut self, conn: ConnId, uid: &str, asked: RequestKind, stage: Stage, until: Instant) {
         self.open.push(Request { conn, uid: uid.to_string(), asked, stage, until });
     }
 
@@ -33,13 +33,14 @@
 
     /// Jobs that are to be cancelled by our own writes.
     pub fn cancelling(&self) -> BTreeSet<String> {
-        let is_writing = |request: &&Request| request.asked == Asked::Cancelled && request.stage == Stage::Writing;
+        let is_writing =
+            |request: &&Request| request.asked == RequestKind::Cancelled && request.stage == Stage::Writing;
         self.open.iter().filter(is_writing).map(|request| request.uid.clone()).collect()
     }
 
     /// Applies an event to all requests. Those that are answered by it are removed and
     /// returned with their answer.
-    pub fn event(&mut self, event: Event, known: impl Fn(&str) -> Known) -> Vec<(Request, Answer)> {
+    pub fn event(&mut self, event: Event, known: impl Fn(&str) -> KnownStatus) -> Vec<(Request, Answer)> {
         self.event_for(|_| true, event, known)
     }
 
@@ -47,15 +48,15 @@
     pub fn written(
         &mut self,
         uid: &str,
-        asked: Asked,
-        how: Written,
-        known: impl Fn(&str) -> Known,
+        asked: RequestKind,
+        how: WriteOutcome,
+        known: impl Fn(&str) -> KnownStatus,
     ) -> Vec<(Request, Answer)> {
-        self.event_for(|request| request.uid == uid && request.asked == asked, Event::Written(how), known)
+        self.event_for(|request| request.uid == uid && request.asked == asked, Event::WriteOutcome(how), known)
     }
 
     /// Answers the requests whose deadline has passed.
-    pub fn due(&mut self, now: Instant, known: impl Fn(&str) -> Known) -> Vec<(Request, Answer)> {
+    pub fn due(&mut self, now: Instant, known: impl Fn(&str) -> KnownStatus) -> Vec<(Request, Answer)> {
         self.event_for(|request| request.until <= now, Event::Due, known)
     }
 
@@ -64,7 +65,7 @@
         &mut self,
         concerns: impl Fn(&Request) -> bool,
         event: Event,
-        known: impl Fn(&str) -> Known,
+        known: impl Fn(&str) -> KnownStatus,
     ) -> Vec<(Request, Answer)> {
         let mut answered = Vec::new();
         for mut request in std::mem::take(&mut self.open) {
--- a/src/requests/tests.rs
+++ b/src/requests/tests.rs
@@ -4,23 +4,24 @@
 use super::*;
 use std::time::Duration;
 
-const ASKED: [Asked; 4] = [Asked::Submitted, Asked::Impossible, Asked::State, Asked::Cancelled];
+const ASKED: [RequestKind; 4] =
+    [RequestKind::Submitted, RequestKind::Impossible, RequestKind::State, RequestKind::Cancelled];
 const STAGES: [Stage; 4] = [Stage::Queued, Stage::Reading, Stage::AwaitingRevision(7), Stage::Writing];
-const KNOWN: [Known; 4] = [Known::Nothing, Known::Queued, Known::Running, Known::Over];
+const KNOWN: [KnownStatus; 4] = [KnownStatus::Nothing, KnownStatus::Queued, KnownStatus::Running, KnownStatus::Over];
 const EVENTS: [Event; 10] = [
     Event::ReadSent,
     Event::Read(9),
     Event::ReadFailed,
     Event::ClusterState(6),
     Event::ClusterState(7),
-    Event::Written(Written::Done),
-    Event::Written(Written::Void),
-    Event::Written(Written::Limited),
-    Event::Written(Written::Failed),
+    Event::WriteOutcome(WriteOutcome::Done),
+    Event::WriteOutcome(WriteOutcome::Void),
+    Event::WriteOutcome(WriteOutcome::Limited),
+    Event::WriteOutcome(WriteOutcome::Failed),
     Event::Due,
 ];
 
-fn for_every_combination(mut check: impl FnMut(Asked, Stage, Event, Known, Next, &str)) {
+fn for_every_combination(mut check: impl FnMut(RequestKind, Stage, Event, KnownStatus, Next, &str)) {
     for asked in ASKED {
         for stage in STAGES {
             for event in EVENTS {
@@ -39,9 +40,9 @@
 fn no_combination_allows_a_forbidden_answer() {
     for_every_combination(|asked, stage, event, known, next, combination| {
         let read = matches!((stage, event), (Stage::AwaitingRevision(n), Event::ClusterState(r)) if r >= n);
-        let stored = stage == Stage::Writing && event == Event::Written(Written::Done);
+        let stored = stage == Stage::Writing && event == Event::WriteOutcome(WriteOutcome::Done);
         // went_back: a final status is answered as soon as it is known.
-        if known == Known::Over {
+        if known == KnownStatus::Over {
             assert_eq!(next, Next::Answer(Answer::Tell), "{combination}");
             return;
         }
@@ -57,21 +58,21 @@
         }
         // forgotten: 404 and 422 only after a read that shows no such job.
         if matches!(next, Next::Answer(Answer::Unknown | Answer::NeverRuns)) {
-            assert!(read && known == Known::Nothing && asked != Asked::Submitted, "{combination}");
+            assert!(read && known == KnownStatus::Nothing && asked != RequestKind::Submitted, "{combination}");
         }
-        assert!(next != Next::Answer(Answer::NeverRuns) || asked == Asked::Impossible, "{combination}");
+        assert!(next != Next::Answer(Answer::NeverRuns) || asked == RequestKind::Impossible, "{combination}");
         // invented: 201 only because of our write, to the user who submitted the job.
-        assert!(next != Next::Answer(Answer::Accepted) || (stored && asked == Asked::Submitted), "{combination}");
+        assert!(next != Next::Answer(Answer::Accepted) || (stored && asked == RequestKind::Submitted), "{combination}");
         // The answer is not older than the replica.
-        assert!(next != Next::Answer(Answer::Accepted) || known != Known::Running, "{combination}");
+        assert!(next != Next::Answer(Answer::Accepted) || known != KnownStatus::Running, "{combination}");
         // A cancellation is answered with a status only once it is written.
-        let is_live = matches!(known, Known::Queued | Known::Running);
-        if asked == Asked::Cancelled && next == Next::Answer(Answer::Tell) {
+        let is_live = matches!(known, KnownStatus::Queued | KnownStatus::Running);
+        if asked == RequestKind::Cancelled && next == Next::Answer(Answer::Tell) {
             assert!(stored, "{combination}");
         }
         // Only a job that the replica has can be cancelled.
         if next == Next::Stage(Stage::Writing) && stage != Stage::Writing {
-            assert!(asked == Asked::Cancelled && read && is_live, "{combination}");
+            assert!(asked == RequestKind::Cancelled && read && is_live, "{combination}");
         }
         // No request waits beyond its deadline.
         assert!(event != Event::Due || next == Next::Answer(Answer::Later), "{combination}");
@@ -83,13 +84,15 @@
 fn unrelated_events_leave_the_stage_unchanged() {
     for_every_combination(|asked, stage, event, known, next, combination| {
         let concerns = match (stage, event) {
-            (_, Event::Due) | (Stage::Queued, Event::ReadSent) | (Stage::Writing, Event::Written(_)) => true,
+            (_, Event::Due) | (Stage::Queued, Event::ReadSent) | (Stage::Writing, Event::WriteOutcome(_)) => true,
             (Stage::Reading, Event::Read(_) | Event::ReadFailed) => true,
             (Stage::AwaitingRevision(n), Event::ClusterState(r)) => r >= n,
-            (Stage::Writing, Event::ClusterState(_)) => asked == Asked::Cancelled && known == Known::Nothing,
+            (Stage::Writing, Event::ClusterState(_)) => {
+                asked == RequestKind::Cancelled && known == KnownStatus::Nothing
+            }
             _ => false,
         };
-        if !concerns && known != Known::Over {
+        if !concerns && known != KnownStatus::Over {
             assert_eq!(next, Next::Stage(stage), "{combination}");
         } else {
             assert_ne!(next, Next::Stage(stage), "{combination}");
@@ -104,14 +107,14 @@
 fn a_repeated_submission_is_answered_after_a_read() {
     let s = Duration::from_secs;
     let mut r = Requests::default();
-    r.came(1, "run-1", Asked::Submitted, Stage::Writing, s(2));
-    r.came(2, "run-1", Asked::Submitted, Stage::Queued, s(3));
-    let first = r.written("run-1", Asked::Submitted, Written::Done, |_| Known::Queued);
+    r.came(1, "run-1", RequestKind::Submitted, Stage::Writing, s(2));
+    r.came(2, "run-1", RequestKind::Submitted, Stage::Queued, s(3));
+    let first = r.written("run-1", RequestKind::Submitted, WriteOutcome::Done, |_| KnownStatus::Queued);
     assert_eq!(first.iter().map(|(r, a)| (r.conn, *a)).collect::<Vec<_>>(), vec![(1, Answer::Accepted)]);
-    assert!(r.queued() && r.event(Event::ReadSent, |_| Known::Queued).is_empty());
-    assert!(r.event(Event::Read(9), |_| Known::Queued).is_empty());
-    assert!(r.event(Event::ClusterState(8), |_| Known::Queued).is_empty());
-    let second = r.event(Event::ClusterState(9), |_| Known::Over);
+    assert!(r.queued() && r.event(Event::ReadSent, |_| KnownStatus::Queued).is_empty());
+    assert!(r.event(Event::Read(9), |_| KnownStatus::Queued).is_empty());
+    assert!(r.event(Event::ClusterState(8), |_| KnownStatus::Queued).is_empty());
+    let second = r.event(Event::ClusterState(9), |_| KnownStatus::Over);
     assert_eq!(second.iter().map(|(r, a)| (r.conn, *a)).collect::<Vec<_>>(), vec![(2, Answer::Tell)]);
 }
 
@@ -121,13 +124,13 @@
 fn a_request_past_its_deadline_gets_a_retry_time() {
     let s = Duration::from_secs;
     let mut r = Requests::default();
-    r.came(1, "run-1", Asked::Submitted, Stage::Writing, s(2));
-    r.came(2, "run-2", Asked::Cancelled, Stage::Writing, s(3));
+    r.came(1, "run-1", RequestKind::Submitted, Stage::Writing, s(2));
+    r.came(2, "run-2", RequestKind::Cancelled, Stage::Writing, s(3));
     assert!(r.cancelling().iter().eq(["run-2"]));
-    let late = r.due(s(2), |_| Known::Queued);
+    let late = r.due(s(2), |_| KnownStatus::Queued);
     assert_eq!(late.iter().map(|(r, a)| (r.conn, *a)).collect::<Vec<_>>(), vec![(1, Answer::Later)]);
-    assert!(r.due(s(2), |_| Known::Queued).is_empty());
+    assert!(r.due(s(2), |_| KnownStatus::Queued).is_empty());
     // The replica was read again and does not have the job yet.
-    assert!(r.event(Event::ClusterState(1), |_| Known::Nothing).is_empty());
+    assert!(r.event(Event::ClusterState(1), |_| KnownStatus::Nothing).is_empty());
     assert!(r.queued() && r.cancelling().is_empty());
 }
--- a/src/requests/transitions.rs
+++ b/src/requests/transitions.rs
@@ -10,7 +10,7 @@
 
 /// What a user asked about a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Asked {
+pub enum RequestKind {
     /// To run it.
     Submitted,
     /// To run it, although it can never run: refused, unless it was accepted before.
@@ -36,7 +36,7 @@
 
 /// What the replica knows of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Known {
+pub enum KnownStatus {
     Nothing,
     Queued,
     Running,
@@ -46,7 +46,7 @@
 
 /// The outcome of a write for a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Written {
+pub enum WriteOutcome {
     Done,
     /// The compare-and-swap failed: the record had changed.
     Void,
@@ -65,7 +65,7 @@
     ReadFailed,
     /// The replica has applied all changes up to this revision.
     ClusterState(u64),
-    Written(Written),
+    WriteOutcome(WriteOutcome),
     /// The request's deadline has passed.
     Due,
 }
@@ -96,8 +96,8 @@
 
 /// The table: the result of `event` for a request at `stage`, where the replica knows
 /// `known` of its job.
-pub(super) fn step(asked: Asked, stage: Stage, event: Event, known: Known) -> Next {
-    if known == Known::Over {
+pub(super) fn step(asked: RequestKind, stage: Stage, event: Event, known: KnownStatus) -> Next {
+    if known == KnownStatus::Over {
         return Next::Answer(Answer::Tell);
     }
     match (stage, event) {
@@ -108,9 +108,11 @@
         (Stage::AwaitingRevision(needed), Event::ClusterState(applied)) if applied >= needed => {
             after_read(asked, known)
         }
-        (Stage::Writing, Event::Written(outcome)) => after_write(asked, outcome, known),
+        (Stage::Writing, Event::WriteOutcome(outcome)) => after_write(asked, outcome, known),
         // The replica was read again, and may not have the job that is to be cancelled yet.
-        (Stage::Writing, Event::ClusterState(_)) if asked == Asked::Cancelled && known == Known::Nothing => {
+        (Stage::Writing, Event::ClusterState(_))
+            if asked == RequestKind::Cancelled && known == KnownStatus::Nothing =>
+        {
             Next::Stage(Stage::Queued)
         }
         _ => Next::Stage(stage),
@@ -119,28 +121,28 @@
 
 /// The result once the replica has everything that a read after the request's arrival
 /// could show.
-fn after_read(asked: Asked, known: Known) -> Next {
+fn after_read(asked: RequestKind, known: KnownStatus) -> Next {
     match (asked, known) {
-        (Asked::Cancelled, Known::Queued | Known::Running) => Next::Stage(Stage::Writing),
-        (_, Known::Queued | Known::Running | Known::Over) => Next::Answer(Answer::Tell),
+        (RequestKind::Cancelled, KnownStatus::Queued | KnownStatus::Running) => Next::Stage(Stage::Writing),
+        (_, KnownStatus::Queued | KnownStatus::Running | KnownStatus::Over) => Next::Answer(Answer::Tell),
         // Not accepted at the time of the read; a submission in flight may still be.
-        (Asked::Submitted, Known::Nothing) => Next::Answer(Answer::Later),
-        (Asked::Impossible, Known::Nothing) => Next::Answer(Answer::NeverRuns),
-        (Asked::State | Asked::Cancelled, Known::Nothing) => Next::Answer(Answer::Unknown),
+        (RequestKind::Submitted, KnownStatus::Nothing) => Next::Answer(Answer::Later),
+        (RequestKind::Impossible, KnownStatus::Nothing) => Next::Answer(Answer::NeverRuns),
+        (RequestKind::State | RequestKind::Cancelled, KnownStatus::Nothing) => Next::Answer(Answer::Unknown),
     }
 }
 
 /// The result once our write for the request has ended.
-fn after_write(asked: Asked, outcome: Written, known: Known) -> Next {
+fn after_write(asked: RequestKind, outcome: WriteOutcome, known: KnownStatus) -> Next {
     match (outcome, asked) {
         // The watch may have shown by now that the job runs already.
-        (Written::Done, Asked::Submitted) if known != Known::Running => Next::Answer(Answer::Accepted),
-        (Written::Done, _) => Next::Answer(Answer::Tell),
+        (WriteOutcome::Done, RequestKind::Submitted) if known != KnownStatus::Running => Next::Answer(Answer::Accepted),
+        (WriteOutcome::Done, _) => Next::Answer(Answer::Tell),
         // The job was accepted before. The replica may know that change alone, while other
         // controllers have answered with later ones: a read decides.
-        (Written::Void, Asked::Submitted) => Next::Stage(Stage::Queued),
+        (WriteOutcome::Void, RequestKind::Submitted) => Next::Stage(Stage::Queued),
         // The record has changed; the user retries and meets the new one.
-        (Written::Void | Written::Failed, _) => Next::Answer(Answer::Later),
-        (Written::Limited, _) => Next::Answer(Answer::Limited),
+        (WriteOutcome::Void | WriteOutcome::Failed, _) => Next::Answer(Answer::Later),
+        (WriteOutcome::Limited, _) => Next::Answer(Answer::Limited),
     }
 }
--- a/src/retry.rs
+++ b/src/retry.rs
@@ -28,7 +28,7 @@
     /// The renewal of the lease.
     Renew,
     /// A page of the initial scan.
-    Load,
+    Scan,
     Watch,
     /// The read that proves the replica fresh.
     Barrier,
@@ -46,7 +46,7 @@
 /// A service that is called; each has a circuit breaker of its own.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Side {
-    State,
+    Store,
     Cloud,
 }
 
@@ -54,8 +54,8 @@
     /// The service that is called.
     pub fn side(self) -> Side {
         match self {
-            Purpose::Lease | Purpose::Renew | Purpose::Load | Purpose::Watch | Purpose::Barrier | Purpose::Write => {
-                Side::State
+            Purpose::Lease | Purpose::Renew | Purpose::Scan | Purpose::Watch | Purpose::Barrier | Purpose::Write => {
+                Side::Store
             }
             Purpose::Catalog | Purpose::List | Purpose::Rent | Purpose::Release => Side::Cloud,
         }
@@ -66,7 +66,7 @@
     fn is_probe(self) -> bool {
         matches!(
             self,
-            Purpose::Lease | Purpose::Renew | Purpose::Load | Purpose::Barrier | Purpose::Catalog | Purpose::List
+            Purpose::Lease | Purpose::Renew | Purpose::Scan | Purpose::Barrier | Purpose::Catalog | Purpose::List
         )
     }
 }
@@ -108,9 +108,6 @@
     failures: BTreeMap<Side, u32>,
 }
 
-/// The old name of [`RetryPolicy`], until all callers use the new one.
-pub type Retries = RetryPolicy;
-
 impl RetryPolicy {
     /// `base` has the shortest pause of each purpose.
     pub fn new(seed: u64, base: impl IntoIterator<Item = (Purpose, Duration)>) -> RetryPolicy {
@@ -198,9 +195,6 @@
     last: Duration,
 }
 
-/// The old name of [`RetryAfter`], until all callers use the new one.
-pub type Returns = RetryAfter;
-
 /// Each time slot is given away this many times: clients are told when to come back, but no
 /// slot is kept for them, and unused ones are lost. With each slot given away once, the last
 /// of a crowd was accepted after 24 s instead of 10 s (simulated machines).
--- a/src/retry/tests.rs
+++ b/src/retry/tests.rs
@@ -32,22 +32,22 @@
     for _ in 0..FAILURES_TO_OPEN {
         retries.ended(Purpose::Write, Outcome::Failed, s(0.0));
     }
-    assert!(retries.is_open(Side::State) && !retries.is_open(Side::Cloud));
+    assert!(retries.is_open(Side::Store) && !retries.is_open(Side::Cloud));
     assert!(!retries.may(Purpose::Write, s(60.0)), "a write is no probe");
     assert!(retries.may(Purpose::Barrier, s(0.0)) && retries.may(Purpose::Lease, s(0.0)));
     retries.ended(Purpose::Barrier, Outcome::Failed, s(0.0));
     assert!(!retries.may(Purpose::Barrier, s(0.4)) && retries.may(Purpose::Barrier, s(1.5)));
     retries.ended(Purpose::Barrier, Outcome::Answered, s(0.1));
-    assert!(!retries.is_open(Side::State) && retries.may(Purpose::Write, s(0.1)), "waits on though it answers");
+    assert!(!retries.is_open(Side::Store) && retries.may(Purpose::Write, s(0.1)), "waits on though it answers");
 }
 
 /// After a start a thousand users came back after one second, all of them.
 #[test]
 fn a_crowd_gets_spread_retry_after_times() {
     let mut retries = RetryAfter::default();
-    let told: Vec<u32> = (0..4000).map(|_| retries.after(s(5.0), 50.0)).collect();
-    assert_eq!((told[0], told[198], told[2000]), (1, 1, 11));
-    assert!(told.windows(2).all(|w| w[0] <= w[1]) && told.iter().max() <= Some(&30));
+    let delays_s: Vec<u32> = (0..4000).map(|_| retries.after(s(5.0), 50.0)).collect();
+    assert_eq!((delays_s[0], delays_s[198], delays_s[2000]), (1, 1, 11));
+    assert!(delays_s.windows(2).all(|w| w[0] <= w[1]) && delays_s.iter().max() <= Some(&30));
     assert_eq!(retries.after(s(60.0), 50.0), 1, "the crowd is gone");
 }
 
@@ -73,7 +73,7 @@
         retries.ended(Purpose::Write, Outcome::Limited, s(0.0));
         retries.ended(Purpose::Rent, Outcome::Answered, s(0.0));
     }
-    assert!(!retries.is_open(Side::State) && !retries.is_open(Side::Cloud));
+    assert!(!retries.is_open(Side::Store) && !retries.is_open(Side::Cloud));
     assert!(
         !retries.may(Purpose::Write, s(0.1))
             && retries.may(Purpose::Lease, s(0.0))
--- a/src/scaling/mod.rs
+++ b/src/scaling/mod.rs
@@ -56,7 +56,7 @@
 /// on if it comes back within its lease; if it was given up, its tasks wait
 /// elsewhere for their images, `image_s`. Where that is long, it is given up
 /// later than at the ordinary `limit_s`, at the end of its lease at the latest.
-pub fn given_up_after_s(limit_s: f64, image_s: f64, lease_s: f64) -> f64 {
+pub fn declared_lost_after_s(limit_s: f64, image_s: f64, lease_s: f64) -> f64 {
     limit_s.max((image_s * RESTART_SHARE).min(lease_s))
 }
 
@@ -264,10 +264,10 @@
     /// 40 s and more for images elsewhere; with small images that is still right.
     #[test]
     fn machines_are_given_up_later_where_images_take_long() {
-        assert_eq!(given_up_after_s(5.0, 2.5, 18.0), 5.0);
-        assert_eq!(given_up_after_s(15.0, 50.0, 28.0), 25.0);
-        assert_eq!(given_up_after_s(15.0, 500.0, 28.0), 28.0);
-        assert_eq!(given_up_after_s(30.0, 500.0, 28.0), 30.0);
+        assert_eq!(declared_lost_after_s(5.0, 2.5, 18.0), 5.0);
+        assert_eq!(declared_lost_after_s(15.0, 50.0, 28.0), 25.0);
+        assert_eq!(declared_lost_after_s(15.0, 500.0, 28.0), 28.0);
+        assert_eq!(declared_lost_after_s(30.0, 500.0, 28.0), 30.0);
     }
 
     /// Machines that boot for services were room for gangs as well, which
--- a/src/state/cluster_state.rs
+++ b/src/state/cluster_state.rs
@@ -26,7 +26,7 @@
     /// Until it has applied them all, it must not be taken for complete.
     inherited_revision: u64,
     /// The number of tasks of a checkpoint.
-    pub chunk_size: u32,
+    pub checkpoint_size: u32,
     pub members: Versions<MemberRecord>,
     /// Counts the changes of members and of the leader.
     pub members_changed: u64,
@@ -68,15 +68,15 @@
 }
 
 impl ClusterState {
-    /// An empty replica with checkpoints of `chunk_size` tasks.
-    pub fn new(chunk_size: u32) -> ClusterState {
-        ClusterState { chunk_size, ..ClusterState::default() }
+    /// An empty replica with checkpoints of `checkpoint_size` tasks.
+    pub fn new(checkpoint_size: u32) -> ClusterState {
+        ClusterState { checkpoint_size, ..ClusterState::default() }
     }
 
     /// A replica to be filled by reading the whole store page by page, the first page at
     /// `revision`. Ends with `loaded`.
-    pub fn loading(chunk_size: u32, revision: u64) -> ClusterState {
-        ClusterState { snapshot: Some(SnapshotSegments::new(revision)), ..ClusterState::new(chunk_size) }
+    pub fn loading(checkpoint_size: u32, revision: u64) -> ClusterState {
+        ClusterState { snapshot: Some(SnapshotSegments::new(revision)), ..ClusterState::new(checkpoint_size) }
     }
 
     /// The format of the records according to the last leader; 0 before there were logs.
@@ -87,11 +87,11 @@
     /// Notes that every change up to `revision` has been applied.
     pub fn reached(&mut self, revision: u64) {
         self.revision = self.revision.max(revision);
-        self.note_known_revision(revision);
+        self.observe_revision(revision);
     }
 
     /// Notes that a change at `revision` is known, though perhaps not all those before it.
-    pub fn note_known_revision(&mut self, revision: u64) {
+    pub fn observe_revision(&mut self, revision: u64) {
         self.known_revision = self.known_revision.max(revision);
     }
 
@@ -103,23 +103,23 @@
     /// Makes this replica the successor of an older one. Responses may have arrived while
     /// this one was read, and what was answered because of them remains answered.
     pub fn follows(&mut self, older: &ClusterState) {
-        self.note_known_revision(older.known_revision);
+        self.observe_revision(older.known_revision);
         self.inherited_revision = older.known_revision;
     }
 
     /// Whether this replica contains every change that its predecessor knew.
-    pub fn has_all_known(&self) -> bool {
+    pub fn has_applied_all_known(&self) -> bool {
         self.revision >= self.inherited_revision
     }
 
     /// Applies a put, unless the known record is as new. A key or a value of unknown form
     /// is ignored.
     pub fn put(&mut self, key: &str, data: &Value, version: u64) {
-        self.note_known_revision(version);
+        self.observe_revision(version);
         let Some(key) = parse_key(key) else { return };
         match key {
             Key::Term => update(&mut self.term, data, version),
-            Key::Lead => {
+            Key::Leader => {
                 self.members_changed += 1;
                 update(&mut self.leader, data, version);
             }
@@ -127,13 +127,13 @@
                 self.members_changed += 1;
                 update_named(&mut self.members, name, data, version);
             }
-            Key::Host(name) => self.put_machine_group(name, data, version),
-            Key::Block(member) => self.put_shard_grant(member, data, version),
+            Key::MachineGroup(name) => self.put_machine_group(name, data, version),
+            Key::ShardGrant(member) => self.put_shard_grant(member, data, version),
             Key::MachineGroups => self.machine_groups_version = version.max(self.machine_groups_version),
             Key::Catalog => update(&mut self.catalog, data, version),
             Key::Maintenance => update(&mut self.maintenance, data, version),
             Key::Team(name) => update_named(&mut self.teams, name, data, version),
-            Key::Job(_) | Key::Chunk(..) | Key::Log(..) => self.put_job_data(key, data, version),
+            Key::Job(_) | Key::TaskRangeCheckpoint(..) | Key::LogSegment(..) => self.put_job_data(key, data, version),
         }
     }
 
@@ -145,12 +145,12 @@
                     self.put_job(uid, record, version);
                 }
             }
-            Key::Chunk(uid, number) => {
+            Key::TaskRangeCheckpoint(uid, number) => {
                 if let Some(record) = from_value(data) {
                     self.put_checkpoint(uid, number, record, version);
                 }
             }
-            Key::Log(member, slot) => {
+            Key::LogSegment(member, slot) => {
                 if let Some(record) = from_value(data) {
                     self.put_segment(member, slot, record, version);
                 }
@@ -161,11 +161,11 @@
 
     /// Applies a deletion, unless the known record is newer.
     pub fn delete(&mut self, key: &str, version: u64) {
-        self.note_known_revision(version);
+        self.observe_revision(version);
         let Some(key) = parse_key(key) else { return };
         match key {
             Key::Term => remove(&mut self.term, version),
-            Key::Lead => {
+            Key::Leader => {
                 self.members_changed += 1;
                 remove(&mut self.leader, version);
             }
@@ -173,16 +173,16 @@
                 self.members_changed += 1;
                 remove_named(&mut self.members, name, version);
             }
-            Key::Host(name) => self.delete_machine_group(name, version),
+            Key::MachineGroup(name) => self.delete_machine_group(name, version),
             // Jobs are never deleted, and checkpoints only with the end of their job.
             Key::Job(_)
-            | Key::Chunk(..)
-            | Key::Log(..)
+            | Key::TaskRangeCheckpoint(..)
+            | Key::LogSegment(..)
             | Key::Team(_)
             | Key::MachineGroups
             | Key::Catalog
             | Key::Maintenance
-            | Key::Block(_) => {}
+            | Key::ShardGrant(_) => {}
         }
     }
 }
--- a/src/state/cluster_state/tests.rs
+++ b/src/state/cluster_state/tests.rs
@@ -26,7 +26,7 @@
     newer.loaded();
     newer.follows(&older);
     assert_eq!((newer.revision, newer.known_revision(), newer.cancelled_since(8).count()), (9, 10, 0));
-    assert!(!newer.has_all_known() && older.has_all_known());
+    assert!(!newer.has_applied_all_known() && older.has_applied_all_known());
     newer.reached(10);
-    assert!(newer.has_all_known());
+    assert!(newer.has_applied_all_known());
 }
--- a/src/state/job_table.rs
+++ b/src/state/job_table.rs
@@ -24,13 +24,13 @@
     pub fn cancelled_elsewhere(&mut self, uid: &str, revision: u64) {
         let Some(job) = self.jobs.get(uid).filter(|job| !job.cancelled()) else { return };
         let record = JobRecord { end: Some(Status::Cancelled), ..job.rec.rec.clone() };
-        self.note_known_revision(revision);
+        self.observe_revision(revision);
         self.put_job(uid, record, revision);
     }
 
     /// Whether no task of the job may start or keep running: it is cancelled, over or
     /// unknown.
-    pub fn lets_go(&self, uid: &str) -> bool {
+    pub fn must_not_run(&self, uid: &str) -> bool {
         self.jobs.get(uid).is_none_or(Job::cancelled)
     }
 
@@ -46,7 +46,7 @@
 
     /// The number of tasks that are or may be on machines, by zone. Empty for a job
     /// without zone affinity or anti-affinity.
-    pub fn zones_of(&self, job: &Job) -> BTreeMap<String, u32> {
+    pub fn tasks_by_zone(&self, job: &Job) -> BTreeMap<String, u32> {
         let mut tasks_by_zone = BTreeMap::new();
         if !job.spec.zone_affinity && !job.spec.zone_anti_affinity {
             return tasks_by_zone;
--- a/src/state/keys.rs
+++ b/src/state/keys.rs
@@ -17,9 +17,9 @@
 /// The key of `MaintenanceRecord`.
 pub const MAINTENANCE_KEY: &str = "fq/upkeep";
 /// The prefix of the keys of `ShardGrantRecord`.
-pub const SHARD_GRANTS: &str = "fq/b/";
+pub const SHARD_GRANTS_PREFIX: &str = "fq/b/";
 /// The prefix of the keys of `TeamRecord`.
-pub const TEAMS: &str = "fq/q/";
+pub const TEAMS_PREFIX: &str = "fq/q/";
 
 /// The slots of a controller's log, which is a ring buffer of segments. The next segment
 /// overwrites the oldest one, whose contents must be in checkpoints by then.
@@ -27,7 +27,7 @@
 /// At two segments a second an array job of the usual length ends before its segments
 /// are overwritten, so that most of them never need a checkpoint; reading the store takes
 /// a few more pages in return.
-pub const RING: u64 = 256;
+pub const LOG_SLOTS: u64 = 256;
 
 /// The key of a member's `MemberRecord`.
 pub fn member_key(name: &str) -> String {
@@ -36,7 +36,7 @@
 
 /// The key of a member's `ShardGrantRecord`.
 pub fn shard_grant_key(member: &str) -> String {
-    format!("{SHARD_GRANTS}{member}")
+    format!("{SHARD_GRANTS_PREFIX}{member}")
 }
 
 /// The key of a job's `JobRecord`.
@@ -46,17 +46,17 @@
 
 /// The key of the log slot that the member's segment `seq` is written to.
 pub fn log_key(member: &str, seq: u64) -> String {
-    format!("fq/l/{member}/{}", seq % RING)
+    format!("fq/l/{member}/{}", seq % LOG_SLOTS)
 }
 
 /// The key of the `TaskRangeCheckpoint` number `chunk` of a job.
-pub fn chunk_key(uid: &str, chunk: u32) -> String {
+pub fn checkpoint_key(uid: &str, chunk: u32) -> String {
     format!("fq/t/{uid}/{chunk}")
 }
 
 /// The key of a team's `TeamRecord`.
 pub fn team_key(name: &str) -> String {
-    format!("{TEAMS}{name}")
+    format!("{TEAMS_PREFIX}{name}")
 }
 
 /// The key of a `MachineGroupRecord`; `name` is the name of the group's first machine.
@@ -68,22 +68,22 @@
 #[derive(Debug, PartialEq, Eq)]
 pub enum Key<'a> {
     Term,
-    Lead,
+    Leader,
     MachineGroups,
     Catalog,
     Maintenance,
     /// A member.
     Member(&'a str),
     /// A shard grant, by member.
-    Block(&'a str),
+    ShardGrant(&'a str),
     /// A job.
     Job(&'a str),
     /// A task-range checkpoint: job and number.
-    Chunk(&'a str, u32),
+    TaskRangeCheckpoint(&'a str, u32),
     /// A log segment: member and slot.
-    Log(&'a str, u64),
+    LogSegment(&'a str, u64),
     /// A machine group.
-    Host(&'a str),
+    MachineGroup(&'a str),
     /// A team.
     Team(&'a str),
 }
@@ -92,7 +92,7 @@
 pub fn parse_key(key: &str) -> Option<Key<'_>> {
     match key {
         TERM_KEY => Some(Key::Term),
-        LEADER_KEY => Some(Key::Lead),
+        LEADER_KEY => Some(Key::Leader),
         MACHINE_GROUPS_KEY => Some(Key::MachineGroups),
         CATALOG_KEY => Some(Key::Catalog),
         MAINTENANCE_KEY => Some(Key::Maintenance),
@@ -104,17 +104,17 @@
     let (kind, name) = key.strip_prefix(PREFIX)?.split_once('/')?;
     match kind {
         "m" => Some(Key::Member(name)),
-        "b" => Some(Key::Block(name)),
+        "b" => Some(Key::ShardGrant(name)),
         "j" => Some(Key::Job(name)),
-        "h" => Some(Key::Host(name)),
+        "h" => Some(Key::MachineGroup(name)),
         "q" => Some(Key::Team(name)),
         "l" => {
             let (member, slot) = name.rsplit_once('/')?;
-            Some(Key::Log(member, slot.parse().ok()?))
+            Some(Key::LogSegment(member, slot.parse().ok()?))
         }
         "t" => {
             let (uid, chunk) = name.rsplit_once('/')?;
-            Some(Key::Chunk(uid, chunk.parse().ok()?))
+            Some(Key::TaskRangeCheckpoint(uid, chunk.parse().ok()?))
         }
         _ => None,
     }
@@ -123,16 +123,16 @@
 /// Whether the key is never deleted once it exists.
 pub fn lasts(key: &str) -> bool {
     match parse_key(key) {
-        Some(Key::Lead | Key::Member(_) | Key::Host(_) | Key::Chunk(..)) | None => false,
+        Some(Key::Leader | Key::Member(_) | Key::MachineGroup(_) | Key::TaskRangeCheckpoint(..)) | None => false,
         Some(
             Key::Term
             | Key::MachineGroups
             | Key::Catalog
             | Key::Maintenance
-            | Key::Block(_)
+            | Key::ShardGrant(_)
             | Key::Job(_)
             | Key::Team(_)
-            | Key::Log(..),
+            | Key::LogSegment(..),
         ) => true,
     }
 }
--- a/src/state/log_replay.rs
+++ b/src/state/log_replay.rs
@@ -82,7 +82,7 @@
             BTreeMap::new()
         });
         log.seq = log.seq.max(record.seq);
-        let touched = touched_checkpoints(&entries, self.chunk_size);
+        let touched = touched_checkpoints(&entries, self.checkpoint_size);
         log.slots.insert(slot, LogSlot { version, seq: record.seq, touched });
         for (uid, job_entries) in &entries {
             self.replay_job_entries(uid, job_entries, version);
@@ -92,7 +92,7 @@
     /// Replays entries about one job's tasks. A checkpoint that contains the segment is
     /// left as it is, and a job that is over needs no entries.
     fn replay_job_entries(&mut self, uid: &str, entries: &Facts, version: u64) {
-        let size = self.chunk_size;
+        let size = self.checkpoint_size;
         let Some(job) = self.jobs.get_mut(uid) else { return };
         let task_count = job.spec.task_count;
         let range_count = job.checkpoint_count(size);
--- a/src/state/log_replay/tests.rs
+++ b/src/state/log_replay/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::protocol::user::JobSpec;
 use crate::state::TaskRangeState;
-use crate::state::keys::{RING, chunk_key, job_key, log_key};
+use crate::state::keys::{LOG_SLOTS, checkpoint_key, job_key, log_key};
 use crate::state::records::JobRecord;
 use crate::state::task_placement::Placement;
 use crate::state::versioned::to_value;
@@ -114,14 +114,16 @@
 
 /// Writes checkpoints of what the segment contains that `seq` is about to overwrite.
 fn checkpoint_overwritten_segment(store: &mut Store, replica: &mut ClusterState, member: &str, seq: u64) {
-    let Some(slot) = replica.logs.get(member).and_then(|log| log.slots.get(&(seq % RING))).cloned() else { return };
+    let Some(slot) = replica.logs.get(member).and_then(|log| log.slots.get(&(seq % LOG_SLOTS))).cloned() else {
+        return;
+    };
     store.watch(replica);
     for (uid, number) in &slot.touched {
         let range = &replica.jobs[uid].chunks[number];
         if range.rec.as_of_revision < slot.version {
             assert!(range.last <= replica.revision);
             let checkpoint = TaskRangeCheckpoint { as_of_revision: replica.revision, ..range.rec.clone() };
-            store.put(chunk_key(uid, *number), to_value(&checkpoint));
+            store.put(checkpoint_key(uid, *number), to_value(&checkpoint));
             store.watch(replica);
         }
     }
--- a/src/state/log_segment.rs
+++ b/src/state/log_segment.rs
@@ -10,7 +10,7 @@
 //! the replica has no placement, and the removal of an attempt only where it has its
 //! placement.
 
-pub use super::keys::RING;
+pub use super::keys::LOG_SLOTS;
 
 use super::task_placement::Placement;
 use serde::{Deserialize, Serialize};
--- a/src/state/machine_groups.rs
+++ b/src/state/machine_groups.rs
@@ -80,7 +80,7 @@
     ///
     /// Whoever rewrites a group for another reason writes this: the grant in its record may
     /// be an older one, which would apply again by being written.
-    pub fn in_force(&self, group: &Versioned<MachineGroupRecord>) -> MachineGroupRecord {
+    pub fn with_current_grant(&self, group: &Versioned<MachineGroupRecord>) -> MachineGroupRecord {
         let ShardGrantRecord { incarnation, term, epoch } = self.grant(group).terms;
         MachineGroupRecord { incarnation, term, epoch, ..group.rec.clone() }
     }
--- a/src/state/machine_groups/tests.rs
+++ b/src/state/machine_groups/tests.rs
@@ -41,7 +41,7 @@
     // A machine of the group was marked for draining: written with its own old grant, the
     // group went back to the earlier incarnation, and the whole shard was granted again
     // and again.
-    let marked = state.in_force(&state.machine_groups["m-1"]);
+    let marked = state.with_current_grant(&state.machine_groups["m-1"]);
     state.put("fq/h/m-1", &to_value(&marked), 7);
     let machine = &state.machines["m-2"];
     assert!(state.owned(&machine.rec) && state.restarted().is_empty());
--- a/src/state/objectives.rs
+++ b/src/state/objectives.rs
@@ -1,7 +1,7 @@
 //! The service-level objectives from the settings, and how well they were met recently.
 
+use crate::config::Objective;
 use crate::protocol::user::{JobKind, JobSpec};
-use crate::settings::Objective;
 
 /// Misses that the running share remembers when an objective is just met: a share of 0.9
 /// can be distinguished from one of 0.95 only over some twenty jobs.
@@ -16,17 +16,17 @@
 
 /// All objectives, and how well each was met recently.
 #[derive(Debug)]
-pub struct Aims {
+pub struct Objectives {
     objectives: Vec<Objective>,
     /// The running share of jobs that met each objective.
     met_shares: Vec<f64>,
 }
 
-impl Aims {
+impl Objectives {
     /// These objectives, counted as met so far.
-    pub fn new(objectives: Vec<Objective>) -> Aims {
+    pub fn new(objectives: Vec<Objective>) -> Objectives {
         let met_shares = vec![1.0; objectives.len()];
-        Aims { objectives, met_shares }
+        Objectives { objectives, met_shares }
     }
 
     fn of<'a>(&'a self, kind: &'a str, class: &'a str) -> impl Iterator<Item = &'a Objective> {
--- a/src/state/records.rs
+++ b/src/state/records.rs
@@ -2,10 +2,11 @@
 
 pub use super::index_ranges::{add_to_ranges, count_ranges, in_ranges};
 pub use super::keys::{
-    BARRIER_KEY, CATALOG_KEY, Key, LEADER_KEY, MACHINE_GROUPS_KEY, MAINTENANCE_KEY, PREFIX, SHARD_GRANTS, TEAMS,
-    TERM_KEY, chunk_key, job_key, lasts, log_key, machine_group_key, member_key, parse_key, shard_grant_key, team_key,
+    BARRIER_KEY, CATALOG_KEY, Key, LEADER_KEY, MACHINE_GROUPS_KEY, MAINTENANCE_KEY, PREFIX, SHARD_GRANTS_PREFIX,
+    TEAMS_PREFIX, TERM_KEY, checkpoint_key, job_key, lasts, log_key, machine_group_key, member_key, parse_key,
+    shard_grant_key, team_key,
 };
-pub use super::sizing::{checkpoint_bytes, chunk_size, lease_size};
+pub use super::sizing::{checkpoint_bytes, checkpoint_size, task_range_size};
 pub use super::task_placement::Placement;
 pub use super::versioned::{Versioned, Versions, from_value, to_value};
 
@@ -88,7 +89,7 @@
 }
 
 /// The state of a fixed number of consecutive tasks of a job, as the logs have it. Key:
-/// `chunk_key`. Written by any controller whose log is about to overwrite a segment with
+/// `checkpoint_key`. Written by any controller whose log is about to overwrite a segment with
 /// entries on these tasks.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct TaskRangeCheckpoint {
--- a/src/state/service_levels.rs
+++ b/src/state/service_levels.rs
@@ -11,7 +11,7 @@
 use std::collections::BTreeMap;
 
 /// A class or team with a share below this counts as hardly served.
-pub const HALF: f64 = 0.5;
+pub const HARDLY_SERVED_SHARE: f64 = 0.5;
 /// The least number of jobs for which a share is reported.
 const FEWEST_JOBS: u32 = 8;
 /// The quantile of a class above which its jobs count as the largest.
@@ -134,8 +134,8 @@
     pub fn tallies<'a>(&self, jobs: impl Iterator<Item = &'a Job>, now_ms: u64) -> BTreeMap<JobGroup, ServiceTally> {
         let mut tallies: BTreeMap<JobGroup, ServiceTally> = BTreeMap::new();
         for (group, EndedCount { judged, in_time }) in &self.ended {
-            let tally = ServiceTally { judged: *judged, in_time: *in_time, ..ServiceTally::default() };
-            tallies.insert(group.clone(), tally);
+            let counts = ServiceTally { judged: *judged, in_time: *in_time, ..ServiceTally::default() };
+            tallies.insert(group.clone(), counts);
         }
         let live: Vec<&Job> = jobs.filter(|job| !job.cancelled()).collect();
         let mut sizes = self.sizes.clone();
@@ -151,16 +151,16 @@
     }
 }
 
-fn add_live_job(tally: &mut ServiceTally, job: &Job, now_ms: u64) {
-    tally.live += 1;
+fn add_live_job(counts: &mut ServiceTally, job: &Job, now_ms: u64) {
+    counts.live += 1;
     if job.placed == 0 && job.done == 0 {
         let age_s = now_ms.saturating_sub(job.rec.rec.at_ms) / 1000;
-        tally.untouched += 1;
-        tally.waits_s = tally.waits_s.max(age_s);
+        counts.untouched += 1;
+        counts.waits_s = counts.waits_s.max(age_s);
     }
     if job.spec.kind == JobKind::Service {
-        tally.replicas += job.spec.task_count;
-        tally.placed += job.placed;
+        counts.replicas += job.spec.task_count;
+        counts.placed += job.placed;
     }
 }
 
--- a/src/state/service_levels/tests.rs
+++ b/src/state/service_levels/tests.rs
@@ -17,7 +17,7 @@
         s.note(&spec("scores", "treasury"), false);
     }
     let t = s.tallies(std::iter::empty(), 0);
-    assert!(t[&JobGroup::Class("scores".into())].least_share().unwrap() > HALF);
+    assert!(t[&JobGroup::Class("scores".into())].least_share().unwrap() > HARDLY_SERVED_SHARE);
     assert_eq!(t[&JobGroup::Team("treasury".into())].least_share(), Some(0.0));
     assert_eq!(t[&JobGroup::Team("risk".into())].least_share(), Some(1.0));
 }
@@ -36,9 +36,9 @@
         }
     }
     let t = s.tallies(std::iter::empty(), 0);
-    assert!(t[&JobGroup::Class("scores".into())].least_share().unwrap() > HALF);
+    assert!(t[&JobGroup::Class("scores".into())].least_share().unwrap() > HARDLY_SERVED_SHARE);
     let largest = t[&JobGroup::Largest("scores".into())];
-    assert!(largest.judged >= 20 && largest.least_share().unwrap() < HALF, "{largest:?}");
+    assert!(largest.judged >= 20 && largest.least_share().unwrap() < HARDLY_SERVED_SHARE, "{largest:?}");
     let mut alike = Served::default();
     (0..20).for_each(|_| alike.note(&sized(3, 1.0), false));
     assert!(!alike.tallies(std::iter::empty(), 0).contains_key(&JobGroup::Largest("scores".into())));
--- a/src/state/sizing.rs
+++ b/src/state/sizing.rs
@@ -18,7 +18,7 @@
 /// done. Controllers share a job by whole checkpoints, so the more writes a second each
 /// controller has, the fewer tasks a checkpoint holds and the more controllers can start
 /// the job side by side.
-pub fn chunk_size(value_kb: f64, writes_each: f64) -> u32 {
+pub fn checkpoint_size(value_kb: f64, writes_each: f64) -> u32 {
     let full = value_kb * 1024.0 / f64::from(PLACEMENT_BYTES);
     let part = full * FULL_CHECKPOINT_WRITES / writes_each.max(FULL_CHECKPOINT_WRITES * 2.0);
     (part as u32).clamp(FEWEST_TASKS, MOST_TASKS)
@@ -29,7 +29,7 @@
 ///
 /// Checkpoints are not split between ranges. All ranges together take at most half of the
 /// job's record; the rest of it is for the job's specification.
-pub fn lease_size(value_kb: f64, name: usize, chunk: u32, task_count: u32) -> u32 {
+pub fn task_range_size(value_kb: f64, name: usize, chunk: u32, task_count: u32) -> u32 {
     let most_ranges = (value_kb * 1024.0 / 2.0) as usize / (TASK_RANGE_BYTES + name);
     chunk * task_count.div_ceil(chunk).div_ceil(most_ranges.max(1) as u32).max(1)
 }
--- a/src/transport/event_loop.rs
+++ b/src/transport/event_loop.rs
@@ -3,9 +3,9 @@
 use super::listeners::{Listeners, PEER_LISTENER, USER_LISTENER};
 use super::network::Network;
 use super::operator_file::OperatorFile;
+use crate::config::{Settings, Workers};
 use crate::controller::Controller;
 use crate::effects::{Action, Event, Instant};
-use crate::settings::{Settings, Workers};
 use mio::{Events, Poll, Token};
 use std::io;
 use std::path::PathBuf;
--- a/src/transport/listeners.rs
+++ b/src/transport/listeners.rs
@@ -3,9 +3,9 @@
 use super::connection::{Connection, Role};
 use super::http::{self, Parsed};
 use super::network::Network;
+use crate::config::Settings;
 use crate::effects::{ConnId, Event};
 use crate::protocol::BODY_LIMIT;
-use crate::settings::Settings;
 use mio::net::{TcpListener, TcpStream};
 use mio::{Interest, Registry, Token};
 use std::io;
--- a/src/transport/operator_file.rs
+++ b/src/transport/operator_file.rs
@@ -1,7 +1,7 @@
 //! Watching the operator's file for changes while the process runs.
 
+use crate::config::{Operator, Team};
 use crate::effects::Instant;
-use crate::settings::{Operator, Team};
 use std::path::PathBuf;
 use std::time::{Duration, SystemTime};
 
--- a/src/transport/tests.rs
+++ b/src/transport/tests.rs
@@ -3,8 +3,8 @@
 use super::listeners::USER_LISTENER;
 use super::network::Network;
 use super::operator_file::OperatorFile;
+use crate::config::Settings;
 use crate::effects::{Action, CallId, Event, Target};
-use crate::settings::Settings;
 use mio::net::TcpListener;
 use mio::{Events, Interest, Poll};
 use std::io::{Read, Write};
--- a/tests/forms/configuration.rs
+++ b/tests/forms/configuration.rs
@@ -1,6 +1,6 @@
 //! The settings file that the platform hands over: every field is read from its key.
 
-use finchquay::settings::Settings;
+use finchquay::config::Settings;
 use std::path::Path;
 
 const FILE: &str = include_str!("fixtures/settings.toml");
--- a/tests/forms/operator_file.rs
+++ b/tests/forms/operator_file.rs
@@ -1,7 +1,7 @@
 //! The operator's file: every attribute and block is read from its name, others are
 //! refused, and what is left out has its default.
 
-use finchquay::settings::{Operator, Settings, Team};
+use finchquay::config::{Operator, Settings, Team};
 use std::path::{Path, PathBuf};
 
 fn fixture() -> PathBuf {
--- a/tests/forms/stored_keys.rs
+++ b/tests/forms/stored_keys.rs
@@ -1,9 +1,10 @@
 //! Keys of the stored records: their text, how it is taken apart, and which keys are
 //! never deleted once they exist.
 
-use finchquay::state::log_segment::RING;
+use finchquay::state::log_segment::LOG_SLOTS;
 use finchquay::state::records::{
-    self, Key, chunk_key, job_key, lasts, log_key, machine_group_key, member_key, parse_key, shard_grant_key, team_key,
+    self, Key, checkpoint_key, job_key, lasts, log_key, machine_group_key, member_key, parse_key, shard_grant_key,
+    team_key,
 };
 
 #[test]
@@ -15,8 +16,8 @@
     assert_eq!(records::MACHINE_GROUPS_KEY, "fq/packs");
     assert_eq!(records::CATALOG_KEY, "fq/catalog");
     assert_eq!(records::MAINTENANCE_KEY, "fq/upkeep");
-    assert_eq!(records::SHARD_GRANTS, "fq/b/");
-    assert_eq!(records::TEAMS, "fq/q/");
+    assert_eq!(records::SHARD_GRANTS_PREFIX, "fq/b/");
+    assert_eq!(records::TEAMS_PREFIX, "fq/q/");
 }
 
 #[test]
@@ -24,7 +25,7 @@
     assert_eq!(member_key("perch-0"), "fq/m/perch-0");
     assert_eq!(shard_grant_key("perch-0"), "fq/b/perch-0");
     assert_eq!(job_key("run-000412"), "fq/j/run-000412");
-    assert_eq!(chunk_key("run-000412", 3), "fq/t/run-000412/3");
+    assert_eq!(checkpoint_key("run-000412", 3), "fq/t/run-000412/3");
     assert_eq!(team_key("search"), "fq/q/search");
     assert_eq!(machine_group_key("host-000231"), "fq/h/host-000231");
 }
@@ -32,7 +33,7 @@
 /// A log is a ring: a slot is the number of the segment modulo its length.
 #[test]
 fn keys_of_log_slots_stay() {
-    assert_eq!(RING, 256);
+    assert_eq!(LOG_SLOTS, 256);
     assert_eq!(log_key("perch-0", 0), "fq/l/perch-0/0");
     assert_eq!(log_key("perch-0", 255), "fq/l/perch-0/255");
     assert_eq!(log_key("perch-0", 256), "fq/l/perch-0/0");
@@ -43,17 +44,17 @@
 fn every_kind_of_key_is_parsed() {
     for (key, expected, permanent) in [
         ("fq/term", Key::Term, true),
-        ("fq/lead", Key::Lead, false),
+        ("fq/lead", Key::Leader, false),
         ("fq/packs", Key::MachineGroups, true),
         ("fq/catalog", Key::Catalog, true),
         ("fq/upkeep", Key::Maintenance, true),
         ("fq/m/perch-0", Key::Member("perch-0"), false),
-        ("fq/b/perch-0", Key::Block("perch-0"), true),
+        ("fq/b/perch-0", Key::ShardGrant("perch-0"), true),
         ("fq/j/run-000412", Key::Job("run-000412"), true),
-        ("fq/t/run-000412/3", Key::Chunk("run-000412", 3), false),
-        ("fq/l/perch-0/255", Key::Log("perch-0", 255), true),
-        ("fq/l/a/b/7", Key::Log("a/b", 7), true),
-        ("fq/h/host-000231", Key::Host("host-000231"), false),
+        ("fq/t/run-000412/3", Key::TaskRangeCheckpoint("run-000412", 3), false),
+        ("fq/l/perch-0/255", Key::LogSegment("perch-0", 255), true),
+        ("fq/l/a/b/7", Key::LogSegment("a/b", 7), true),
+        ("fq/h/host-000231", Key::MachineGroup("host-000231"), false),
         ("fq/q/search", Key::Team("search"), true),
     ] {
         assert_eq!(parse_key(key), Some(expected), "{key}");
--- a/tests/forms/stored_records.rs
+++ b/tests/forms/stored_records.rs
@@ -87,7 +87,7 @@
     }
 }
 
-fn full_upkeep() -> MaintenanceRecord {
+fn full_maintenance() -> MaintenanceRecord {
     MaintenanceRecord {
         name: "2026-12-hall-a".into(),
         upto: "host-000900".into(),
@@ -176,7 +176,7 @@
 
 #[test]
 fn records_of_maintenance_stay() {
-    stored_form("record-upkeep", &full_upkeep());
+    stored_form("record-upkeep", &full_maintenance());
     stored_form("record-upkeep-default", &MaintenanceRecord::default());
 }
 
--- a/tests/maintenance/mod.rs
+++ b/tests/maintenance/mod.rs
@@ -4,9 +4,9 @@
 use crate::reconciliation::seeds;
 use crate::world::helpers::{random_failures, running};
 use crate::world::{SMALL, Size, World, array, s, service};
+use finchquay::config::Operator;
 use finchquay::maintenance::budget::Budget;
 use finchquay::maintenance::campaign::Campaign;
-use finchquay::settings::Operator;
 use rand::RngExt;
 
 const REPLICAS: usize = 60;
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -26,7 +26,7 @@
 use digest::Recorder;
 use events::{Pending, WorldEvent};
 use faults::Faults;
-use finchquay::settings::Operator;
+use finchquay::config::Operator;
 pub use jobs::{Job, array, gang, service};
 use nodes::Node;
 use rand::SeedableRng;
--- a/tests/world/nodes.rs
+++ b/tests/world/nodes.rs
@@ -5,10 +5,10 @@
 use super::settings::settings;
 use super::{World, s};
 use ciborium::Value;
+use finchquay::config::{Operator, Settings};
 use finchquay::controller::Controller;
 use finchquay::effects::{Action, Event, NoAnswer, Target};
 use finchquay::protocol::peer;
-use finchquay::settings::{Operator, Settings};
 use rand::RngExt;
 
 /// One controller, and what passes between it and the rest.
--- a/tests/world/settings.rs
+++ b/tests/world/settings.rs
@@ -1,6 +1,6 @@
 //! The settings of a world: the figures that the controllers are configured with, and its size.
 
-use finchquay::settings::Settings;
+use finchquay::config::Settings;
 use std::path::Path;
 
 pub const REPORT_S: f64 = 2.0;
