--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -13,6 +13,7 @@
 //! ```
 
 #![warn(missing_docs)]
+#![cfg_attr(not(test), warn(clippy::unwrap_used))]
 
 mod endpoints;
 pub mod retry;
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -2,6 +2,8 @@
 //! (state store, cloud, machines), starts real controllers as child processes,
 //! submits load, injects faults, and checks the recorded history.
 
+#![cfg_attr(not(test), warn(clippy::unwrap_used))]
+
 pub mod bucket;
 pub mod checker;
 pub mod cloud;
--- a/crates/explorer/src/lib.rs
+++ b/crates/explorer/src/lib.rs
@@ -4,6 +4,7 @@
 //! that are lost, late and reordered; a model says which code it stands for.
 
 #![warn(missing_docs)]
+#![cfg_attr(not(test), warn(clippy::unwrap_used))]
 
 use std::collections::HashSet;
 use std::fmt;
--- a/crates/hclfile/src/lib.rs
+++ b/crates/hclfile/src/lib.rs
@@ -3,6 +3,7 @@
 //! numbers serve checks made later: `File::refuse` finds the key by its path.
 
 #![warn(missing_docs)]
+#![cfg_attr(not(test), warn(clippy::unwrap_used))]
 
 mod locate;
 
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -6,6 +6,7 @@
 //! borsh frames among themselves, see [`peer`].
 
 #![warn(missing_docs)]
+#![cfg_attr(not(test), warn(clippy::unwrap_used))]
 
 pub mod cloud;
 pub mod peer;
--- a/src/coordination/rate_limiter.rs
+++ b/src/coordination/rate_limiter.rs
@@ -8,7 +8,7 @@
 //! charged.
 //!
 //! Higher priorities may borrow from lower ones, in steps, up to one second's worth of
-//! writes. A priority that has waited for the time of some writes (see [`OVERDUE_WRITES`])
+//! writes. A priority that has waited for the time of some writes (see `OVERDUE_WRITES`)
 //! may borrow as much as the highest one, and higher priorities leave room for one write of
 //! it. So no priority starves.
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,6 +1,8 @@
 //! finchquay: a cluster scheduler whose controllers keep jobs running on
 //! rented machines. `docs/design.md` says how, and why it is safe.
 
+#![cfg_attr(not(test), warn(clippy::unwrap_used))]
+
 pub mod config;
 pub mod connectivity;
 pub mod controller;
--- a/src/state/records.rs
+++ b/src/state/records.rs
@@ -1,4 +1,4 @@
-//! The records kept in the store. Their keys are in [`super::keys`].
+//! The records kept in the store. Their keys are in the module `keys`.
 
 pub use super::index_ranges::{add_to_ranges, count_ranges, in_ranges};
 pub use super::keys::{
--- a/tests/meetings/drawn.rs
+++ b/tests/meetings/drawn.rs
@@ -9,6 +9,7 @@
 use rand::RngExt;
 
 /// One trouble from `at` to `end`, by number.
+#[allow(clippy::too_many_lines, reason = "one arm for each kind of fault")]
 fn trouble(w: &mut World, which: u32, at: f64, end: f64) {
     let nodes = w.nodes.len();
     let node = w.rng.random_range(0..nodes);
