--- /dev/null
+++ b/crates/protocol/tests/forms/cloud.rs
@@ -0,0 +1,90 @@
+//! Messages and request paths between controllers and the cloud.
+
+use crate::message::{reads_as, wire_format};
+use ciborium::{Value, cbor};
+use finchquay_protocol::cloud::{self, Catalog, Listed, MachineType, Page, Phase, Release, Rent, Rented, Route};
+
+fn machine_type() -> MachineType {
+    MachineType {
+        label: "std".into(),
+        cores: 16.0,
+        gpus: 2.0,
+        mem_gb: 64.5,
+        local_gb: 200.0,
+        pull_gb_per_s: 0.25,
+        hourly: 1.75,
+        spot_price: 0.6,
+        startup_s: 45.0,
+        sites: vec!["zone-a".into(), "zone-b".into()],
+    }
+}
+
+fn listed() -> Listed {
+    Listed {
+        uid: "host-000231".into(),
+        addr: "10.1.0.7:7000".into(),
+        build: "std".into(),
+        site: "zone-a".into(),
+        spot: true,
+        phase: Phase::Running,
+        held_s: 12.5,
+    }
+}
+
+#[test]
+fn the_catalog_keeps_its_wire_format() {
+    wire_format("cloud-catalog", &Catalog { builds: vec![machine_type()] });
+    let whole = cbor!({
+        "label" => "std", "cores" => 16, "gpus" => 2, "mem_gb" => 64.5, "local_gb" => 200,
+        "pull_gb_per_s" => 0.25, "hourly" => 1.75, "spot_price" => 0.6, "startup_s" => 45,
+        "sites" => ["zone-a", "zone-b"],
+    });
+    reads_as(&whole.unwrap(), &machine_type());
+}
+
+#[test]
+fn rentals_and_releases_keep_their_wire_format() {
+    let rent = Rent { charter: "fq-3-9".into(), build: "std".into(), site: "zone-a".into(), spot: true, number: 50 };
+    wire_format("cloud-rent", &rent);
+    wire_format("cloud-rented", &Rented { machines: vec!["host-000231".into(), "host-000232".into()] });
+    wire_format("cloud-release", &Release { machines: vec!["host-000231".to_string()].into() });
+}
+
+#[test]
+fn lists_keep_their_wire_format() {
+    wire_format("cloud-page", &Page { machines: vec![listed()], truncated: true });
+    let phases = vec![Phase::Booting, Phase::Running, Phase::Failed, Phase::Other];
+    wire_format("cloud-phases", &phases);
+    reads_as(&Value::Text("a phase of a later version".into()), &Phase::Other);
+    let sparse = cbor!({
+        "perches" => [{
+            "uid" => "host-000231", "build" => "std", "site" => "zone-a", "loaners" => true,
+            "status" => "running", "held_s" => 12.5,
+        }],
+    });
+    let machine = Listed { addr: String::new(), ..listed() };
+    reads_as(&sparse.unwrap(), &Page { machines: vec![machine], truncated: false });
+}
+
+#[test]
+fn request_paths_of_the_cloud_stay() {
+    assert_eq!((cloud::CATALOG, cloud::RENT, cloud::RELEASE), ("/catalog", "/hosts", "/hosts/release"));
+    assert_eq!(cloud::list_path(""), "/hosts?page=500");
+    assert_eq!(cloud::list_path("host-000231"), "/hosts?after=host-000231&page=500");
+    for (method, path, expected) in [
+        ("GET", "/catalog", Some(Route::Catalog)),
+        ("POST", "/hosts", Some(Route::Rent)),
+        ("POST", "/hosts/release", Some(Route::Release)),
+        ("GET", "/hosts", Some(Route::List { after: "", page: 500 })),
+        ("GET", "/hosts?after=host-000231&page=7", Some(Route::List { after: "host-000231", page: 7 })),
+        ("GET", "/hosts?page=9999", Some(Route::List { after: "", page: 500 })),
+        ("GET", "/hosts?page=x", None),
+        ("POST", "/catalog", None),
+        ("DELETE", "/hosts", None),
+        ("GET", "/hosts/release", None),
+        ("GET", "/machines", None),
+    ] {
+        assert_eq!(cloud::route(method, path), expected, "{method} {path}");
+    }
+    assert_eq!((cloud::RENT_LIMIT, cloud::RELEASE_LIMIT, cloud::LIST_LIMIT), (50, 100, 500));
+}
--- /dev/null
+++ b/crates/protocol/tests/forms/peer_frames.rs
@@ -0,0 +1,72 @@
+//! Frames between controllers: borsh behind a length prefix. Borsh has no field names,
+//! so the order and width of every field count; all values differ to tell them apart.
+
+use crate::fixture::bytes;
+use finchquay_protocol::peer::{Beat, Echo, FRAME_LIMIT, Frame, Heard, Owed, encode, take};
+
+fn full_beat() -> Beat {
+    Beat {
+        incarnation: 0x0101,
+        seq: 0x0202,
+        echo: vec![Echo { member: "perch-1".into(), incarnation: 0x0303, seq: 0x0404 }],
+        revision: Some(0x0505),
+        learned: 0x0606,
+        owed: Some(Owed {
+            since: 0x0707,
+            withdrawn: vec![("run-000412".into(), 0x0808)],
+            granted: vec![("host-000231".into(), 0x0909)],
+        }),
+        members: vec![("perch-2".into(), 0x0a0a)],
+        stale_ms: 0x0b0b,
+        heard: vec![Heard { machine: "host-000232".into(), ago_ms: 0x0c0c, shift: 0x0d0d, tally: 0x0e0e }],
+        asks: vec![("host-000233".into(), "10.1.0.7:7000".into())],
+        reached: vec![("host-000234".into(), 0x0f0f)],
+        unlisted: vec!["host-000235".into()],
+        rented: vec!["host-000236".into()],
+        held: vec![("host-000237".into(), vec![0, 1])],
+        images: vec!["image-7".into(), "image-8".into()],
+    }
+}
+
+/// Asserts that a frame has the bytes of the fixture, and that they are read as the frame.
+fn frame_format(name: &str, frame: &Frame) {
+    assert_eq!(encode(frame), bytes(name), "{name}: the bytes have changed");
+    let mut buffer = bytes(name);
+    buffer.extend(b"next");
+    assert_eq!(take(&mut buffer), Ok(Some(frame.clone())), "{name}");
+    assert_eq!(buffer, b"next", "{name}: one frame is taken");
+}
+
+#[test]
+fn hello_keeps_its_wire_format() {
+    frame_format("peer-hello", &Frame::Hello { member: "perch-0".into() });
+}
+
+#[test]
+fn heartbeats_keep_their_wire_format() {
+    frame_format("peer-beat-full", &Frame::Beat(Box::new(full_beat())));
+    frame_format("peer-beat-default", &Frame::Beat(Box::default()));
+    let owes_nothing = Beat { owed: Some(Owed::default()), ..Beat::default() };
+    frame_format("peer-beat-owed-default", &Frame::Beat(Box::new(owes_nothing)));
+}
+
+#[test]
+fn image_numbers_refer_to_the_list_of_names() {
+    let mut beat = Beat::default();
+    let images = ["image-7".to_string(), "image-8".to_string()];
+    beat.note_images("host-000237", images.iter());
+    assert_eq!((&beat.held, &beat.images), (&full_beat().held, &full_beat().images));
+    let held: Vec<(&str, Vec<&String>)> = beat.images().collect();
+    assert_eq!(held, [("host-000237", images.iter().collect())]);
+}
+
+#[test]
+fn the_length_prefix_is_four_bytes_in_network_order() {
+    let frame = bytes("peer-hello");
+    assert_eq!(frame[..4], (frame.len() as u32 - 4).to_be_bytes());
+    let mut partial = frame[..frame.len() - 1].to_vec();
+    assert_eq!(take(&mut partial), Ok(None));
+    let mut oversized = (FRAME_LIMIT as u32 + 1).to_be_bytes().to_vec();
+    assert_eq!(take(&mut oversized), Err(()));
+    assert_eq!(FRAME_LIMIT, 262_144);
+}
--- /dev/null
+++ b/crates/protocol/tests/forms/store.rs
@@ -0,0 +1,129 @@
+//! Messages and request paths between controllers and the state service.
+
+use crate::message::{reads_as, refuses, wire_format};
+use ciborium::{Value, cbor};
+use finchquay_protocol::store::{
+    self, Cond, Followed, Lease, LeaseRequest, Ledger, News, Op, Route, Row, Rows, Txn, follow_path, key_path,
+    renew_path, route, scan_path,
+};
+
+fn data() -> Value {
+    cbor!({"incarnation" => 7}).unwrap()
+}
+
+fn key() -> String {
+    "fq/m/perch-0".into()
+}
+
+fn full_row() -> Row {
+    Row { key: key(), data: data(), entry_no: 17, tenure: Some(5) }
+}
+
+fn put_news() -> News {
+    News { put: Some(key()), delete: None, data: Some(data()), entry_no: 18 }
+}
+
+fn delete_news() -> News {
+    News { put: None, delete: Some(key()), data: None, entry_no: 19 }
+}
+
+#[test]
+fn transactions_keep_their_wire_format() {
+    let put = Op::Put { key: key(), data: data(), lease: Some(5) };
+    let put_without_lease = Op::Put { key: key(), data: data(), lease: None };
+    let delete = Op::Delete { key: key() };
+    wire_format("store-op-put", &put);
+    wire_format("store-op-put-without-lease", &put_without_lease);
+    wire_format("store-op-delete", &delete);
+    let conds = vec![Cond { key: key(), entry_no: 0 }, Cond { key: "fq/term".into(), entry_no: 300 }];
+    wire_format("store-txn", &Txn { conds, ops: vec![put, put_without_lease, delete] });
+    wire_format("store-txn-empty", &Txn::default());
+    reads_as(&cbor!({}).unwrap(), &Txn::default());
+}
+
+#[test]
+fn malformed_operations_are_refused() {
+    for form in [
+        cbor!({"put" => "k"}),
+        cbor!({"put" => "k", "delete" => "k", "data" => 1}),
+        cbor!({"data" => 1}),
+        cbor!({"put" => "k", "data" => 1, "tenure" => "x"}),
+        cbor!({}),
+    ] {
+        refuses::<Op>(&form.unwrap());
+    }
+}
+
+#[test]
+fn answers_keep_their_wire_format() {
+    wire_format("store-ledger", &Ledger { ledger_no: 42, failed: Vec::new() });
+    wire_format("store-ledger-refused", &Ledger { ledger_no: 42, failed: vec![key()] });
+    wire_format("store-row", &full_row());
+    let row = Row { tenure: None, ..full_row() };
+    wire_format("store-row-without-lease", &row);
+    wire_format("store-rows", &Rows { rows: vec![full_row()], truncated: true, ledger_no: 42 });
+    let sparse = cbor!({
+        "rows" => [{"key" => "fq/m/perch-0", "data" => {"incarnation" => 7}, "entry_no" => 17}],
+        "ledger_no" => 42,
+    });
+    reads_as(&sparse.unwrap(), &Rows { rows: vec![row], truncated: false, ledger_no: 42 });
+}
+
+#[test]
+fn watches_keep_their_wire_format() {
+    wire_format("store-news-put", &put_news());
+    wire_format("store-news-delete", &delete_news());
+    wire_format("store-followed", &Followed { ledger_no: 42, news: vec![put_news(), delete_news()] });
+    reads_as(&cbor!({"ledger_no" => 42}).unwrap(), &Followed { ledger_no: 42, news: Vec::new() });
+}
+
+#[test]
+fn leases_keep_their_wire_format() {
+    wire_format("store-lease-request", &LeaseRequest { ttl_ms: 18_000 });
+    wire_format("store-lease", &Lease { id: 5 });
+}
+
+#[test]
+fn paths_that_controllers_ask_for_stay() {
+    assert_eq!((store::TXN, store::LEASES), ("/multi", "/holds"));
+    assert_eq!(key_path("fq/none"), "/store/fq/none");
+    assert_eq!(scan_path("fq/", ""), "/store?starts=fq/&page=1000");
+    assert_eq!(scan_path("fq/", "fq/j/run-1"), "/store?starts=fq/&after=fq/j/run-1&page=1000");
+    assert_eq!(follow_path("fq/", 42, 9000), "/follow?starts=fq/&after=42&hold_ms=9000");
+    assert_eq!(renew_path(5), "/holds/5/extend");
+}
+
+#[test]
+fn paths_that_the_state_service_serves_stay() {
+    for (method, path, expected) in [
+        ("GET", "/store/fq/none", Some(Route::Get("fq/none"))),
+        ("GET", "/store?starts=fq/", Some(Route::Scan { starts: "fq/", after: "", page: 1000 })),
+        ("GET", "/store?starts=fq/&after=fq/j&page=7", Some(Route::Scan { starts: "fq/", after: "fq/j", page: 7 })),
+        ("GET", "/store?starts=fq/&page=5000", Some(Route::Scan { starts: "fq/", after: "", page: 1000 })),
+        ("POST", "/multi", Some(Route::Multi)),
+        ("POST", "/holds", Some(Route::Grant)),
+        ("POST", "/holds/5/extend", Some(Route::Extend(5))),
+        ("DELETE", "/holds/5", Some(Route::Revoke(5))),
+        ("GET", "/follow?starts=fq/&after=42", Some(Route::Follow { starts: "fq/", after: 42, hold_ms: 0 })),
+        (
+            "GET",
+            "/follow?starts=fq/&after=42&hold_ms=99999",
+            Some(Route::Follow { starts: "fq/", after: 42, hold_ms: 60_000 }),
+        ),
+        ("GET", "/multi", None),
+        ("GET", "/holds", None),
+        ("POST", "/holds/5/renew", None),
+        ("GET", "/store", None),
+        ("GET", "/follow?starts=fq/", None),
+        ("POST", "/txn", None),
+    ] {
+        assert_eq!(route(method, path), expected, "{method} {path}");
+    }
+}
+
+#[test]
+fn limits_of_the_state_service_stay() {
+    assert_eq!((store::KEY_LIMIT, store::PAGE_LIMIT, store::PAGE_BYTES), (200, 1000, 524_288));
+    assert_eq!((store::WATCH_WINDOW, store::HOLD_LIMIT_MS, store::CONDS_PER_OP), (10_000, 60_000, 4));
+    assert_eq!(store::TTL_MS, 100..=600_000);
+}
--- /dev/null
+++ b/crates/protocol/tests/forms/user.rs
@@ -0,0 +1,105 @@
+//! Messages and request paths between users and controllers.
+
+use crate::message::{reads_as, refuses, wire_format};
+use ciborium::{Value, cbor};
+use finchquay_protocol::user::{ErrorBody, Form, JobSpec, JobState, Route, Status, Urgency, route};
+
+fn full_spec() -> JobSpec {
+    JobSpec {
+        uid: "run-000412".into(),
+        docket: "nightly".into(),
+        desk: "search".into(),
+        form: Form::Ensemble,
+        urgency: Urgency::Urgent,
+        parcels: 70_000,
+        cores: 2.5,
+        gpus: 1.0,
+        mem_gb: 12.25,
+        bundle: "image-7".into(),
+        size_gb: 3.1,
+        builds: Some(vec!["std".into(), "big".into()]),
+        site: Some("zone-a".into()),
+        together: true,
+        apart: false,
+        loaners: true,
+        expected_s: 600.5,
+        stamp_every_s: 60.0,
+        stamp_s: 4.0,
+        due_s: Some(7200.0),
+    }
+}
+
+fn spec_without_options() -> JobSpec {
+    JobSpec { builds: None, site: None, due_s: None, apart: true, together: false, loaners: false, ..full_spec() }
+}
+
+#[test]
+fn job_specifications_keep_their_wire_format() {
+    wire_format("user-job-spec-full", &full_spec());
+    wire_format("user-job-spec-without-options", &spec_without_options());
+    wire_format("user-job-spec-empty-lists", &JobSpec { builds: Some(Vec::new()), ..full_spec() });
+}
+
+/// Users may leave optional fields out, send whole amounts as integers, and add fields.
+#[test]
+fn job_specifications_are_read_in_every_accepted_form() {
+    let sparse = cbor!({
+        "uid" => "run-000412", "docket" => "nightly", "desk" => "search", "form" => "ensemble",
+        "urgency" => "urgent", "parcels" => 70_000, "cores" => 2.5, "gpus" => 1, "mem_gb" => 12.25,
+        "bundle" => "image-7", "size_gb" => 3.1, "together" => false, "apart" => true, "loaners" => false,
+        "expected_s" => 600.5, "stamp_every_s" => 60, "stamp_s" => 4, "unknown" => "ignored",
+    });
+    reads_as(&sparse.unwrap(), &spec_without_options());
+}
+
+#[test]
+fn enumerations_keep_their_wire_format() {
+    wire_format("user-forms", &vec![Form::Batch, Form::Ensemble, Form::Standing]);
+    let urgencies = vec![Urgency::Idle, Urgency::Standard, Urgency::Urgent, Urgency::Production];
+    wire_format("user-urgencies", &urgencies);
+    wire_format("user-statuses", &vec![Status::Pending, Status::Running, Status::Done, Status::Withdrawn]);
+    refuses::<Form>(&Value::Text("Batch".into()));
+    refuses::<Urgency>(&Value::Text("other".into()));
+    refuses::<Status>(&Value::Text("failed".into()));
+}
+
+#[test]
+fn urgencies_are_ordered_from_idle_to_production() {
+    let ascending = [Urgency::Idle, Urgency::Standard, Urgency::Urgent, Urgency::Production];
+    assert!(ascending.is_sorted());
+}
+
+#[test]
+fn answers_keep_their_wire_format() {
+    let state = JobState { uid: "run-000412".into(), status: Status::Running, done: 300, running: 25 };
+    wire_format("user-job-state", &state);
+    wire_format("user-error", &ErrorBody { error: "no such job".into() });
+    let pending = JobState { uid: "run-000412".into(), status: Status::Pending, done: 0, running: 0 };
+    reads_as(&cbor!({"uid" => "run-000412", "status" => "pending"}).unwrap(), &pending);
+}
+
+#[test]
+fn request_paths_of_users_workers_and_probes_stay() {
+    assert_eq!(route("POST", "/work"), Route::Submit);
+    assert_eq!(route("GET", "/work/run-000412"), Route::Poll("run-000412"));
+    assert_eq!(route("POST", "/work/run-000412/withdraw"), Route::Withdraw("run-000412"));
+    assert_eq!(route("GET", "/healthz"), Route::Health);
+    assert_eq!(route("POST", "/checkin"), Route::Report);
+}
+
+#[test]
+fn other_methods_and_paths_are_told_apart() {
+    for (method, path) in [
+        ("GET", "/work"),
+        ("POST", "/work/run-000412"),
+        ("DELETE", "/work/run-000412"),
+        ("GET", "/work/run-000412/withdraw"),
+        ("POST", "/healthz"),
+        ("GET", "/checkin"),
+    ] {
+        assert_eq!(route(method, path), Route::WrongMethod, "{method} {path}");
+    }
+    for path in ["/", "/work/", "/jobs", "/health", "/report", "/work/run-000412/cancel"] {
+        assert_eq!(route("POST", path), Route::Unknown, "{path}");
+    }
+}
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -6,6 +6,7 @@
 mod log;
 mod meetings;
 mod recovery;
+mod requests_sent;
 mod restarts;
 mod upkeep;
 mod world;
--- /dev/null
+++ b/tests/forms/operator_file.rs
@@ -0,0 +1,78 @@
+//! The operator's file: every attribute and block is read from its name, others are
+//! refused, and what is left out has its default.
+
+use finchquay::settings::{Operator, Settings, Team};
+use std::path::{Path, PathBuf};
+
+fn fixture() -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/forms/fixtures/operator.hcl")
+}
+
+fn teams() -> Vec<Team> {
+    let platform = Settings::parse(include_str!("fixtures/settings.toml"), Path::new("settings.toml"));
+    platform.unwrap().settings.teams
+}
+
+/// Loads a file with this text, as an operator would write it.
+fn load(text: &str) -> Result<Operator, String> {
+    let dir = tempfile::tempdir().unwrap();
+    let file = dir.path().join("operator.hcl");
+    std::fs::write(&file, text).unwrap();
+    Operator::load(&file, &teams()).map_err(|e| e.to_string())
+}
+
+#[test]
+fn attributes_are_read() {
+    let operator = Operator::load(&fixture(), &teams()).unwrap();
+    assert_eq!((operator.wait_limit_s, operator.window, operator.step_mb), (31.5, 501, 257.0));
+    assert_eq!((operator.idle_boots, operator.late_boots), (1.25, 3.25));
+    assert_eq!((operator.silent_reports, operator.spare_share), (2.75, 0.2));
+}
+
+#[test]
+fn budgets_are_read() {
+    let operator = Operator::load(&fixture(), &teams()).unwrap();
+    let budgets: Vec<_> = operator.budget.iter().map(|(team, b)| (team.as_str(), b.away, b.share)).collect();
+    assert_eq!(budgets, [("open", 1, 0.0), ("search", 2, 0.02)]);
+}
+
+#[test]
+fn campaigns_are_read() {
+    let operator = Operator::load(&fixture(), &teams()).unwrap();
+    assert_eq!(operator.campaign.len(), 2);
+    let full = &operator.campaign["2026-12-hall-a"];
+    assert_eq!((full.build.as_deref(), full.site.as_deref(), full.spot), (Some("std"), Some("zone-a"), Some(true)));
+    assert_eq!(full.machines.as_deref(), Some(&["host-000231".to_string(), "host-000232".to_string()][..]));
+    assert_eq!((full.first, full.wave), (2, 16));
+    let plain = &operator.campaign["2026-12-hall-b"];
+    assert_eq!((&plain.build, &plain.site, plain.spot, &plain.machines), (&None, &None, None, &None));
+    assert_eq!((plain.first, plain.wave), (1, 8));
+}
+
+#[test]
+fn what_is_left_out_has_its_default() {
+    let operator = load("").unwrap();
+    assert_eq!((operator.wait_limit_s, operator.window, operator.step_mb), (30.0, 500, 256.0));
+    assert_eq!((operator.idle_boots, operator.late_boots), (1.5, 3.0));
+    assert_eq!((operator.silent_reports, operator.spare_share), (2.5, 0.15));
+    assert!(operator.budget.is_empty() && operator.campaign.is_empty());
+}
+
+#[test]
+fn unknown_names_are_refused() {
+    for (text, name) in [
+        ("windows = 100", "windows"),
+        ("budget \"search\" { gone = 1 }", "gone"),
+        ("campaign \"a\" { zone = \"zone-a\" }", "zone"),
+        ("budget \"nobody\" { away = 1 }", "budget.nobody"),
+    ] {
+        let error = load(text).expect_err(text);
+        assert!(error.contains(name), "{error}");
+    }
+}
+
+#[test]
+fn the_example_in_the_repository_is_accepted() {
+    let text = include_str!("../../deploy/maintenance.hcl");
+    assert!(load(text).is_ok());
+}
--- /dev/null
+++ b/tests/forms/stored_keys.rs
@@ -0,0 +1,70 @@
+//! Keys of the stored records: their text, how it is taken apart, and which keys are
+//! never deleted once they exist.
+
+use finchquay::bookkeeping::records::{
+    self, Key, block_key, chunk_key, job_key, lasts, log_key, member_key, pack_key, parse_key, team_key,
+};
+use finchquay::bookkeeping::segment::RING;
+
+#[test]
+fn constant_keys_stay() {
+    assert_eq!(records::PREFIX, "fq/");
+    assert_eq!(records::BARRIER_KEY, "fq/none");
+    assert_eq!(records::TERM_KEY, "fq/term");
+    assert_eq!(records::LEAD_KEY, "fq/lead");
+    assert_eq!(records::PACKS_KEY, "fq/packs");
+    assert_eq!(records::CATALOG_KEY, "fq/catalog");
+    assert_eq!(records::UPKEEP_KEY, "fq/upkeep");
+    assert_eq!(records::BLOCKS, "fq/b/");
+    assert_eq!(records::TEAMS, "fq/q/");
+}
+
+#[test]
+fn keys_of_named_records_stay() {
+    assert_eq!(member_key("perch-0"), "fq/m/perch-0");
+    assert_eq!(block_key("perch-0"), "fq/b/perch-0");
+    assert_eq!(job_key("run-000412"), "fq/j/run-000412");
+    assert_eq!(chunk_key("run-000412", 3), "fq/t/run-000412/3");
+    assert_eq!(team_key("search"), "fq/q/search");
+    assert_eq!(pack_key("host-000231"), "fq/h/host-000231");
+}
+
+/// A log is a ring: a slot is the number of the segment modulo its length.
+#[test]
+fn keys_of_log_slots_stay() {
+    assert_eq!(RING, 256);
+    assert_eq!(log_key("perch-0", 0), "fq/l/perch-0/0");
+    assert_eq!(log_key("perch-0", 255), "fq/l/perch-0/255");
+    assert_eq!(log_key("perch-0", 256), "fq/l/perch-0/0");
+    assert_eq!(log_key("perch-0", 1000), "fq/l/perch-0/232");
+}
+
+#[test]
+fn every_kind_of_key_is_parsed() {
+    for (key, expected, permanent) in [
+        ("fq/term", Key::Term, true),
+        ("fq/lead", Key::Lead, false),
+        ("fq/packs", Key::Packs, true),
+        ("fq/catalog", Key::Catalog, true),
+        ("fq/upkeep", Key::Upkeep, true),
+        ("fq/m/perch-0", Key::Member("perch-0"), false),
+        ("fq/b/perch-0", Key::Block("perch-0"), true),
+        ("fq/j/run-000412", Key::Job("run-000412"), true),
+        ("fq/t/run-000412/3", Key::Chunk("run-000412", 3), false),
+        ("fq/l/perch-0/255", Key::Log("perch-0", 255), true),
+        ("fq/l/a/b/7", Key::Log("a/b", 7), true),
+        ("fq/h/host-000231", Key::Host("host-000231"), false),
+        ("fq/q/search", Key::Team("search"), true),
+    ] {
+        assert_eq!(parse_key(key), Some(expected), "{key}");
+        assert_eq!(lasts(key), permanent, "{key}");
+    }
+}
+
+#[test]
+fn other_keys_are_not_parsed() {
+    for key in ["fq/none", "fq/", "fq/x/a", "fq/t/run-000412", "fq/t/run-000412/x", "fq/l/perch-0", "other/m/a", ""] {
+        assert_eq!(parse_key(key), None, "{key}");
+        assert!(!lasts(key), "{key}");
+    }
+}
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -231,6 +231,8 @@
     pub late_beats: Option<(f64, (f64, f64))>,
     /// What came back last to questions of the test's own, by job and node.
     pub asked: BTreeMap<(String, usize), u16>,
+    /// Requests that controllers sent: to whom, method and path.
+    pub requests_sent: BTreeSet<(&'static str, &'static str, String)>,
     /// Tasks that ran on machines which were returned though some controller
     /// could have heard them.
     pub lost_alive: usize,
@@ -352,6 +354,7 @@
             run_again: 0,
             late_beats: None,
             asked: BTreeMap::new(),
+            requests_sent: BTreeSet::new(),
             lost_alive: 0,
         };
         for i in 0..size.controllers {
@@ -842,6 +845,12 @@
 
     fn carry_out(&mut self, i: usize, life: u64, action: Action) {
         let Action::Call { id, target, method, path, body, timeout } = action else { return };
+        let receiver = match target {
+            Target::State => "state",
+            Target::Cloud => "cloud",
+            Target::Worker(_) => "worker",
+        };
+        self.requests_sent.insert((receiver, method, path.clone()));
         let id = (life & 0xffff) << 32 | id;
         let body = body.map(|b| value(&b)).unwrap_or(Value::Null);
         let lag = self.lag();
