--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -1,5 +1,5 @@
 //! Library for users of finchquay: submit a job, follow it to its end,
-//! withdraw it. Knows several controllers, turns to another when one fails,
+//! cancel it. Knows several controllers, turns to another when one fails,
 //! and keeps the published rules for retries by default.
 //!
 //! ```no_run
@@ -53,7 +53,7 @@
 pub enum Operation {
     Submit,
     Poll,
-    Withdraw,
+    Cancel,
 }
 
 /// One try of one call, as an observer sees it.
@@ -78,7 +78,7 @@
 /// Times of the calls. The defaults are those that the service's users keep.
 #[derive(Debug, Clone)]
 pub struct Times {
-    /// Longest wait for the answer to a submission or withdrawal.
+    /// Longest wait for the answer to a submission or cancellation.
     pub change: Duration,
     /// Longest wait for the answer to a poll.
     pub poll: Duration,
@@ -184,7 +184,7 @@
         self.insist(Operation::Poll, uid, None, poll_verdict).await
     }
 
-    /// Follows a job until it is done or withdrawn, or until `limit`.
+    /// Follows a job until it is done or cancelled, or until `limit`.
     pub async fn wait(&self, uid: &str, limit: Option<Duration>) -> Result<JobState<'static>, ClientError> {
         check(uid)?;
         let end = limit.map(|l| Instant::now() + l);
@@ -211,11 +211,11 @@
         }
     }
 
-    /// Withdraws a job. The answer says how it ended: `withdrawn`, or `done`
+    /// Withdraws a job. The answer says how it ended: `cancelled`, or `done`
     /// where that came first.
-    pub async fn withdraw(&self, uid: &str) -> Result<JobState<'static>, ClientError> {
+    pub async fn cancel(&self, uid: &str) -> Result<JobState<'static>, ClientError> {
         check(uid)?;
-        self.insist(Operation::Withdraw, uid, Some(Vec::new()), |a| match (a.status, a.state()) {
+        self.insist(Operation::Cancel, uid, Some(Vec::new()), |a| match (a.status, a.state()) {
             (200, Some(s)) if ended(s.status) => Verdict::Final(Ok(s)),
             (404, _) => Verdict::Final(Err(ClientError::NotFound)),
             (400, _) => Verdict::Final(Err(ClientError::Refused { status: 400, what: a.what() })),
@@ -282,7 +282,7 @@
         let (path, timeout) = match operation {
             Operation::Submit => ("/work".to_string(), self.inner.times.change),
             Operation::Poll => (format!("/work/{uid}"), self.inner.times.poll),
-            Operation::Withdraw => (format!("/work/{uid}/withdraw"), self.inner.times.change),
+            Operation::Cancel => (format!("/work/{uid}/withdraw"), self.inner.times.change),
         };
         let url = format!("http://{address}{path}");
         let request = match body {
@@ -333,7 +333,7 @@
 }
 
 fn ended(status: Status) -> bool {
-    matches!(status, Status::Done | Status::Withdrawn)
+    matches!(status, Status::Done | Status::Cancelled)
 }
 
 fn check(uid: &str) -> Result<(), ClientError> {
--- a/crates/ctl/src/ids.rs
+++ b/crates/ctl/src/ids.rs
@@ -87,7 +87,7 @@
                     if spec.uid.is_empty() {
                         spec.uid = format!("run-{:015}", rand::random_range(0..1_000_000_000_000_000u64));
                     }
-                    let class = spec.docket.clone();
+                    let class = spec.class.clone();
                     let noted = Noted { uid: spec.uid.clone(), class, file: path.clone(), name, spec: text };
                     new += &serde_json::to_string(&noted).unwrap_or_default();
                     new.push('\n');
@@ -123,7 +123,7 @@
     use super::*;
 
     fn job(name: &str, tasks: u32) -> NamedJob {
-        let spec = JobSpec { parcels: tasks, uid: String::new(), ..JobSpec::example("") };
+        let spec = JobSpec { task_count: tasks, uid: String::new(), ..JobSpec::example("") };
         NamedJob { name: name.into(), spec }
     }
 
--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -15,11 +15,11 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Submits jobs to finchquay, follows and withdraws them.
+/// Submits jobs to finchquay, follows and cancels them.
 ///
 /// Exit codes: 0 done as asked; 1 the service could not be reached or gave no
 /// answer in time; 2 bad arguments or a bad file, nothing was sent; 3 the
-/// service refused for good; 4 no such job; 5 the job was withdrawn while it
+/// service refused for good; 4 no such job; 5 the job was cancelled while it
 /// was waited for; 6 the time to wait is over and the job goes on.
 #[derive(Parser)]
 #[command(name = "finchquayctl", version, about)]
@@ -51,7 +51,7 @@
     },
     /// Show the state of a job.
     Status { id: String },
-    /// Wait until a job is done or withdrawn.
+    /// Wait until a job is done or cancelled.
     Wait {
         id: String,
         /// Give up waiting after this many seconds; the job goes on.
@@ -59,7 +59,7 @@
         limit: Option<f64>,
     },
     /// Withdraw a job: none of its tasks starts any more and those that run are stopped.
-    Withdraw { id: String },
+    Cancel { id: String },
     /// List the jobs that this user submitted.
     List {
         /// Ask the service for the state of each.
@@ -142,13 +142,13 @@
             let mut lines = Vec::new();
             for spec in &jobs {
                 let state = client.submit(spec).await.map_err(about(&spec.uid))?;
-                lines.push(JobLine::of(&spec.uid, Some(&spec.docket), Some(&state)));
+                lines.push(JobLine::of(&spec.uid, Some(&spec.class), Some(&state)));
             }
             if *wait {
                 lines.clear();
                 for spec in &jobs {
                     let state = client.wait(&spec.uid, None).await.map_err(about(&spec.uid))?;
-                    lines.push(JobLine::of(&spec.uid, Some(&spec.docket), Some(&state)));
+                    lines.push(JobLine::of(&spec.uid, Some(&spec.class), Some(&state)));
                 }
             }
             show(&lines);
@@ -167,8 +167,8 @@
             show(&lines);
             Ok(ended(&lines))
         }
-        Verb::Withdraw { id } => {
-            let state = client()?.withdraw(id).await.map_err(about(id))?;
+        Verb::Cancel { id } => {
+            let state = client()?.cancel(id).await.map_err(about(id))?;
             show(&[JobLine::of(id, None, Some(&state))]);
             Ok(0)
         }
@@ -202,5 +202,5 @@
 
 /// The exit code for jobs that were waited for.
 fn ended(lines: &[JobLine]) -> u8 {
-    if lines.iter().any(|l| l.status == Some(Status::Withdrawn)) { 5 } else { 0 }
+    if lines.iter().any(|l| l.status == Some(Status::Cancelled)) { 5 } else { 0 }
 }
--- a/crates/ctl/src/output.rs
+++ b/crates/ctl/src/output.rs
@@ -41,10 +41,10 @@
             table.load_preset(NOTHING).set_header(["ID", "CLASS", "STATUS", "DONE", "RUNNING"]);
             for l in lines {
                 let status = l.status.map_or("-", |s| match s {
-                    Status::Pending => "pending",
+                    Status::Queued => "pending",
                     Status::Running => "running",
                     Status::Done => "done",
-                    Status::Withdrawn => "withdrawn",
+                    Status::Cancelled => "withdrawn",
                 });
                 let count = |n: Option<u32>| n.map_or("-".to_string(), |n| n.to_string());
                 table.add_row([
--- a/crates/rehearsal/scenarios/sample.hcl
+++ b/crates/emulator/scenarios/sample.hcl
@@ -1,4 +1,4 @@
-# What `finchquay-rehearsal up` plays: a small site with users, and now and
+# What `finchquay-emulator up` plays: a small site with users, and now and
 # then a fault.
 name = "sample"
 base = "site.hcl"
--- a/crates/rehearsal/src/cloud/service.rs
+++ b/crates/emulator/src/cloud/service.rs
@@ -3,7 +3,7 @@
 use super::machine::{Cloud, Refusal};
 use crate::http::{Reply, Request};
 use ciborium::cbor;
-use finchquay_protocol::cloud::{Release, Rent, Rented, Route, route};
+use finchquay_protocol::cloud::{ReleaseRequest, RentRequest, RentResponse, Route, route};
 use finchquay_protocol::{decode, encode};
 use std::time::Duration;
 
@@ -17,12 +17,12 @@
     match route(&request.method, &request.path) {
         Some(Route::Catalog) => Reply::new(200, encode(&cloud.catalog())),
         Some(Route::List { after, page }) => Reply::new(200, encode(&cloud.list(now, after, page))),
-        Some(Route::Rent) => match decode::<Rent>(&request.body).map(|r| cloud.rent(now, &r)) {
-            Ok(Ok(machines)) => Reply::new(200, encode(&Rented { machines })),
+        Some(Route::Rent) => match decode::<RentRequest>(&request.body).map(|r| cloud.rent(now, &r)) {
+            Ok(Ok(machines)) => Reply::new(200, encode(&RentResponse { machines })),
             Ok(Err(Refusal::NoCapacity)) => error(503, "no capacity"),
             Ok(Err(Refusal::Malformed)) | Err(_) => Reply::empty(400),
         },
-        Some(Route::Release) => match decode::<Release>(&request.body).map(|r| cloud.release(now, &r)) {
+        Some(Route::Release) => match decode::<ReleaseRequest>(&request.body).map(|r| cloud.release(now, &r)) {
             Ok(Ok(())) => Reply::empty(200),
             Ok(Err(_)) | Err(_) => Reply::empty(400),
         },
--- a/crates/rehearsal/src/cluster.rs
+++ b/crates/emulator/src/cluster.rs
@@ -49,7 +49,7 @@
 }
 
 struct Member {
-    orders: mpsc::UnboundedSender<Order>,
+    commands: mpsc::UnboundedSender<Order>,
     pid: Arc<AtomicI32>,
     watcher: JoinHandle<()>,
 }
@@ -124,7 +124,7 @@
             let text = settings(scenario, &places, i, cloud_at).map_err(ClusterError::Settings)?;
             std::fs::write(&file, text).map_err(|cause| ClusterError::File { file: file.clone(), cause })?;
             let log = dir.join(format!("{}.log", place.member));
-            let (orders, inbox) = mpsc::unbounded_channel();
+            let (commands, inbox) = mpsc::unbounded_channel();
             let pid = Arc::new(AtomicI32::new(0));
             let watched = Watched {
                 member: place.member.clone(),
@@ -136,7 +136,7 @@
                 recorder: recorder.clone(),
             };
             let watcher = tokio::spawn(watched.watch(inbox));
-            members.push(Member { orders, pid, watcher });
+            members.push(Member { commands, pid, watcher });
         }
         Ok((Cluster { places, members, refused, _relays: running }, Sockets { state, cloud }))
     }
@@ -145,7 +145,7 @@
     /// `restart`, or as the scenario has it.
     pub fn kill(&self, i: usize, restart: Option<Duration>) {
         if let Some(m) = self.members.get(i) {
-            let _ = m.orders.send(Order::Kill(restart));
+            let _ = m.commands.send(Order::Kill(restart));
         }
     }
 
@@ -182,7 +182,7 @@
     /// Ends every controller for good.
     pub async fn stop(self) {
         for m in &self.members {
-            let _ = m.orders.send(Order::Stop);
+            let _ = m.commands.send(Order::Stop);
         }
         for m in self.members {
             let _ = m.watcher.await;
@@ -220,12 +220,12 @@
         self.recorder.record(Event::Controller { controller: self.member.clone(), what: what.into() });
     }
 
-    async fn watch(self, mut orders: mpsc::UnboundedReceiver<Order>) {
+    async fn watch(self, mut commands: mpsc::UnboundedReceiver<Order>) {
         loop {
             let mut child = match self.spawn() {
                 Ok(c) => c,
                 Err(e) => {
-                    eprintln!("finchquay-rehearsal: {}: {e}", self.binary.display());
+                    eprintln!("finchquay-emulator: {}: {e}", self.binary.display());
                     self.note("not started");
                     return;
                 }
@@ -234,7 +234,7 @@
             self.note("started");
             let order = tokio::select! {
                 _ = child.wait() => None,
-                order = orders.recv() => Some(order),
+                order = commands.recv() => Some(order),
             };
             self.pid.store(0, Ordering::SeqCst);
             let _ = child.kill().await;
@@ -254,7 +254,7 @@
             loop {
                 tokio::select! {
                     () = &mut back => break,
-                    order = orders.recv() => if matches!(order, Some(Order::Stop) | None) { return },
+                    order = commands.recv() => if matches!(order, Some(Order::Stop) | None) { return },
                 }
             }
         }
@@ -328,7 +328,7 @@
             "teams": teams,
             "objectives": objectives,
             "workers": {
-                "report_s": w.report_s, "lease_s": w.lease_s, "gang_wait_s": w.gang_wait_s,
+                "report_s": w.heartbeat_interval_s, "lease_s": w.lease_s, "gang_wait_s": w.gang_wait_s,
                 "gang_peer_s": w.gang_peer_s, "cancel_s": w.cancel_s,
             },
             "state": {
--- a/crates/rehearsal/src/front.rs
+++ b/crates/emulator/src/front.rs
@@ -7,7 +7,7 @@
 use crate::lock;
 use crate::machine::driver::Driver;
 use crate::machine::worker::Description;
-use finchquay_protocol::user::{Form, JobSpec, JobState, Route, route};
+use finchquay_protocol::user::{JobKind, JobSpec, JobState, Route, route};
 use finchquay_protocol::{BODY_LIMIT, decode};
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -44,8 +44,8 @@
                 (Asked::Submit, uid)
             }),
             Route::Poll(uid) => Some((Asked::Poll, uid.to_string())),
-            Route::Withdraw(uid) => Some((Asked::Withdraw, uid.to_string())),
-            Route::Health | Route::Report | Route::WrongMethod | Route::Unknown => None,
+            Route::Cancel(uid) => Some((Asked::Cancel, uid.to_string())),
+            Route::Health | Route::Heartbeat | Route::WrongMethod | Route::Unknown => None,
         };
         let began_s = self.recorder.now().as_secs_f64();
         let first = rand::random_range(0..self.places.len().max(1));
@@ -85,8 +85,8 @@
             return;
         }
         self.recorder.record(Event::Job { spec: spec.clone() });
-        let run = if spec.form == Form::Standing { f32::INFINITY } else { spec.expected_s.max(0.05) as f32 };
-        let run_s = vec![run; spec.parcels as usize];
+        let run = if spec.kind == JobKind::Service { f32::INFINITY } else { spec.estimated_run_s.max(0.05) as f32 };
+        let run_s = vec![run; spec.task_count as usize];
         self.driver.fleet().upload(Description { spec, run_s, broken: false });
     }
 }
--- a/crates/rehearsal/src/history.rs
+++ b/crates/emulator/src/history.rs
@@ -1,4 +1,4 @@
-//! The history of a rehearsal: what users, machines and the emulated services
+//! The history of a emulator: what users, machines and the emulated services
 //! saw, one JSON line each, in the order it happened. The checker and the
 //! reports read it and nothing else.
 
@@ -29,7 +29,8 @@
 pub enum Asked {
     Submit,
     Poll,
-    Withdraw,
+    #[serde(rename = "withdraw")]
+    Cancel,
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -58,8 +59,10 @@
     },
     MachineUp {
         machine: String,
-        build: String,
-        site: String,
+        #[serde(rename = "build")]
+        machine_type: String,
+        #[serde(rename = "site")]
+        zone: String,
         spot: bool,
     },
     MachineGone {
@@ -115,7 +118,7 @@
 /// One line.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Line {
-    /// Seconds since the rehearsal began.
+    /// Seconds since the emulator began.
     pub t: f64,
     #[serde(flatten)]
     pub event: Event,
@@ -208,8 +211,8 @@
 /// Puts the history of a later run on the same state behind an earlier one,
 /// whose times come to lie before 0: a rule may be broken across runs.
 pub fn join(mut earlier: Vec<Line>, later: Vec<Line>) -> Vec<Line> {
-    let shift = earlier.last().map_or(0.0, |l| l.t + BETWEEN_S);
-    earlier.iter_mut().for_each(|l| l.t -= shift);
+    let agent_epoch = earlier.last().map_or(0.0, |l| l.t + BETWEEN_S);
+    earlier.iter_mut().for_each(|l| l.t -= agent_epoch);
     earlier.extend(later);
     earlier
 }
--- a/crates/rehearsal/src/machine/driver.rs
+++ b/crates/emulator/src/machine/driver.rs
@@ -7,7 +7,7 @@
 use crate::history::{Event, Recorder};
 use crate::http::{self, Connection, Reply, Request};
 use crate::lock;
-use finchquay_protocol::worker::{Answer, Push, Redirect};
+use finchquay_protocol::worker::{CommandRequest, HeartbeatResponse, Redirect};
 use finchquay_protocol::{BODY_LIMIT, decode, encode};
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -46,15 +46,15 @@
 }
 
 impl Cuts {
-    fn reach(&self, machine: &str, site: &str, node: &Node) -> bool {
-        let across = site != node.zone && (self.zones.contains(site) || self.zones.contains(&node.zone));
-        let link = self.links.iter().any(|(zone, member)| zone == site && *member == node.member);
+    fn reach(&self, machine: &str, zone: &str, node: &Node) -> bool {
+        let across = zone != node.zone && (self.zones.contains(zone) || self.zones.contains(&node.zone));
+        let link = self.links.iter().any(|(cut_zone, member)| cut_zone == zone && *member == node.member);
         !(self.machines.contains(machine) || self.controllers.contains(&node.member) || across || link)
     }
 
     /// Whether pushes, whose sender is not known, are held back.
-    fn holds(&self, machine: &str, site: &str) -> bool {
-        self.machines.contains(machine) || self.zones.contains(site)
+    fn holds(&self, machine: &str, zone: &str) -> bool {
+        self.machines.contains(machine) || self.zones.contains(zone)
     }
 }
 
@@ -113,22 +113,22 @@
         let name = traits.name.clone();
         self.shared.recorder.record(Event::MachineUp {
             machine: name.clone(),
-            build: traits.build.clone(),
-            site: traits.site.clone(),
+            machine_type: traits.machine_type.clone(),
+            zone: traits.zone.clone(),
             spot: traits.spot,
         });
-        let site = traits.site.clone();
+        let zone = traits.zone.clone();
         self.fleet().boot(traits, self.now());
         let notify = Arc::new(Notify::new());
-        let reports = tokio::spawn(self.clone().report_loop(name.clone(), site.clone(), notify.clone()));
+        let reports = tokio::spawn(self.clone().report_loop(name.clone(), zone.clone(), notify.clone()));
         let (driver, machine) = (self.clone(), name.clone());
-        let orders = tokio::spawn(http::serve(listener, BODY_LIMIT, move |request| {
-            let (driver, machine, site) = (driver.clone(), machine.clone(), site.clone());
+        let commands = tokio::spawn(http::serve(listener, BODY_LIMIT, move |request| {
+            let (driver, machine, zone) = (driver.clone(), machine.clone(), zone.clone());
             // Carried out even when the sender gives up meanwhile.
-            let carried = tokio::spawn(async move { driver.command(&machine, &site, request).await });
+            let carried = tokio::spawn(async move { driver.command(&machine, &zone, request).await });
             async move { carried.await.unwrap_or_else(|_| Reply::empty(500)) }
         }));
-        self.running().insert(name, Running { notify, tasks: vec![reports, orders] });
+        self.running().insert(name, Running { notify, tasks: vec![reports, commands] });
         Ok(())
     }
 
@@ -182,9 +182,9 @@
         }
     }
 
-    async fn command(&self, machine: &str, site: &str, request: Request) -> Reply {
+    async fn command(&self, machine: &str, zone: &str, request: Request) -> Reply {
         let mut cuts = self.shared.cuts.subscribe();
-        let _ = cuts.wait_for(|c| !c.holds(machine, site)).await;
+        let _ = cuts.wait_for(|c| !c.holds(machine, zone)).await;
         if !self.awake(machine).await {
             return Reply::empty(503);
         }
@@ -194,7 +194,7 @@
                 Some(report) => Reply::new(200, encode(&report)),
                 None => Reply::empty(503),
             },
-            ("POST", "/commands") => match decode::<Push>(&request.body) {
+            ("POST", "/commands") => match decode::<CommandRequest>(&request.body) {
                 Err(_) => Reply::empty(400),
                 Ok(push) => match self.fleet().pushed(machine, now, &push) {
                     Some((status, report)) => Reply::new(status, encode(&report)),
@@ -208,7 +208,7 @@
         reply
     }
 
-    async fn report_loop(self, name: String, site: String, notify: Arc<Notify>) {
+    async fn report_loop(self, name: String, zone: String, notify: Arc<Notify>) {
         let nodes = &self.shared.nodes;
         let mut at = rand::random_range(0..nodes.len().max(1));
         let mut connection = Connection::default();
@@ -221,7 +221,7 @@
             let report = self.fleet().report(&name, sent);
             self.settle();
             let Some(report) = report else { return };
-            let reach = || self.shared.cuts.borrow().reach(&name, &site, node);
+            let reach = || self.shared.cuts.borrow().reach(&name, &zone, node);
             let mut reply = None;
             if reach() {
                 reply = connection.post(node.address, "/checkin", encode(&report), PATIENCE).await;
@@ -237,16 +237,16 @@
             let mut next = None;
             match reply {
                 Some(r) if r.status == 200 => {
-                    let answer = decode::<Answer>(&r.body).ok();
-                    let (warrant, orders) =
-                        answer.map_or((None, Vec::new()), |a| (Some(a.warrant), a.orders.into_owned()));
+                    let answer = decode::<HeartbeatResponse>(&r.body).ok();
+                    let (fencing_token, commands) =
+                        answer.map_or((None, Vec::new()), |a| (Some(a.fencing_token), a.commands.into_owned()));
                     let now = self.now();
-                    self.fleet().answered(&name, now, sent, report.shift, warrant, &orders);
+                    self.fleet().answered(&name, now, sent, report.agent_epoch, fencing_token, &commands);
                     self.settle();
                 }
                 Some(r) if r.status == 421 => {
-                    let harbor = decode::<Redirect>(&r.body).ok().and_then(|r| r.harbor);
-                    let to = harbor.and_then(|h| nodes.iter().position(|n| n.member == h)).filter(|i| *i != at);
+                    let controller = decode::<Redirect>(&r.body).ok().and_then(|r| r.controller);
+                    let to = controller.and_then(|h| nodes.iter().position(|n| n.member == h)).filter(|i| *i != at);
                     next = Some(match to {
                         Some(i) => (i, Duration::from_secs_f64(rand::random_range(0.0..0.5))),
                         None => ((at + 1) % nodes.len(), NEXT_NODE),
--- a/crates/rehearsal/src/machine/images.rs
+++ b/crates/emulator/src/machine/images.rs
@@ -6,7 +6,7 @@
 #[derive(Debug)]
 struct Fetch {
     image: String,
-    size_gb: f64,
+    image_gb: f64,
     left_gb: f64,
 }
 
@@ -38,9 +38,9 @@
     }
 
     /// Begins to fetch an image unless it is there or under way.
-    pub fn want(&mut self, image: &str, size_gb: f64) {
+    pub fn want(&mut self, image: &str, image_gb: f64) {
         if !self.has(image) && self.fetches.iter().all(|f| f.image != image) {
-            self.fetches.push(Fetch { image: image.into(), size_gb, left_gb: size_gb });
+            self.fetches.push(Fetch { image: image.into(), image_gb, left_gb: image_gb });
         }
     }
 
@@ -62,7 +62,7 @@
             left -= step;
             self.fetches.iter_mut().for_each(|f| f.left_gb -= share * step);
             for f in self.fetches.extract_if(.., |f| f.left_gb <= 1e-9) {
-                self.held.push((f.image, f.size_gb));
+                self.held.push((f.image, f.image_gb));
                 came = true;
             }
             if step <= 0.0 && !came {
--- a/crates/rehearsal/src/machine/worker.rs
+++ b/crates/emulator/src/machine/worker.rs
@@ -3,8 +3,8 @@
 //! ends them; what concerns them is told by `Happening`.
 
 use super::images::Images;
-use finchquay_protocol::user::{Form, JobSpec};
-use finchquay_protocol::worker::{Cause, Order, Push, Report, TaskId, TaskReport, TaskState};
+use finchquay_protocol::user::{JobKind, JobSpec};
+use finchquay_protocol::worker::{Cause, Command, CommandRequest, Heartbeat, TaskId, TaskReport, TaskState};
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::sync::Arc;
 use std::time::Duration;
@@ -25,7 +25,7 @@
 
 impl Description {
     fn total_s(&self, index: u32) -> f64 {
-        let at = if self.spec.form == Form::Ensemble { 0 } else { index as usize };
+        let at = if self.spec.kind == JobKind::Gang { 0 } else { index as usize };
         self.run_s.get(at).map_or(f64::INFINITY, |s| f64::from(*s))
     }
 }
@@ -81,7 +81,7 @@
 
 impl Task {
     fn gang(&self) -> bool {
-        self.desc.spec.form == Form::Ensemble
+        self.desc.spec.kind == JobKind::Gang
     }
 }
 
@@ -90,8 +90,8 @@
 pub struct Traits {
     pub name: String,
     pub addr: String,
-    pub build: String,
-    pub site: String,
+    pub machine_type: String,
+    pub zone: String,
     pub spot: bool,
     pub cores: f64,
     pub gpus: f64,
@@ -106,13 +106,13 @@
 
 pub struct Worker {
     pub traits: Traits,
-    shift: u64,
-    tally: u64,
-    warrant: u64,
+    agent_epoch: u64,
+    heartbeat_seq: u64,
+    fencing_token: u64,
     lease_from: Duration,
     tasks: BTreeMap<(TaskId, u64), Task>,
     images: Images,
-    pub recall_at: Option<Duration>,
+    pub preempted_at: Option<Duration>,
     /// Every task fails here.
     pub sick: bool,
     hung_since: Option<Duration>,
@@ -126,12 +126,12 @@
         Worker {
             images: Images::new(traits.gb_per_s, traits.cache_gb, now),
             traits,
-            shift: 1,
-            tally: 0,
-            warrant: 0,
+            agent_epoch: 1,
+            heartbeat_seq: 0,
+            fencing_token: 0,
             lease_from: now,
             tasks: BTreeMap::new(),
-            recall_at: None,
+            preempted_at: None,
             sick: false,
             hung_since: None,
             token_told: now,
@@ -202,7 +202,7 @@
     pub fn advance(&mut self, now: Duration, shared: &mut Shared) {
         if now > self.lease_from + self.traits.lease {
             self.drop_all(now, "lapsed", shared);
-            self.shift += 1;
+            self.agent_epoch += 1;
             self.lease_from = now;
             self.changed = true;
         }
@@ -227,7 +227,7 @@
         let Some(t) = self.tasks.get_mut(key) else { return };
         match t.state {
             TaskState::Fetching => {
-                if !self.images.has(&t.desc.spec.bundle) {
+                if !self.images.has(&t.desc.spec.image) {
                     return;
                 }
                 self.changed = true;
@@ -240,7 +240,7 @@
                     t.state = TaskState::Running;
                     (t.left_s, t.until) = (f64::INFINITY, Some(now + FAILS_AFTER));
                 } else if t.gang() {
-                    t.state = TaskState::Gathering;
+                    t.state = TaskState::WaitingForGang;
                     t.until = Some(now + gang_wait);
                     self.out.push(Happening::Gathers { task: key.0.clone(), attempt: key.1 });
                 } else {
@@ -252,9 +252,9 @@
                     t.until = (run.is_finite()).then(|| now + Duration::from_secs_f64(run));
                 }
             }
-            TaskState::Gathering => {
+            TaskState::WaitingForGang => {
                 self.out.push(Happening::Leaves { task: key.0.clone(), attempt: key.1 });
-                self.exit(now, key, Cause::Alone, None, shared);
+                self.exit(now, key, Cause::GangIncomplete, None, shared);
             }
             TaskState::Running if t.left_s.is_infinite() => self.exit(now, key, Cause::Error, None, shared),
             TaskState::Running => self.exit(now, key, Cause::Done, None, shared),
@@ -286,7 +286,7 @@
 
     fn keep_images(&mut self) {
         let tasks = &self.tasks;
-        self.images.keep(|i| tasks.values().any(|t| t.state == TaskState::Fetching && t.desc.spec.bundle == i));
+        self.images.keep(|i| tasks.values().any(|t| t.state == TaskState::Fetching && t.desc.spec.image == i));
     }
 
     /// Every task is gone at once, unreported: the lease lapsed or the machine vanished.
@@ -295,7 +295,7 @@
             if t.state == TaskState::Running && !t.gang() && !self.hangs() {
                 checkpoint(&t, now, shared);
             }
-            if t.gang() && matches!(t.state, TaskState::Gathering | TaskState::Running | TaskState::Saving) {
+            if t.gang() && matches!(t.state, TaskState::WaitingForGang | TaskState::Running | TaskState::Saving) {
                 self.out.push(Happening::Leaves { task: task.clone(), attempt });
             }
             if t.on && t.state != TaskState::Exited {
@@ -314,57 +314,59 @@
     }
 
     /// The report that is sent now.
-    pub fn report(&mut self, now: Duration) -> Report {
-        self.tally += 1;
+    pub fn report(&mut self, now: Duration) -> Heartbeat {
+        self.heartbeat_seq += 1;
         let task = |((id, attempt), t): (&(TaskId, u64), &Task)| TaskReport {
-            parcel: id.to_string(),
+            task: id.to_string(),
             attempt: *attempt,
             status: t.state,
             cause: t.cause,
             kept: t.kept,
         };
         let t = &self.traits;
-        Report {
+        Heartbeat {
             machine: t.name.clone(),
             addr: t.addr.clone(),
-            build: t.build.clone(),
-            site: t.site.clone(),
+            machine_type: t.machine_type.clone(),
+            zone: t.zone.clone(),
             spot: t.spot,
-            shift: self.shift,
-            tally: self.tally,
-            warrant: self.warrant,
-            recall_s: self.recall_at.map(|at| at.saturating_sub(now).as_secs_f64()),
+            agent_epoch: self.agent_epoch,
+            heartbeat_seq: self.heartbeat_seq,
+            fencing_token: self.fencing_token,
+            preemption_notice_s: self.preempted_at.map(|at| at.saturating_sub(now).as_secs_f64()),
             tasks: self.tasks.iter().map(task).collect(),
         }
     }
 
-    pub fn shift(&self) -> u64 {
-        self.shift
+    pub fn agent_epoch(&self) -> u64 {
+        self.agent_epoch
     }
 
-    /// A report of session `shift`, sent at `sent`, was answered with 200.
+    /// A report of session `agent_epoch`, sent at `sent`, was answered with 200.
     /// False: the answer had to be dropped.
     pub fn answered(
         &mut self,
         now: Duration,
         sent: Duration,
-        shift: u64,
-        warrant: Option<u64>,
-        orders: &[Order],
+        agent_epoch: u64,
+        fencing_token: Option<u64>,
+        commands: &[Command],
         shared: &mut Shared,
     ) -> bool {
-        let Some(warrant) = warrant.filter(|w| *w >= self.warrant && shift == self.shift && !self.hangs()) else {
+        let Some(fencing_token) =
+            fencing_token.filter(|w| *w >= self.fencing_token && agent_epoch == self.agent_epoch && !self.hangs())
+        else {
             return false;
         };
-        self.see_token(now, warrant);
+        self.see_token(now, fencing_token);
         self.lease_from = self.lease_from.max(sent);
-        self.execute(now, orders, shared);
+        self.execute(now, commands, shared);
         true
     }
 
-    fn see_token(&mut self, now: Duration, warrant: u64) {
-        if warrant > self.warrant {
-            self.warrant = warrant;
+    fn see_token(&mut self, now: Duration, fencing_token: u64) {
+        if fencing_token > self.fencing_token {
+            self.fencing_token = fencing_token;
             if now > self.token_told + self.traits.lease / 2 {
                 self.token_told = now;
                 self.changed = true;
@@ -374,23 +376,25 @@
 
     /// Orders sent straight to the worker: the status of the answer, whose
     /// body is the report.
-    pub fn pushed(&mut self, now: Duration, push: &Push, shared: &mut Shared) -> u16 {
+    pub fn pushed(&mut self, now: Duration, push: &CommandRequest, shared: &mut Shared) -> u16 {
         self.advance(now, shared);
-        if push.warrant < self.warrant || push.shift != self.shift {
+        if push.fencing_token < self.fencing_token || push.agent_epoch != self.agent_epoch {
             return 409;
         }
-        self.see_token(now, push.warrant);
-        self.execute(now, &push.orders, shared);
+        self.see_token(now, push.fencing_token);
+        self.execute(now, &push.commands, shared);
         200
     }
 
-    fn execute(&mut self, now: Duration, orders: &[Order], shared: &mut Shared) {
-        for order in orders {
+    fn execute(&mut self, now: Duration, commands: &[Command], shared: &mut Shared) {
+        for order in commands {
             match order {
-                Order::Run { parcel, attempt } => self.run(now, parcel, *attempt, shared),
-                Order::Kill { parcel, attempt, wind_down_s } => self.kill(now, parcel, *attempt, *wind_down_s, shared),
-                Order::Forget { parcel, attempt } => {
-                    if let Some(id) = TaskId::parse(parcel) {
+                Command::Run { task, attempt } => self.run(now, task, *attempt, shared),
+                Command::Kill { task, attempt, grace_period_s } => {
+                    self.kill(now, task, *attempt, *grace_period_s, shared)
+                }
+                Command::Forget { task, attempt } => {
+                    if let Some(id) = TaskId::parse(task) {
                         let key = (id, *attempt);
                         if self.tasks.get(&key).is_some_and(|t| t.state == TaskState::Exited) {
                             self.tasks.remove(&key);
@@ -401,32 +405,32 @@
         }
     }
 
-    fn run(&mut self, now: Duration, parcel: &str, attempt: u64, shared: &mut Shared) {
-        let Some(id) = TaskId::parse(parcel) else { return };
+    fn run(&mut self, now: Duration, task: &str, attempt: u64, shared: &mut Shared) {
+        let Some(id) = TaskId::parse(task) else { return };
         let key = (id.clone(), attempt);
         if self.tasks.contains_key(&key) {
             return;
         }
         self.changed = true;
-        let desc = shared.jobs.get(&id.job).filter(|d| id.index < d.spec.parcels).cloned();
+        let desc = shared.jobs.get(&id.job).filter(|d| id.index < d.spec.task_count).cloned();
         let live = || self.tasks.values().filter(|t| t.state != TaskState::Exited);
         let refused = match &desc {
-            None => Some(Cause::NoSuch),
-            Some(_) if live().any(|t| t.id == id) => Some(Cause::InUse),
+            None => Some(Cause::UnknownTask),
+            Some(_) if live().any(|t| t.id == id) => Some(Cause::AlreadyPresent),
             Some(d) => {
                 let used = |f: fn(&JobSpec) -> f64| live().map(|t| f(&t.desc.spec)).sum::<f64>() + f(&d.spec);
                 let m = &self.traits;
                 let fits = used(|s| s.cores) <= m.cores + 1e-6
                     && used(|s| s.gpus) <= m.gpus + 1e-6
                     && used(|s| s.mem_gb) <= m.mem_gb + 1e-6;
-                (!fits).then_some(Cause::NoRoom)
+                (!fits).then_some(Cause::NoCapacity)
             }
         };
         let desc = desc.unwrap_or_else(|| {
             Arc::new(Description { spec: JobSpec::example(&id.job), run_s: Vec::new(), broken: true })
         });
         if refused.is_none() {
-            self.images.want(&desc.spec.bundle, desc.spec.size_gb);
+            self.images.want(&desc.spec.image, desc.spec.image_gb);
         }
         let state = if refused.is_some() { TaskState::Exited } else { TaskState::Fetching };
         let task = Task {
@@ -447,11 +451,11 @@
         }
     }
 
-    fn kill(&mut self, now: Duration, parcel: &str, attempt: u64, wind_down_s: f64, shared: &mut Shared) {
-        let Some(id) = TaskId::parse(parcel) else { return };
+    fn kill(&mut self, now: Duration, task: &str, attempt: u64, grace_period_s: f64, shared: &mut Shared) {
+        let Some(id) = TaskId::parse(task) else { return };
         let key = (id, attempt);
         let Some(t) = self.tasks.get_mut(&key).filter(|t| t.state != TaskState::Exited) else { return };
-        let saves = t.desc.spec.saves_in().is_some_and(|s| wind_down_s >= s);
+        let saves = t.desc.spec.saves_in().is_some_and(|s| grace_period_s >= s);
         match t.state {
             TaskState::Running if saves && !self.sick => {
                 t.left_s -= now.saturating_sub(t.since).as_secs_f64() * t.speed;
@@ -462,10 +466,10 @@
                     t.until = None;
                     self.out.push(Happening::Winds { task: key.0.clone(), attempt });
                 } else {
-                    t.until = Some(now + Duration::from_secs_f64(t.desc.spec.stamp_s));
+                    t.until = Some(now + Duration::from_secs_f64(t.desc.spec.checkpoint_duration_s));
                 }
             }
-            TaskState::Saving if wind_down_s > 0.0 => {}
+            TaskState::Saving if grace_period_s > 0.0 => {}
             state => {
                 let kept = (state == TaskState::Saving).then_some(false);
                 if t.gang() && state != TaskState::Fetching {
@@ -479,7 +483,7 @@
 
 /// Keeps the progress of the last checkpoint that the task made by itself.
 fn checkpoint(t: &Task, now: Duration, shared: &mut Shared) {
-    let every = t.desc.spec.stamp_every_s;
+    let every = t.desc.spec.checkpoint_interval_s;
     let total = t.desc.total_s(t.id.index);
     if every > 0.0 && total.is_finite() && t.left_s.is_finite() {
         let progress = total - t.left_s + now.saturating_sub(t.since).as_secs_f64() * t.speed;
@@ -491,12 +495,12 @@
     match cause {
         Cause::Done => "done",
         Cause::Stopped => "stopped",
-        Cause::Peers => "peers",
-        Cause::Alone => "alone",
+        Cause::GangMemberLost => "peers",
+        Cause::GangIncomplete => "alone",
         Cause::Error => "error",
-        Cause::NoRoom => "no_room",
-        Cause::InUse => "in_use",
-        Cause::NoSuch => "no_such",
+        Cause::NoCapacity => "no_room",
+        Cause::AlreadyPresent => "in_use",
+        Cause::UnknownTask => "no_such",
         Cause::Other => "other",
     }
 }
--- a/crates/rehearsal/src/main.rs
+++ b/crates/emulator/src/main.rs
@@ -1,16 +1,16 @@
-//! finchquay-rehearsal: a whole cluster on one machine, with load and faults.
+//! finchquay-emulator: a whole cluster on one machine, with load and faults.
 
 use clap::{Args as ClapArgs, Parser, Subcommand};
+use finchquay_emulator::cluster::ClusterError;
+use finchquay_emulator::history::{self, HistoryError, Line, Watcher};
+use finchquay_emulator::report::{self, Report};
+use finchquay_emulator::run::{self, Options, Outcome, RunError};
+use finchquay_emulator::scenario::Scenario;
+use finchquay_emulator::state::{machine::Limits, probe, service as state};
+use finchquay_emulator::suite::{self, Expect};
+use finchquay_emulator::view::Model;
+use finchquay_emulator::{checker, cluster, lock};
 use finchquay_hcl::HclError;
-use finchquay_rehearsal::cluster::ClusterError;
-use finchquay_rehearsal::history::{self, HistoryError, Line, Watcher};
-use finchquay_rehearsal::report::{self, Report};
-use finchquay_rehearsal::run::{self, Options, Outcome, RunError};
-use finchquay_rehearsal::scenario::Scenario;
-use finchquay_rehearsal::state::{machine::Limits, probe, service as state};
-use finchquay_rehearsal::suite::{self, Expect};
-use finchquay_rehearsal::view::Model;
-use finchquay_rehearsal::{checker, cluster, lock};
 use std::io::IsTerminal;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -26,10 +26,10 @@
 /// machines around real controllers, with load and faults, and a checker of
 /// what happened. Everything stays on loopback addresses.
 ///
-/// Exit codes: 0 rules held; 1 a rule was broken or the rehearsal failed;
+/// Exit codes: 0 rules held; 1 a rule was broken or the emulator failed;
 /// 2 bad arguments, a bad scenario, an address in use or no controller program.
 #[derive(Parser)]
-#[command(name = "finchquay-rehearsal", version, about)]
+#[command(name = "finchquay-emulator", version, about)]
 struct Args {
     #[command(subcommand)]
     verb: Verb,
@@ -148,7 +148,7 @@
     let runtime = match tokio::runtime::Builder::new_multi_thread().enable_all().build() {
         Ok(r) => r,
         Err(e) => {
-            eprintln!("finchquay-rehearsal: {e}");
+            eprintln!("finchquay-emulator: {e}");
             return ExitCode::FAILURE;
         }
     };
@@ -157,7 +157,7 @@
     match result {
         Ok(code) => code,
         Err(e) => {
-            eprintln!("finchquay-rehearsal: {e}");
+            eprintln!("finchquay-emulator: {e}");
             ExitCode::from(e.code())
         }
     }
@@ -261,7 +261,7 @@
 }
 
 /// Where a play leaves its files: the folder asked for, or the first of its
-/// name that is free. One that holds a rehearsal is never played over.
+/// name that is free. One that holds a emulator is never played over.
 fn fresh_folder(out: Option<PathBuf>, name: &str) -> Result<PathBuf, MainError> {
     let used = |dir: &Path| dir.join("history-1.jsonl").exists();
     match out {
@@ -441,7 +441,7 @@
         println!(
             "| {name} | {} | {} | {} | {} | {} | {broken} |",
             v.accepted,
-            v.told_done + v.told_withdrawn,
+            v.confirmed_done + v.confirmed_cancelled,
             v.starts,
             v.tasks_done,
             v.done_again
--- a/crates/rehearsal/src/report.rs
+++ b/crates/emulator/src/report.rs
@@ -139,10 +139,10 @@
         match &line.event {
             Event::Began { scenario, seed, .. } => (r.scenario, r.seed) = (scenario.clone(), *seed),
             Event::Job { spec } => {
-                first.insert(&spec.uid, (t, &spec.docket));
-                let class = r.classes.entry(spec.docket.clone()).or_default();
+                first.insert(&spec.uid, (t, &spec.class));
+                let class = r.classes.entry(spec.class.clone()).or_default();
                 class.jobs += 1;
-                class.tasks += u64::from(spec.parcels);
+                class.tasks += u64::from(spec.task_count);
             }
             Event::Call { asked, uid, status, state, .. } => {
                 let name = status.map_or("none".to_string(), |s| s.to_string());
@@ -269,7 +269,7 @@
     let v = &r.verdict;
     let mut out = format!(
         "{} seed {}: {:.0} s, {} jobs submitted, {} accepted, {} told done, {} withdrawn\n",
-        r.scenario, r.seed, r.seconds, v.submitted, v.accepted, v.told_done, v.told_withdrawn
+        r.scenario, r.seed, r.seconds, v.submitted, v.accepted, v.confirmed_done, v.confirmed_cancelled
     );
     out += &format!(
         "tasks: {} starts, {} done ({:.1} a second), {} done again after they were done; stops {:?}\n",
@@ -468,13 +468,13 @@
             controllers: BTreeMap::from([("c".to_string(), (5.0, cpu))]),
         };
         let controller = |what: &str| Event::Controller { controller: "c".into(), what: what.into() };
-        let up = Event::MachineUp { machine: "m".into(), build: "std".into(), site: "a".into(), spot: false };
+        let up = Event::MachineUp { machine: "m".into(), machine_type: "std".into(), zone: "a".into(), spot: false };
         [
             (0.0, controller("started")),
             (0.5, up),
             (1.0, Event::Job { spec: JobSpec::example("run-1") }),
             (1.5, call(Asked::Submit, None, None)),
-            (3.0, call(Asked::Submit, Some(201), Some(Status::Pending))),
+            (3.0, call(Asked::Submit, Some(201), Some(Status::Queued))),
             (4.0, start(0)),
             (5.0, sample(10, 1.0)),
             (5.5, controller("killed")),
--- a/crates/rehearsal/src/run.rs
+++ b/crates/emulator/src/run.rs
@@ -1,4 +1,4 @@
-//! One rehearsal from start to end: emulator, controllers, users and faults.
+//! One emulator from start to end: emulator, controllers, users and faults.
 
 use crate::checker::{self, Verdict};
 use crate::cloud::machine::{Cloud, Config as CloudConfig, Fault as CloudFault, Happening, Offer};
@@ -19,7 +19,7 @@
 use finchquay_client::ClientError;
 use finchquay_protocol::BODY_LIMIT;
 use finchquay_protocol::cloud::MachineType;
-use finchquay_protocol::user::{Form, Status};
+use finchquay_protocol::user::{JobKind, Status};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::collections::{BTreeMap, HashSet};
@@ -64,7 +64,7 @@
     pub watcher: Option<Watcher>,
 }
 
-/// What a rehearsal left.
+/// What a emulator left.
 pub struct Outcome {
     pub history: PathBuf,
     pub lines: Vec<Line>,
@@ -118,7 +118,7 @@
     earlier.upload(&mut fleet);
     let nodes =
         cluster.places.iter().map(|p| Node { member: p.member.clone(), zone: p.zone.clone(), address: p.public });
-    let report = Scenario::seconds(scenario.workers.report_s);
+    let report = Scenario::seconds(scenario.workers.heartbeat_interval_s);
     let driver = Driver::new(fleet, nodes.collect(), report, recorder.clone());
     let worker_port = port(Ipv4Addr::new(127, 1, 0, 1), 0)?.port();
     let cloud = Cloud::new(cloud_config(&scenario, worker_port), rng.random(), earlier.machines);
@@ -149,8 +149,8 @@
     let over = load::Over::default();
     let mut users = load::play(jobs, &client, &driver, &recorder, user_seed, &over);
     background.spawn(load::curious(client.clone(), over));
-    for (uid, withdraw) in earlier.open {
-        users.spawn(load::resume(client.clone(), uid, withdraw));
+    for (uid, cancel) in earlier.open {
+        users.spawn(load::resume(client.clone(), uid, cancel));
     }
     let most = world.scenario.duration_s + world.scenario.settle_s;
     let all_ended = async { while users.join_next().await.is_some() {} };
@@ -226,12 +226,12 @@
             cores: m.cpus,
             gpus: m.gpus,
             mem_gb: m.memory_gb,
-            local_gb: m.cache_gb,
+            disk_gb: m.cache_gb,
             pull_gb_per_s: m.fetch_gb_per_s,
-            hourly: m.hourly,
+            on_demand_price: m.on_demand_price,
             spot_price: m.spot_hourly,
             startup_s: m.boot_s,
-            sites: s.zones.clone(),
+            zones: s.zones.clone(),
         },
         capacity: s.zones.iter().map(|z| (z.clone(), (m.ordinary, m.spot))).collect(),
         cold: m.cold,
@@ -282,17 +282,17 @@
             for line in lines {
                 match line.event {
                     Event::Job { spec } => {
-                        let standing = spec.form == Form::Standing;
-                        let run = if standing { f32::INFINITY } else { spec.expected_s.max(0.05) as f32 };
+                        let standing = spec.kind == JobKind::Service;
+                        let run = if standing { f32::INFINITY } else { spec.estimated_run_s.max(0.05) as f32 };
                         jobs.entry(spec.uid.clone()).or_insert((false, standing));
-                        let run_s = vec![run; spec.parcels as usize];
+                        let run_s = vec![run; spec.task_count as usize];
                         out.descriptions.push(Description { spec, run_s, broken: false });
                     }
                     Event::Call { uid, status: Some(200 | 201), state, .. } => {
                         if let Some(job) = jobs.get_mut(&uid) {
                             job.0 = true;
                         }
-                        if matches!(state, Some(Status::Done | Status::Withdrawn)) {
+                        if matches!(state, Some(Status::Done | Status::Cancelled)) {
                             ended.insert(uid);
                         }
                     }
@@ -342,11 +342,11 @@
                 Happening::Up { name } => {
                     let Some((traits, addr)) = self.traits(&name) else { continue };
                     if let Err(e) = self.driver.boot(traits, addr).await {
-                        eprintln!("finchquay-rehearsal: {addr}: {e}; this machine stays silent");
+                        eprintln!("finchquay-emulator: {addr}: {e}; this machine stays silent");
                     }
                 }
                 Happening::Notice { name, at } => {
-                    self.driver.fleet().with(&name, self.now(), |w, _| w.recall_at = Some(at));
+                    self.driver.fleet().with(&name, self.now(), |w, _| w.preempted_at = Some(at));
                 }
                 Happening::Gone { name, why } => self.driver.vanish(&name, why),
             }
@@ -357,17 +357,17 @@
         let cloud = lock(&self.cloud);
         let mut rng = lock(&self.rng);
         let r = cloud.rental(name)?;
-        let kind = cloud.kind(&r.build)?;
+        let kind = cloud.kind(&r.machine_type)?;
         let traits = Traits {
             name: name.into(),
             addr: r.addr.to_string(),
-            build: r.build.clone(),
-            site: r.site.clone(),
+            machine_type: r.machine_type.clone(),
+            zone: r.zone.clone(),
             spot: r.spot,
             cores: kind.cores,
             gpus: kind.gpus,
             mem_gb: kind.mem_gb,
-            cache_gb: kind.local_gb,
+            cache_gb: kind.disk_gb,
             gb_per_s: kind.pull_gb_per_s * rng.random_range(0.7..1.3),
             speed: rng.random_range(0.95..1.05),
             lease: Scenario::seconds(self.scenario.workers.lease_s),
@@ -470,7 +470,7 @@
         let late = Scenario::seconds(f.late_s.unwrap_or(0.0));
         let restart = f.restart_s.map(Scenario::seconds);
         let cloud = |fault| lock(&self.cloud).fault(now, &fault);
-        let build = f.machine_type.clone();
+        let machine_type = f.machine_type.clone();
         let pick = |fault| {
             let prefix = f.prefix.clone().unwrap_or_default();
             self.store(StoreFault::Write(Pick { fault, prefix, skip: f.skip.unwrap_or(0), count }));
@@ -487,8 +487,8 @@
             K::WriteLate => pick(WriteFault::Late(late)),
             K::TailLost => self.store(StoreFault::LoseTail(u64::from(count))),
             K::CloudOutage => cloud(CloudFault::Outage(true)),
-            K::BootsLate => cloud(CloudFault::Late { build, factor }),
-            K::BootsCold => cloud(CloudFault::Cold { build, on: true }),
+            K::BootsLate => cloud(CloudFault::Late { machine_type, factor }),
+            K::BootsCold => cloud(CloudFault::Cold { machine_type, on: true }),
             K::Scarce => cloud(CloudFault::Scarce(factor)),
             K::Recall => cloud(CloudFault::Recall { count }),
             K::Die => cloud(CloudFault::Die { count }),
@@ -533,7 +533,7 @@
         use FaultKind as K;
         let now = self.now();
         let cloud = |fault| lock(&self.cloud).fault(now, &fault);
-        let build = f.machine_type.clone();
+        let machine_type = f.machine_type.clone();
         match f.kind {
             K::StoreOutage => self.store(StoreFault::Outage(false)),
             K::StoreRefuse => self.store(StoreFault::Refuse(self.member(f.controller), false)),
@@ -542,8 +542,8 @@
             K::StoreSlow => self.store(StoreFault::Slow(None)),
             K::StoreRestart => self.restart_store().await,
             K::CloudOutage => cloud(CloudFault::Outage(false)),
-            K::BootsLate => cloud(CloudFault::Late { build, factor: 1.0 }),
-            K::BootsCold => cloud(CloudFault::Cold { build, on: false }),
+            K::BootsLate => cloud(CloudFault::Late { machine_type, factor: 1.0 }),
+            K::BootsCold => cloud(CloudFault::Cold { machine_type, on: false }),
             K::Scarce => cloud(CloudFault::Scarce(1.0)),
             K::MachinesCut | K::MachinesHang | K::MachinesSick | K::MachinesSlow => self.machines(f, &hit, false),
             K::ZoneCut => self.driver.cut(|c| c.zones.retain(|z| Some(z) != f.zone.as_ref())),
@@ -605,7 +605,7 @@
                 match bind(*address).await {
                     Ok(l) => break Some(l),
                     Err(e) if tries == 50 => {
-                        eprintln!("finchquay-rehearsal: the state service does not come back: {e}");
+                        eprintln!("finchquay-emulator: the state service does not come back: {e}");
                         break None;
                     }
                     Err(_) => tries += 1,
@@ -615,7 +615,7 @@
             listeners.extend(listener);
         }
         if let Err(e) = lock(&self.state).start(listeners) {
-            eprintln!("finchquay-rehearsal: the state service does not come back: {e}");
+            eprintln!("finchquay-emulator: the state service does not come back: {e}");
         }
     }
 }
--- a/crates/rehearsal/src/state/log.rs
+++ b/crates/emulator/src/state/log.rs
@@ -183,9 +183,9 @@
             let log = Log::open(&path, false).unwrap();
             let mut st = log.load(limits(), now).unwrap();
             let id = st.grant(now, 5000).unwrap();
-            st.transact(now, &Txn { conds: vec![], ops: vec![put("a", Some(id)), put("b", None)] });
+            st.transact(now, &Txn { conditions: vec![], ops: vec![put("a", Some(id)), put("b", None)] });
             log.write(&batch(&mut st)).unwrap();
-            st.transact(now, &Txn { conds: vec![], ops: vec![put("c", None), Op::Delete { key: "b".into() }] });
+            st.transact(now, &Txn { conditions: vec![], ops: vec![put("c", None), Op::Delete { key: "b".into() }] });
             // Killed before this one was written: the process ends here.
         }
         let log = Log::open(&path, false).unwrap();
--- a/crates/rehearsal/src/state/probe.rs
+++ b/crates/emulator/src/state/probe.rs
@@ -38,7 +38,7 @@
             while began.elapsed() < time {
                 let key = format!("probe/{c}/{}", took.len() % 1000);
                 let op = Op::Put { key, data: Value::Text("x".repeat(200)), lease: None };
-                let body = encode(&Txn { conds: Vec::new(), ops: vec![op] });
+                let body = encode(&Txn { conditions: Vec::new(), ops: vec![op] });
                 let sent = Instant::now();
                 match connection.post(address, TXN, body, time).await {
                     Some(r) if r.status == 200 => took.push(sent.elapsed().as_micros() as u64),
--- a/crates/rehearsal/src/state/service.rs
+++ b/crates/emulator/src/state/service.rs
@@ -6,7 +6,7 @@
 use super::machine::{Change, Limits, Outcome, Store};
 use crate::http::{self, Reply, Request};
 use ciborium::cbor;
-use finchquay_protocol::store::{Followed, Lease, LeaseRequest, Ledger, News, Op, Route, Txn, route};
+use finchquay_protocol::store::{Lease, LeaseRequest, Op, Route, Txn, TxnResponse, WatchEvent, WatchResponse, route};
 use finchquay_protocol::{BODY_LIMIT, decode, encode};
 use std::collections::BTreeSet;
 use std::path::PathBuf;
@@ -42,7 +42,7 @@
     pub count: u32,
 }
 
-/// What a rehearsal may do to the service while it runs.
+/// What a emulator may do to the service while it runs.
 #[derive(Debug)]
 pub enum Fault {
     /// Nothing is served, and leases stand still, until it is lifted.
@@ -253,7 +253,7 @@
             if !(batch.changes.is_empty() && batch.undone.is_empty() && batch.leases.is_empty())
                 && let Err(e) = self.log.write(&batch)
             {
-                eprintln!("finchquay-rehearsal: the state service ends: {e}");
+                eprintln!("finchquay-emulator: the state service ends: {e}");
                 return;
             }
             for (reply, answer) in self.answers.drain(..) {
@@ -287,7 +287,7 @@
         } else {
             match route(&request.method, &request.path) {
                 None => Reply::empty(400),
-                Some(Route::Follow { starts, after, hold_ms }) => {
+                Some(Route::Watch { starts, after, hold_ms }) => {
                     let until = now + Duration::from_millis(hold_ms);
                     self.watches.push(Watch { node, starts: starts.into(), after, until, reply });
                     return;
@@ -324,7 +324,7 @@
         body: &[u8],
         leases: &mut Vec<(u64, Option<Duration>)>,
     ) -> Reply {
-        let ledger = || encode(&Ledger { ledger_no: self.store.ledger(), failed: Vec::new() });
+        let ledger = || encode(&TxnResponse { revision: self.store.ledger(), failed: Vec::new() });
         match *route {
             Route::Get(key) => match self.store.get(key) {
                 Some(row) => Reply::new(200, encode(&row)),
@@ -348,13 +348,13 @@
                 Reply::empty(200)
             }
             Route::Extend(_) | Route::Revoke(_) => Reply::empty(404),
-            Route::Multi | Route::Follow { .. } => Reply::empty(400),
+            Route::Multi | Route::Watch { .. } => Reply::empty(400),
         }
     }
 
     fn transact(&mut self, now: Duration, txn: &Txn, keep: bool) -> Reply {
         let outcome = if keep { self.store.transact(now, txn) } else { self.store.lose(now, txn) };
-        let answer = |ledger_no, failed| encode(&Ledger { ledger_no, failed });
+        let answer = |revision, failed| encode(&TxnResponse { revision, failed });
         match outcome {
             Outcome::Done { ledger } => {
                 self.counts.transactions += 1;
@@ -472,14 +472,14 @@
             if self.cut.contains(&w.node) || self.mute.contains(&w.node) {
                 continue; // its answer is lost, or held back past any use
             }
-            let ledger_no = self.store.ledger();
+            let revision = self.store.ledger();
             let answer = match self.store.changes(&w.starts, w.after) {
                 None => Reply::empty(410),
                 Some(news) if news.is_empty() && now < w.until => {
                     open.push(w);
                     continue;
                 }
-                Some(news) => Reply::new(200, encode(&Followed { ledger_no, news: news as Vec<News> })),
+                Some(news) => Reply::new(200, encode(&WatchResponse { revision, news: news as Vec<WatchEvent> })),
             };
             let _ = w.reply.send((answer, delay(self.slow)));
         }
--- a/crates/rehearsal/src/view.rs
+++ b/crates/emulator/src/view.rs
@@ -1,4 +1,4 @@
-//! What a person sees while a rehearsal plays: a terminal view, or plain lines
+//! What a person sees while a emulator plays: a terminal view, or plain lines
 //! where there is no terminal. Fed by the history's lines and nothing else.
 
 use crate::history::{Asked, Event, Line};
@@ -22,7 +22,7 @@
     Accepted,
     Running,
     Done,
-    Withdrawn,
+    Cancelled,
 }
 
 const STAGES: [(Stage, &str); 5] = [
@@ -30,7 +30,7 @@
     (Stage::Accepted, "waiting"),
     (Stage::Running, "running"),
     (Stage::Done, "done"),
-    (Stage::Withdrawn, "withdrawn"),
+    (Stage::Cancelled, "withdrawn"),
 ];
 
 /// All that the view shows.
@@ -82,7 +82,7 @@
                 Some(format!("state service: write {what}: {first} and {more} more"))
             }
             Event::Job { spec } => {
-                self.jobs.insert(spec.uid.clone(), (spec.docket.clone(), Stage::Submitted));
+                self.jobs.insert(spec.uid.clone(), (spec.class.clone(), Stage::Submitted));
                 None
             }
             Event::Call { asked, uid, status, state, .. } => {
@@ -133,9 +133,9 @@
         let Some((_, stage)) = self.jobs.get_mut(uid) else { return };
         let to = match (state, asked, status) {
             (Some(Status::Done), ..) => Stage::Done,
-            (Some(Status::Withdrawn), ..) => Stage::Withdrawn,
+            (Some(Status::Cancelled), ..) => Stage::Cancelled,
             (Some(Status::Running), ..) => Stage::Running,
-            (_, Asked::Submit, Some(200 | 201)) | (Some(Status::Pending), ..) => Stage::Accepted,
+            (_, Asked::Submit, Some(200 | 201)) | (Some(Status::Queued), ..) => Stage::Accepted,
             _ => return,
         };
         // A job may wait again after it ran; an end stays.
@@ -217,7 +217,7 @@
     use ratatui::backend::TestBackend;
 
     #[test]
-    fn the_screen_tells_what_the_history_told() {
+    fn the_screen_shows_what_the_history_has() {
         let mut m = Model::default();
         let call = |state| Event::Call {
             asked: Asked::Poll,
--- a/crates/protocol/src/cloud.rs
+++ b/crates/protocol/src/cloud.rs
@@ -11,7 +11,8 @@
 
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Catalog {
-    pub builds: Vec<MachineType>,
+    #[serde(rename = "builds")]
+    pub machine_types: Vec<MachineType>,
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -24,36 +25,42 @@
     #[serde(deserialize_with = "amount")]
     pub mem_gb: f64,
     #[serde(deserialize_with = "amount")]
-    pub local_gb: f64,
+    #[serde(rename = "local_gb")]
+    pub disk_gb: f64,
     #[serde(deserialize_with = "amount")]
     pub pull_gb_per_s: f64,
     #[serde(deserialize_with = "amount")]
-    pub hourly: f64,
+    #[serde(rename = "hourly")]
+    pub on_demand_price: f64,
     #[serde(deserialize_with = "amount")]
     pub spot_price: f64,
     #[serde(deserialize_with = "amount")]
     pub startup_s: f64,
-    pub sites: Vec<String>,
+    #[serde(rename = "sites")]
+    pub zones: Vec<String>,
 }
 
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Rent<'a> {
-    pub charter: Cow<'a, str>,
-    pub build: Cow<'a, str>,
-    pub site: Cow<'a, str>,
+pub struct RentRequest<'a> {
+    #[serde(rename = "charter")]
+    pub request_id: Cow<'a, str>,
+    #[serde(rename = "build")]
+    pub machine_type: Cow<'a, str>,
+    #[serde(rename = "site")]
+    pub zone: Cow<'a, str>,
     #[serde(rename = "loaners")]
     pub spot: bool,
     pub number: u32,
 }
 
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Rented {
+pub struct RentResponse {
     #[serde(rename = "perches")]
     pub machines: Vec<String>,
 }
 
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Release<'a> {
+pub struct ReleaseRequest<'a> {
     #[serde(rename = "perches")]
     pub machines: Cow<'a, [String]>,
 }
@@ -69,25 +76,28 @@
 }
 
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Listed {
+pub struct ListedMachine {
     pub uid: String,
     /// Where the machine's worker listens; controllers learn it from reports.
     #[serde(default)]
     pub addr: String,
-    pub build: String,
-    pub site: String,
+    #[serde(rename = "build")]
+    pub machine_type: String,
+    #[serde(rename = "site")]
+    pub zone: String,
     #[serde(rename = "loaners")]
     pub spot: bool,
     #[serde(rename = "status")]
     pub phase: Phase,
     #[serde(deserialize_with = "amount")]
-    pub held_s: f64,
+    #[serde(rename = "held_s")]
+    pub rented_s: f64,
 }
 
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Page {
     #[serde(rename = "perches")]
-    pub machines: Vec<Listed>,
+    pub machines: Vec<ListedMachine>,
     #[serde(default)]
     pub truncated: bool,
 }
--- a/crates/protocol/src/peer.rs
+++ b/crates/protocol/src/peer.rs
@@ -10,12 +10,12 @@
     /// First on every connection: who is speaking.
     Hello { member: String },
     /// Sent at a steady interval.
-    Beat(Box<Beat>),
+    PeerHeartbeat(Box<PeerHeartbeat>),
 }
 
 /// The newest beat that the sender had from one controller.
 #[derive(Debug, Clone, Default, PartialEq, BorshSerialize, BorshDeserialize)]
-pub struct Echo {
+pub struct Acknowledgement {
     pub member: String,
     pub incarnation: u64,
     pub seq: u64,
@@ -27,39 +27,39 @@
     pub machine: String,
     pub ago_ms: u64,
     /// What it said last: others know a copy of something older by it.
-    pub shift: u64,
-    pub tally: u64,
+    pub agent_epoch: u64,
+    pub heartbeat_seq: u64,
 }
 
 /// What of the changes after a revision matters to a controller that has not seen
 /// them: it must stop what it has of these, or not go on.
 #[derive(Debug, Clone, Default, PartialEq, BorshSerialize, BorshDeserialize)]
-pub struct Owed {
+pub struct Revocations {
     /// Nothing that the sender knows of changes after this matters, but:
     pub since: u64,
-    /// Jobs that were withdrawn, and may have tasks left, and
-    pub withdrawn: Vec<(String, u64)>,
+    /// Jobs that were cancelled, and may have tasks left, and
+    pub cancelled: Vec<(String, u64)>,
     /// machines that were granted, with the revision of each.
     pub granted: Vec<(String, u64)>,
 }
 
 /// What one controller tells the others about what it sees. Hints only, but for
-/// `revision`, `learned` and `owed`: the proof stands at `links::table::attested`.
+/// `revision`, `known_revision` and `revocations`: the proof stands at `links::table::attested`.
 #[derive(Debug, Clone, Default, PartialEq, BorshSerialize, BorshDeserialize)]
-pub struct Beat {
+pub struct PeerHeartbeat {
     pub incarnation: u64,
     /// Counts the beats of this incarnation.
     pub seq: u64,
     /// What the sender had heard: tells when this was sent, and that it hears us.
-    pub echo: Vec<Echo>,
+    pub acknowledgements: Vec<Acknowledgement>,
     /// Revision of the sender's view, all up to which it has taken in; none while it
     /// has none.
     pub revision: Option<u64>,
     /// The newest change of which the sender knows anything, by its watch, a read or
     /// the answer to a write. Whatever it told users, and whatever it acts on, is no newer.
-    pub learned: u64,
+    pub known_revision: u64,
     /// What others that have not come that far must know; none where it cannot be said.
-    pub owed: Option<Owed>,
+    pub revocations: Option<Revocations>,
     /// Live controllers and their incarnations, while the sender's view is fresh.
     pub members: Vec<(String, u64)>,
     /// Milliseconds since the sender's view of the store was known fresh.
@@ -68,7 +68,7 @@
     pub heard: Vec<Heard>,
     /// Machines of the sender's that fell silent, and their addresses: does anybody
     /// reach them?
-    pub asks: Vec<(String, String)>,
+    pub silent: Vec<(String, String)>,
     /// Silent machines that answered the sender's own call, and how long ago.
     pub reached: Vec<(String, u64)>,
     /// Machines of any block that the cloud lists no more, or as failed.
@@ -81,7 +81,7 @@
     pub images: Vec<String>,
 }
 
-impl Beat {
+impl PeerHeartbeat {
     /// Notes the images that a machine holds.
     pub fn note_images<'a>(&mut self, machine: &str, images: impl Iterator<Item = &'a String>) {
         let mut numbers = Vec::new();
--- a/crates/protocol/src/store.rs
+++ b/crates/protocol/src/store.rs
@@ -5,9 +5,10 @@
 
 /// One comparison: the key has this version (0: does not exist).
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Cond {
+pub struct Condition {
     pub key: String,
-    pub entry_no: u64,
+    #[serde(rename = "entry_no")]
+    pub version: u64,
 }
 
 #[derive(Debug, Clone, PartialEq)]
@@ -43,15 +44,14 @@
     #[serde(default)]
     data: Option<Value>,
     #[serde(default)]
-    tenure: Option<u64>,
+    #[serde(rename = "tenure")]
+    lease: Option<u64>,
 }
 
 impl<'de> Deserialize<'de> for Op {
     fn deserialize<D: Deserializer<'de>>(d: D) -> Result<Op, D::Error> {
         match WireOp::deserialize(d)? {
-            WireOp { put: Some(key), delete: None, data: Some(data), tenure } => {
-                Ok(Op::Put { key, data, lease: tenure })
-            }
+            WireOp { put: Some(key), delete: None, data: Some(data), lease } => Ok(Op::Put { key, data, lease }),
             WireOp { put: None, delete: Some(key), .. } => Ok(Op::Delete { key }),
             _ => Err(D::Error::custom("an op is either a put with data or a delete")),
         }
@@ -61,7 +61,7 @@
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Txn {
     #[serde(rename = "if", default)]
-    pub conds: Vec<Cond>,
+    pub conditions: Vec<Condition>,
     #[serde(rename = "then", default)]
     pub ops: Vec<Op>,
 }
@@ -75,8 +75,9 @@
 
 /// Any answer that says how far the ledger has come.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Ledger {
-    pub ledger_no: u64,
+pub struct TxnResponse {
+    #[serde(rename = "ledger_no")]
+    pub revision: u64,
     /// Of a refused transaction: the keys that had changed.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub failed: Vec<String>,
@@ -86,10 +87,12 @@
 pub struct Row {
     pub key: String,
     pub data: Value,
-    pub entry_no: u64,
+    #[serde(rename = "entry_no")]
+    pub version: u64,
     /// The lease that the key hangs on; told when one key is read.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub tenure: Option<u64>,
+    #[serde(rename = "tenure")]
+    pub lease: Option<u64>,
 }
 
 #[derive(Debug, Serialize, Deserialize)]
@@ -97,25 +100,28 @@
     pub rows: Vec<Row>,
     #[serde(default)]
     pub truncated: bool,
-    pub ledger_no: u64,
+    #[serde(rename = "ledger_no")]
+    pub revision: u64,
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct News {
+pub struct WatchEvent {
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub put: Option<String>,
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub delete: Option<String>,
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub data: Option<Value>,
-    pub entry_no: u64,
+    #[serde(rename = "entry_no")]
+    pub version: u64,
 }
 
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Followed {
-    pub ledger_no: u64,
+pub struct WatchResponse {
+    #[serde(rename = "ledger_no")]
+    pub revision: u64,
     #[serde(default)]
-    pub news: Vec<News>,
+    pub news: Vec<WatchEvent>,
 }
 
 #[derive(Debug, Serialize, Deserialize)]
@@ -142,7 +148,7 @@
 /// Shortest and longest time of a lease, in milliseconds.
 pub const TTL_MS: std::ops::RangeInclusive<u64> = 100..=600_000;
 /// Conditions that a transaction may have for each op that it may have.
-pub const CONDS_PER_OP: usize = 4;
+pub const CONDITIONS_PER_OP: usize = 4;
 
 /// Whether a key may be stored: 1 to 200 bytes without spaces.
 pub fn valid_key(key: &str) -> bool {
@@ -158,7 +164,7 @@
     Grant,
     Extend(u64),
     Revoke(u64),
-    Follow { starts: &'a str, after: u64, hold_ms: u64 },
+    Watch { starts: &'a str, after: u64, hold_ms: u64 },
 }
 
 /// Tells what a request line asks for; `None` is one that gets 400.
@@ -175,7 +181,7 @@
         ("GET", "/follow") => {
             let hold_ms: u64 = arg("hold_ms").map_or(Ok(0), str::parse).ok()?;
             let after = arg("after")?.parse().ok()?;
-            Some(Route::Follow { starts: arg("starts")?, after, hold_ms: hold_ms.min(HOLD_LIMIT_MS) })
+            Some(Route::Watch { starts: arg("starts")?, after, hold_ms: hold_ms.min(HOLD_LIMIT_MS) })
         }
         _ => match (method, path.strip_prefix("/holds/")) {
             ("POST", Some(rest)) => Some(Route::Extend(rest.strip_suffix("/extend")?.parse().ok()?)),
@@ -202,7 +208,7 @@
     }
 }
 
-pub fn follow_path(prefix: &str, after: u64, hold_ms: u64) -> String {
+pub fn watch_path(prefix: &str, after: u64, hold_ms: u64) -> String {
     format!("/follow?starts={prefix}&after={after}&hold_ms={hold_ms}")
 }
 
@@ -221,11 +227,7 @@
         let cases = [
             ("GET", key_path("a/b"), Some(Route::Get("a/b"))),
             ("GET", scan_path("c/", "c/7"), Some(Route::Scan { starts: "c/", after: "c/7", page: PAGE_LIMIT })),
-            (
-                "GET",
-                follow_path("c/", 9, 99_999),
-                Some(Route::Follow { starts: "c/", after: 9, hold_ms: HOLD_LIMIT_MS }),
-            ),
+            ("GET", watch_path("c/", 9, 99_999), Some(Route::Watch { starts: "c/", after: 9, hold_ms: HOLD_LIMIT_MS })),
             ("POST", renew_path(7), Some(Route::Extend(7))),
             ("DELETE", "/holds/7".into(), Some(Route::Revoke(7))),
             ("POST", TXN.into(), Some(Route::Multi)),
@@ -246,8 +248,10 @@
     fn transactions_come_through_and_spoilt_ops_do_not() {
         let data = Value::Text("x".into());
         let put = Op::Put { key: "a".into(), data: data.clone(), lease: Some(3) };
-        let txn =
-            Txn { conds: vec![Cond { key: "a".into(), entry_no: 0 }], ops: vec![put, Op::Delete { key: "b".into() }] };
+        let txn = Txn {
+            conditions: vec![Condition { key: "a".into(), version: 0 }],
+            ops: vec![put, Op::Delete { key: "b".into() }],
+        };
         assert_eq!(decode::<Txn>(&encode(&txn)).unwrap(), txn);
         let wire = |fields: &[&str]| {
             let map = fields.iter().map(|f| (Value::Text((*f).into()), data.clone())).collect();
--- a/crates/protocol/src/worker.rs
+++ b/crates/protocol/src/worker.rs
@@ -29,7 +29,8 @@
 #[serde(rename_all = "lowercase")]
 pub enum TaskState {
     Fetching,
-    Gathering,
+    #[serde(rename = "gathering")]
+    WaitingForGang,
     Running,
     Saving,
     Exited,
@@ -40,19 +41,25 @@
 pub enum Cause {
     Done,
     Stopped,
-    Peers,
-    Alone,
+    #[serde(rename = "peers")]
+    GangMemberLost,
+    #[serde(rename = "alone")]
+    GangIncomplete,
     Error,
-    NoRoom,
-    InUse,
-    NoSuch,
+    #[serde(rename = "no_room")]
+    NoCapacity,
+    #[serde(rename = "in_use")]
+    AlreadyPresent,
+    #[serde(rename = "no_such")]
+    UnknownTask,
     #[serde(other)]
     Other,
 }
 
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct TaskReport {
-    pub parcel: String,
+    #[serde(rename = "parcel")]
+    pub task: String,
     #[serde(rename = "try")]
     pub attempt: u64,
     pub status: TaskState,
@@ -63,62 +70,78 @@
 }
 
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Report {
+pub struct Heartbeat {
     #[serde(rename = "perch")]
     pub machine: String,
     pub addr: String,
-    pub build: String,
-    pub site: String,
+    #[serde(rename = "build")]
+    pub machine_type: String,
+    #[serde(rename = "site")]
+    pub zone: String,
     #[serde(rename = "loaners")]
     pub spot: bool,
-    pub shift: u64,
-    pub tally: u64,
-    pub warrant: u64,
+    #[serde(rename = "shift")]
+    pub agent_epoch: u64,
+    #[serde(rename = "tally")]
+    pub heartbeat_seq: u64,
+    #[serde(rename = "warrant")]
+    pub fencing_token: u64,
     #[serde(default, deserialize_with = "amount_or_null")]
-    pub recall_s: Option<f64>,
+    #[serde(rename = "recall_s")]
+    pub preemption_notice_s: Option<f64>,
     #[serde(rename = "parcels")]
     pub tasks: Vec<TaskReport>,
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "verb", rename_all = "lowercase")]
-pub enum Order {
+pub enum Command {
     Run {
-        parcel: String,
+        #[serde(rename = "parcel")]
+        task: String,
         #[serde(rename = "try")]
         attempt: u64,
     },
     Kill {
-        parcel: String,
+        #[serde(rename = "parcel")]
+        task: String,
         #[serde(rename = "try")]
         attempt: u64,
-        wind_down_s: f64,
+        #[serde(rename = "wind_down_s")]
+        grace_period_s: f64,
     },
     Forget {
-        parcel: String,
+        #[serde(rename = "parcel")]
+        task: String,
         #[serde(rename = "try")]
         attempt: u64,
     },
 }
 
-/// Answer to a report.
+/// Response to a heartbeat.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Answer<'a> {
-    pub warrant: u64,
-    pub orders: Cow<'a, [Order]>,
+pub struct HeartbeatResponse<'a> {
+    #[serde(rename = "warrant")]
+    pub fencing_token: u64,
+    #[serde(rename = "orders")]
+    pub commands: Cow<'a, [Command]>,
 }
 
-/// Orders sent straight to a worker.
+/// Commands sent straight to a worker.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Push<'a> {
-    pub warrant: u64,
-    pub shift: u64,
-    pub orders: Cow<'a, [Order]>,
+pub struct CommandRequest<'a> {
+    #[serde(rename = "warrant")]
+    pub fencing_token: u64,
+    #[serde(rename = "shift")]
+    pub agent_epoch: u64,
+    #[serde(rename = "orders")]
+    pub commands: Cow<'a, [Command]>,
 }
 
-/// Answer that sends the worker to another controller.
+/// Response that sends the worker to another controller.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Redirect<'a> {
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub harbor: Option<Cow<'a, str>>,
+    #[serde(rename = "harbor")]
+    pub controller: Option<Cow<'a, str>>,
 }
--- a/src/links/fit.rs
+++ b/src/connectivity/fit.rs
@@ -11,7 +11,7 @@
 //! - `unlisted`, `rented`, `held`: receivers add what they are told, and forget none of it
 //!   for its absence. Successive beats tell different parts.
 
-use crate::protocol::peer::{Beat, FRAME_LIMIT};
+use crate::protocol::peer::{FRAME_LIMIT, PeerHeartbeat};
 use borsh::BorshSerialize;
 use std::collections::BTreeSet;
 
@@ -29,28 +29,28 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Turns {
     /// Beats before this one.
-    pub beats: usize,
+    pub heartbeats: usize,
     /// Beats before this one that told of images on the same machines.
     pub held: usize,
 }
 
 /// Leaves out of a beat what does not fit into a frame. One that fits is not changed.
 /// `told_first`: machines whose absence would mean something.
-pub fn fit(beat: &mut Beat, turns: Turns, told_first: impl Fn(&str) -> bool) {
-    if size(beat) + TAG_BYTES <= FRAME_LIMIT {
+pub fn fit(heartbeat: &mut PeerHeartbeat, turns: Turns, told_first: impl Fn(&str) -> bool) {
+    if size(heartbeat) + TAG_BYTES <= FRAME_LIMIT {
         return;
     }
-    take_turns(&mut beat.unlisted, UNLISTED_BYTES, turns.beats);
-    take_turns(&mut beat.rented, RENTED_BYTES, turns.beats);
-    fit_held(beat, turns.held);
-    let asked: BTreeSet<&str> = beat.asks.iter().map(|(machine, _)| machine.as_str()).collect();
-    beat.reached.sort_by_cached_key(|(machine, ago_ms)| (!asked.contains(machine.as_str()), *ago_ms));
-    keep_first(&mut beat.reached, REACHED_BYTES);
-    let heard = std::mem::take(&mut beat.heard);
-    let left = FRAME_LIMIT.saturating_sub(size(beat) + TAG_BYTES);
-    beat.heard = heard;
-    beat.heard.sort_by_cached_key(|h| (!told_first(&h.machine), h.ago_ms));
-    keep_first(&mut beat.heard, left);
+    take_turns(&mut heartbeat.unlisted, UNLISTED_BYTES, turns.heartbeats);
+    take_turns(&mut heartbeat.rented, RENTED_BYTES, turns.heartbeats);
+    fit_held(heartbeat, turns.held);
+    let asked: BTreeSet<&str> = heartbeat.silent.iter().map(|(machine, _)| machine.as_str()).collect();
+    heartbeat.reached.sort_by_cached_key(|(machine, ago_ms)| (!asked.contains(machine.as_str()), *ago_ms));
+    keep_first(&mut heartbeat.reached, REACHED_BYTES);
+    let heard = std::mem::take(&mut heartbeat.heard);
+    let left = FRAME_LIMIT.saturating_sub(size(heartbeat) + TAG_BYTES);
+    heartbeat.heard = heard;
+    heartbeat.heard.sort_by_cached_key(|h| (!told_first(&h.machine), h.ago_ms));
+    keep_first(&mut heartbeat.heard, left);
 }
 
 /// Bytes that a value takes in a frame.
@@ -80,15 +80,18 @@
 }
 
 /// Keeps the machines whose turn it is, and the names of their images.
-fn fit_held(beat: &mut Beat, turn: usize) {
-    if size(&beat.held) + size(&beat.images) <= HELD_BYTES {
+fn fit_held(heartbeat: &mut PeerHeartbeat, turn: usize) {
+    if size(&heartbeat.held) + size(&heartbeat.images) <= HELD_BYTES {
         return;
     }
-    take_turns(&mut beat.held, HELD_BYTES.saturating_sub(size(&beat.images)), turn);
-    let kept =
-        Beat { held: std::mem::take(&mut beat.held), images: std::mem::take(&mut beat.images), ..Beat::default() };
+    take_turns(&mut heartbeat.held, HELD_BYTES.saturating_sub(size(&heartbeat.images)), turn);
+    let kept = PeerHeartbeat {
+        held: std::mem::take(&mut heartbeat.held),
+        images: std::mem::take(&mut heartbeat.images),
+        ..PeerHeartbeat::default()
+    };
     for (machine, images) in kept.images() {
-        beat.note_images(machine, images.into_iter());
+        heartbeat.note_images(machine, images.into_iter());
     }
 }
 
