--- a/tests/known_red.rs
+++ b/tests/known_red.rs
@@ -26,6 +26,7 @@
     if out.status.success() { Ok(text(out.stdout)) } else { Err(text(out.stderr)) }
 }
 
+/// A list of known failures that is too long or inexact fails the check.
 #[test]
 fn the_list_of_known_failures_is_short_and_exact() {
     assert_eq!(read("").unwrap(), "");
