--- a/crates/emulator/src/state/service.rs
+++ b/crates/emulator/src/state/service.rs
@@ -287,7 +287,7 @@
         } else {
             match route(&request.method, &request.path) {
                 None => Reply::empty(400),
-                Some(Route::Watch { starts, after, hold_ms }) => {
+                Some(Route::Watch { prefix: starts, after, hold_ms }) => {
                     let until = now + Duration::from_millis(hold_ms);
                     self.watches.push(Watch { node, starts: starts.into(), after, until, reply });
                     return;
@@ -330,7 +330,9 @@
                 Some(row) => Reply::new(200, encode(&row)),
                 None => Reply::new(404, ledger()),
             },
-            Route::Scan { starts, after, page } => Reply::new(200, encode(&self.store.scan(starts, after, page))),
+            Route::Scan { prefix: starts, after, page } => {
+                Reply::new(200, encode(&self.store.scan(starts, after, page)))
+            }
             Route::Grant => {
                 let asked = decode::<LeaseRequest>(body).ok();
                 let ttl = asked.map(|r| r.ttl_ms);
@@ -479,7 +481,7 @@
                     open.push(w);
                     continue;
                 }
-                Some(news) => Reply::new(200, encode(&WatchResponse { revision, news: news as Vec<WatchEvent> })),
+                Some(news) => Reply::new(200, encode(&WatchResponse { revision, events: news as Vec<WatchEvent> })),
             };
             let _ = w.reply.send((answer, delay(self.slow)));
         }
--- a/crates/protocol/src/peer.rs
+++ b/crates/protocol/src/peer.rs
@@ -1,107 +1,144 @@
-//! Frames between controllers, in borsh behind a length prefix.
+//! Frames between controllers, in borsh behind a length prefix of four bytes in network
+//! byte order. Borsh writes no names: the order of fields and variants is the format.
 
 use borsh::{BorshDeserialize, BorshSerialize};
+use thiserror::Error;
 
-/// Largest frame that is accepted.
+/// Largest frame that is accepted, in bytes, without its length prefix.
 pub const FRAME_LIMIT: usize = 256 * 1024;
+/// Bytes of the length prefix.
+const PREFIX_BYTES: usize = size_of::<u32>();
 
+/// Why a stream of frames cannot be read further.
+#[derive(Debug, Clone, PartialEq, Eq, Error)]
+pub enum FrameError {
+    /// The length prefix is above [`FRAME_LIMIT`].
+    #[error("a frame of {0} bytes is above the limit")]
+    TooLong(usize),
+    /// The bytes are not a frame.
+    #[error("not a frame: {0}")]
+    Malformed(String),
+}
+
+/// One message between controllers.
 #[derive(Debug, Clone, PartialEq, BorshSerialize, BorshDeserialize)]
 pub enum Frame {
-    /// First on every connection: who is speaking.
-    Hello { member: String },
-    /// Sent at a steady interval.
+    /// First on every connection: who dialled.
+    Hello {
+        /// Name of the controller.
+        member: String,
+    },
+    /// Sent to every other controller at a steady interval.
     PeerHeartbeat(Box<PeerHeartbeat>),
 }
 
-/// The newest beat that the sender had from one controller.
+/// The newest heartbeat that the sender received from one controller.
 #[derive(Debug, Clone, Default, PartialEq, BorshSerialize, BorshDeserialize)]
 pub struct Acknowledgement {
+    /// Name of that controller.
     pub member: String,
+    /// Incarnation (process) of that controller.
     pub incarnation: u64,
+    /// Sequence number of its heartbeat.
     pub seq: u64,
 }
 
-/// A machine that spoke to the sender of late.
+/// A machine whose worker sent a heartbeat to the sender recently.
 #[derive(Debug, Clone, Default, PartialEq, BorshSerialize, BorshDeserialize)]
-pub struct Heard {
+pub struct RecentMachine {
+    /// Id of the machine.
     pub machine: String,
+    /// Milliseconds between its last message and this heartbeat.
     pub ago_ms: u64,
-    /// What it said last: others know a copy of something older by it.
+    /// Agent epoch of its last message. With `heartbeat_seq` it lets others recognize a
+    /// delayed copy of an older message.
     pub agent_epoch: u64,
+    /// Heartbeat sequence number of its last message.
     pub heartbeat_seq: u64,
 }
 
-/// What of the changes after a revision matters to a controller that has not seen
-/// them: it must stop what it has of these, or not go on.
+/// Which of the changes after a revision matter to a controller that has not applied
+/// them: it must stop the jobs, and must not act for the machines, that are listed.
 #[derive(Debug, Clone, Default, PartialEq, BorshSerialize, BorshDeserialize)]
 pub struct Revocations {
-    /// Nothing that the sender knows of changes after this matters, but:
+    /// Of all changes after this revision that the sender knows of, none but the listed
+    /// ones matter.
     pub since: u64,
-    /// Jobs that were cancelled, and may have tasks left, and
+    /// Jobs that were cancelled and may have tasks left, with the revision of each.
     pub cancelled: Vec<(String, u64)>,
-    /// machines that were granted, with the revision of each.
+    /// Machines that were granted, with the revision of each.
     pub granted: Vec<(String, u64)>,
 }
 
-/// What one controller tells the others about what it sees. Hints only, but for
-/// `revision`, `known_revision` and `revocations`: the proof stands at `links::table::attested`.
+/// Heartbeat of a controller to the others, with what it observes. All of it is
+/// advisory except `revision`, `known_revision` and `revocations`, on which the read
+/// index rests: its proof stands in `connectivity`, at `attested`.
 #[derive(Debug, Clone, Default, PartialEq, BorshSerialize, BorshDeserialize)]
 pub struct PeerHeartbeat {
+    /// Incarnation (process) of the sender.
     pub incarnation: u64,
-    /// Counts the beats of this incarnation.
+    /// Counts the heartbeats of this incarnation, from 1.
     pub seq: u64,
-    /// What the sender had heard: tells when this was sent, and that it hears us.
+    /// The newest heartbeats that the sender had received: they bound the time at which
+    /// this was sent from below, and show that the sender receives ours.
     pub acknowledgements: Vec<Acknowledgement>,
-    /// Revision of the sender's view, all up to which it has taken in; none while it
-    /// has none.
+    /// Revision up to which the sender's replica of the store is complete; none while it
+    /// has no replica.
     pub revision: Option<u64>,
-    /// The newest change of which the sender knows anything, by its watch, a read or
-    /// the answer to a write. Whatever it told users, and whatever it acts on, is no newer.
+    /// The newest revision that the sender knows of, by its watch, a read or the response
+    /// to a write. Whatever it told users, and whatever it acts on, is no newer.
     pub known_revision: u64,
-    /// What others that have not come that far must know; none where it cannot be said.
+    /// Changes that must be known to others that have not applied them; none where the
+    /// sender cannot tell.
     pub revocations: Option<Revocations>,
-    /// Live controllers and their incarnations, while the sender's view is fresh.
+    /// Live controllers and their incarnations; empty unless the sender's replica is fresh.
     pub members: Vec<(String, u64)>,
-    /// Milliseconds since the sender's view of the store was known fresh.
+    /// Milliseconds since the sender's replica was known to be fresh.
     pub stale_ms: u64,
-    /// Machines that reported to the sender of late.
-    pub heard: Vec<Heard>,
-    /// Machines of the sender's that fell silent, and their addresses: does anybody
-    /// reach them?
-    pub silent: Vec<(String, String)>,
-    /// Silent machines that answered the sender's own call, and how long ago.
-    pub reached: Vec<(String, u64)>,
-    /// Machines of any block that the cloud lists no more, or as failed.
+    /// Machines that sent a heartbeat to the sender recently.
+    pub recent_machines: Vec<RecentMachine>,
+    /// Machines of the sender's shard that stopped sending heartbeats, and the addresses
+    /// of their workers: other controllers probe them.
+    pub unresponsive: Vec<(String, String)>,
+    /// Machines that answered a probe of the sender, and how many milliseconds ago.
+    pub probe_answers: Vec<(String, u64)>,
+    /// Machines of any shard that the cloud no longer lists, or lists as failed.
     pub unlisted: Vec<String>,
-    /// Machines that the sender rented while the cluster began.
-    pub rented: Vec<String>,
-    /// Images on some of the machines, as far as the sender knows; each beat
-    /// tells of others. Numbers stand for the names in `images`.
-    pub held: Vec<(String, Vec<u16>)>,
+    /// Machines that the sender provisioned while the cluster started up.
+    pub provisioned: Vec<String>,
+    /// Some machines and the images that are cached on them, as indices into `images`.
+    /// Successive heartbeats cover different machines.
+    pub image_indices: Vec<(String, Vec<u16>)>,
+    /// Names of the images that `image_indices` refers to.
     pub images: Vec<String>,
 }
 
 impl PeerHeartbeat {
-    /// Notes the images that a machine holds.
-    pub fn note_images<'a>(&mut self, machine: &str, images: impl Iterator<Item = &'a String>) {
-        let mut numbers = Vec::new();
-        for image in images {
-            let at = self.images.iter().position(|i| i == image).unwrap_or_else(|| {
-                self.images.push(image.clone());
-                self.images.len() - 1
-            });
-            numbers.extend(u16::try_from(at));
-        }
-        self.held.push((machine.to_string(), numbers));
+    /// Adds a machine and the images that are cached on it.
+    pub fn add_cached_images<'a>(&mut self, machine: &str, images: impl Iterator<Item = &'a String>) {
+        let indices = images.filter_map(|image| u16::try_from(self.image_index(image)).ok()).collect();
+        self.image_indices.push((machine.to_string(), indices));
+    }
+
+    /// The index of an image in the list of names, to which it is added if it is new.
+    fn image_index(&mut self, image: &String) -> usize {
+        self.images.iter().position(|name| name == image).unwrap_or_else(|| {
+            self.images.push(image.clone());
+            self.images.len() - 1
+        })
     }
 
-    /// Machines and the images that they hold.
-    pub fn images(&self) -> impl Iterator<Item = (&str, Vec<&String>)> {
-        let names = |n: &[u16]| n.iter().filter_map(|n| self.images.get(usize::from(*n))).collect();
-        self.held.iter().map(move |(machine, n)| (machine.as_str(), names(n)))
+    /// Machines and the images that are cached on them. Indices that refer to no name are
+    /// ignored.
+    pub fn cached_images(&self) -> impl Iterator<Item = (&str, Vec<&String>)> {
+        let name = |index: &u16| self.images.get(usize::from(*index));
+        self.image_indices
+            .iter()
+            .map(move |(machine, indices)| (machine.as_str(), indices.iter().filter_map(name).collect()))
     }
 }
 
+/// Encodes a frame with its length prefix.
 pub fn encode(frame: &Frame) -> Vec<u8> {
     let body = borsh::to_vec(frame).expect("writing to memory does not fail");
     let mut out = (body.len() as u32).to_be_bytes().to_vec();
@@ -109,21 +146,23 @@
     out
 }
 
-/// Takes one frame off the front of `buf`. `Err` means the stream is spoilt.
-#[allow(clippy::result_unit_err)]
-pub fn take(buf: &mut Vec<u8>) -> Result<Option<Frame>, ()> {
-    let Some(head) = buf.first_chunk::<4>() else {
+/// Decodes the frame at the front of the buffer and removes its bytes; none while it is
+/// not complete. After an error the rest of the stream cannot be read.
+pub fn decode(buffer: &mut Vec<u8>) -> Result<Option<Frame>, FrameError> {
+    let Some(prefix) = buffer.first_chunk::<PREFIX_BYTES>() else {
         return Ok(None);
     };
-    let len = u32::from_be_bytes(*head) as usize;
-    if len > FRAME_LIMIT {
-        return Err(());
+    let length = u32::from_be_bytes(*prefix) as usize;
+    if length > FRAME_LIMIT {
+        return Err(FrameError::TooLong(length));
     }
-    if buf.len() < 4 + len {
+    let end = PREFIX_BYTES + length;
+    if buffer.len() < end {
         return Ok(None);
     }
-    let frame = borsh::from_slice(&buf[4..4 + len]).map_err(|_| ())?;
-    buf.drain(..4 + len);
+    let frame =
+        borsh::from_slice(&buffer[PREFIX_BYTES..end]).map_err(|error| FrameError::Malformed(error.to_string()))?;
+    buffer.drain(..end);
     Ok(Some(frame))
 }
 
--- a/crates/protocol/src/peer/tests.rs
+++ b/crates/protocol/src/peer/tests.rs
@@ -1,14 +1,15 @@
 use super::*;
 
-/// Numbers that stand for no name, from a spoilt or foreign sender, are passed over.
+/// An index that refers to no name, from a faulty sender, must not make the rest of the
+/// heartbeat unreadable.
 #[test]
-fn images_come_through_by_number() {
+fn cached_images_are_read_by_index() {
     let mut heartbeat = PeerHeartbeat::default();
     let images = ["a", "b", "c"].map(String::from);
-    heartbeat.note_images("m1", images[..2].iter());
-    heartbeat.note_images("m2", images[1..].iter());
-    heartbeat.held[0].1.push(99);
-    let read: Vec<(&str, Vec<&String>)> = heartbeat.images().collect();
+    heartbeat.add_cached_images("m1", images[..2].iter());
+    heartbeat.add_cached_images("m2", images[1..].iter());
+    heartbeat.image_indices[0].1.push(99);
+    let read: Vec<(&str, Vec<&String>)> = heartbeat.cached_images().collect();
     assert_eq!(read, [("m1", images[..2].iter().collect()), ("m2", images[1..].iter().collect::<Vec<_>>())]);
     assert_eq!(heartbeat.images.len(), 3);
 }
--- a/src/connectivity/fit.rs
+++ b/src/connectivity/fit.rs
@@ -41,16 +41,16 @@
         return;
     }
     take_turns(&mut heartbeat.unlisted, UNLISTED_BYTES, turns.heartbeats);
-    take_turns(&mut heartbeat.rented, RENTED_BYTES, turns.heartbeats);
+    take_turns(&mut heartbeat.provisioned, RENTED_BYTES, turns.heartbeats);
     fit_held(heartbeat, turns.held);
-    let asked: BTreeSet<&str> = heartbeat.silent.iter().map(|(machine, _)| machine.as_str()).collect();
-    heartbeat.reached.sort_by_cached_key(|(machine, ago_ms)| (!asked.contains(machine.as_str()), *ago_ms));
-    keep_first(&mut heartbeat.reached, REACHED_BYTES);
-    let heard = std::mem::take(&mut heartbeat.heard);
+    let asked: BTreeSet<&str> = heartbeat.unresponsive.iter().map(|(machine, _)| machine.as_str()).collect();
+    heartbeat.probe_answers.sort_by_cached_key(|(machine, ago_ms)| (!asked.contains(machine.as_str()), *ago_ms));
+    keep_first(&mut heartbeat.probe_answers, REACHED_BYTES);
+    let heard = std::mem::take(&mut heartbeat.recent_machines);
     let left = FRAME_LIMIT.saturating_sub(size(heartbeat) + TAG_BYTES);
-    heartbeat.heard = heard;
-    heartbeat.heard.sort_by_cached_key(|h| (!told_first(&h.machine), h.ago_ms));
-    keep_first(&mut heartbeat.heard, left);
+    heartbeat.recent_machines = heard;
+    heartbeat.recent_machines.sort_by_cached_key(|h| (!told_first(&h.machine), h.ago_ms));
+    keep_first(&mut heartbeat.recent_machines, left);
 }
 
 /// Bytes that a value takes in a frame.
@@ -81,17 +81,17 @@
 
 /// Keeps the machines whose turn it is, and the names of their images.
 fn fit_held(heartbeat: &mut PeerHeartbeat, turn: usize) {
-    if size(&heartbeat.held) + size(&heartbeat.images) <= HELD_BYTES {
+    if size(&heartbeat.image_indices) + size(&heartbeat.images) <= HELD_BYTES {
         return;
     }
-    take_turns(&mut heartbeat.held, HELD_BYTES.saturating_sub(size(&heartbeat.images)), turn);
+    take_turns(&mut heartbeat.image_indices, HELD_BYTES.saturating_sub(size(&heartbeat.images)), turn);
     let kept = PeerHeartbeat {
-        held: std::mem::take(&mut heartbeat.held),
+        image_indices: std::mem::take(&mut heartbeat.image_indices),
         images: std::mem::take(&mut heartbeat.images),
         ..PeerHeartbeat::default()
     };
-    for (machine, images) in kept.images() {
-        heartbeat.note_images(machine, images.into_iter());
+    for (machine, images) in kept.cached_images() {
+        heartbeat.add_cached_images(machine, images.into_iter());
     }
 }
 
--- a/src/connectivity/table.rs
+++ b/src/connectivity/table.rs
@@ -124,12 +124,12 @@
         p.stale = Duration::from_millis(heartbeat.stale_ms);
         let ago = Duration::from_millis;
         p.heard = heartbeat
-            .heard
+            .recent_machines
             .iter()
             .map(|h| (h.machine.clone(), (ago(h.ago_ms), (h.agent_epoch, h.heartbeat_seq))))
             .collect();
-        p.reached = heartbeat.reached.iter().map(|(m, ms)| (m.clone(), ago(*ms))).collect();
-        p.misses = heartbeat.silent.iter().map(|a| a.0.clone()).filter(|m| !p.reached.contains_key(m)).collect();
+        p.reached = heartbeat.probe_answers.iter().map(|(m, ms)| (m.clone(), ago(*ms))).collect();
+        p.misses = heartbeat.unresponsive.iter().map(|a| a.0.clone()).filter(|m| !p.reached.contains_key(m)).collect();
         p.sent_after = sent_after;
         (p.revision, p.known_revision) = (heartbeat.revision, heartbeat.known_revision);
         p.revocations.clone_from(&heartbeat.revocations);
--- a/src/connectivity/table/tests.rs
+++ b/src/connectivity/table/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::protocol::peer::Heard;
+use crate::protocol::peer::RecentMachine;
 
 fn s(x: f64) -> Duration {
     Duration::from_secs_f64(x)
@@ -13,9 +13,9 @@
             .map(|seq| Acknowledgement { member: "me".into(), incarnation: 1, seq })
             .into_iter()
             .collect(),
-        heard: heard
+        recent_machines: heard
             .iter()
-            .map(|(m, ms)| Heard { machine: m.to_string(), ago_ms: *ms, agent_epoch: 1, heartbeat_seq: 7 })
+            .map(|(m, ms)| RecentMachine { machine: m.to_string(), ago_ms: *ms, agent_epoch: 1, heartbeat_seq: 7 })
             .collect(),
         revision,
         known_revision: revision.unwrap_or(0),
--- a/src/controller/connectivity.rs
+++ b/src/controller/connectivity.rs
@@ -5,7 +5,7 @@
 use super::*;
 use crate::connectivity::account::{Account, Group, Sight, of_owner};
 use crate::connectivity::fit::{self, Turns};
-use crate::protocol::peer::{FRAME_LIMIT, Heard, Revocations};
+use crate::protocol::peer::{FRAME_LIMIT, RecentMachine, Revocations};
 
 /// Which controllers and machines reach each other, as far as is known here.
 #[derive(Debug)]
@@ -79,8 +79,13 @@
         let silent = self.silent_machines();
         self.probe(&silent);
         let mut heartbeat = PeerHeartbeat {
-            silent,
-            reached: self.agents.probed.iter().map(|(m, t)| (m.clone(), millis(now.saturating_sub(*t)))).collect(),
+            unresponsive: silent,
+            probe_answers: self
+                .agents
+                .probed
+                .iter()
+                .map(|(m, t)| (m.clone(), millis(now.saturating_sub(*t))))
+                .collect(),
             incarnation: self.process.incarnation,
             seq,
             acknowledgements,
@@ -88,18 +93,18 @@
             revision: self.store.session.following().then_some(self.state.revision),
             known_revision: self.state.known_revision(),
             revocations: self.revocations(),
-            rented: if self.am_leader() { self.autoscaler.young.iter().cloned().collect() } else { Vec::new() },
+            provisioned: if self.am_leader() { self.autoscaler.young.iter().cloned().collect() } else { Vec::new() },
             unlisted: if self.am_leader() { self.cloud.unlisted.iter().cloned().collect() } else { Vec::new() },
-            held: Vec::new(),
+            image_indices: Vec::new(),
             images: Vec::new(),
             stale_ms: self.store.session.staleness(now).map_or(u64::MAX, millis),
-            heard: self
+            recent_machines: self
                 .agents
                 .hearing
                 .all()
                 .map(|(m, t, (agent_epoch, heartbeat_seq))| {
                     let ago_ms = millis(now.saturating_sub(t));
-                    Heard { machine: m.to_string(), ago_ms, agent_epoch, heartbeat_seq }
+                    RecentMachine { machine: m.to_string(), ago_ms, agent_epoch, heartbeat_seq }
                 })
                 .collect(),
         };
@@ -108,7 +113,7 @@
             if (n + self.connectivity.heartbeats).is_multiple_of(BEATS_PER_ROUND)
                 && let Some(images) = self.held_images(name).filter(|i| !i.is_empty())
             {
-                heartbeat.note_images(name, images.iter());
+                heartbeat.add_cached_images(name, images.iter());
             }
         }
         let turns =
@@ -180,7 +185,7 @@
     /// Takes in what another controller knows of images: of its machines, and
     /// of ours from before we started.
     pub(super) fn note_images(&mut self, heartbeat: &PeerHeartbeat) {
-        for (machine, images) in heartbeat.images() {
+        for (machine, images) in heartbeat.cached_images() {
             if !self.state.machines.contains_key(machine) {
                 continue;
             }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -311,7 +311,7 @@
             }
             Event::Peer { member, frame: Frame::PeerHeartbeat(heartbeat) } => {
                 self.note_images(&heartbeat);
-                self.note_young(&heartbeat.rented);
+                self.note_young(&heartbeat.provisioned);
                 for name in &heartbeat.unlisted {
                     if let Some(m) = self.agents.machines.get_mut(name) {
                         m.unlisted = true;
@@ -322,12 +322,12 @@
                 if let Some(revocations) = &heartbeat.revocations {
                     self.apply_revocations(revocations);
                 }
-                for h in &heartbeat.heard {
+                for h in &heartbeat.recent_machines {
                     let when = now.saturating_sub(Duration::from_millis(h.ago_ms));
                     self.agents.hearing.told(&h.machine, (h.agent_epoch, h.heartbeat_seq), when);
                 }
                 self.connectivity.changed = true;
-                self.probe(&heartbeat.silent);
+                self.probe(&heartbeat.unresponsive);
             }
             Event::Peer { frame: Frame::Hello { .. }, .. } => {}
             Event::Operator(operator) => {
--- a/src/controller/store_sync.rs
+++ b/src/controller/store_sync.rs
@@ -245,7 +245,7 @@
         if !self.store.session.following() {
             return;
         }
-        for n in &f.news {
+        for n in &f.events {
             // All before this change is in the view by now.
             self.state.reached(n.version.saturating_sub(1));
             if let (Some(key), Some(data)) = (&n.put, &n.data) {
@@ -257,7 +257,7 @@
                 self.transactions.in_flight.changed(key, None, n.version);
             }
         }
-        self.scheduler.dirty |= !f.news.is_empty();
+        self.scheduler.dirty |= !f.events.is_empty();
         self.state.reached(f.revision);
         self.store.session.reached(self.state.revision);
         self.settle(false);
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -516,9 +516,9 @@
             return;
         };
         loop {
-            match peer::take(&mut conn.read) {
+            match peer::decode(&mut conn.read) {
                 Ok(None) => return,
-                Err(()) => return self.close(token),
+                Err(_) => return self.close(token),
                 Ok(Some(peer::Frame::Hello { member: name })) => {
                     if !self.peers.contains_key(&name) {
                         return self.close(token);
