--- a/crates/protocol/tests/forms/cloud.rs
+++ b/crates/protocol/tests/forms/cloud.rs
@@ -33,11 +33,13 @@
     }
 }
 
+/// The catalog is read from the cloud, whose names are not ours to change.
 #[test]
 fn the_catalog_keeps_its_wire_format() {
     wire_format("cloud-catalog", &Catalog { machine_types: vec![machine_type()] });
 }
 
+/// Some encoders shorten 4.0 to 4; every amount must be read in both forms.
 #[test]
 fn every_amount_of_the_cloud_may_be_an_integer() {
     let whole = cbor!({
@@ -63,6 +65,7 @@
     reads_as(&whole.unwrap(), &ListedMachine { rented_s: 12.0, ..listed() });
 }
 
+/// Requests to scale out and in, as the cloud reads them.
 #[test]
 fn rentals_and_releases_keep_their_wire_format() {
     let rent = RentRequest {
@@ -77,6 +80,7 @@
     wire_format("cloud-release", &ReleaseRequest { machines: vec!["host-000231".to_string()].into() });
 }
 
+/// The list of machines, with phases that a later version of the cloud may add.
 #[test]
 fn lists_keep_their_wire_format() {
     wire_format("cloud-page", &Page { machines: vec![listed()], truncated: true });
@@ -93,6 +97,7 @@
     reads_as(&sparse.unwrap(), &Page { machines: vec![machine], truncated: false });
 }
 
+/// Paths that controllers ask for, and those that the cloud serves.
 #[test]
 fn request_paths_of_the_cloud_stay() {
     assert_eq!((cloud::CATALOG, cloud::RENT, cloud::RELEASE), ("/catalog", "/hosts", "/hosts/release"));
--- a/src/connectivity/fit/tests.rs
+++ b/src/connectivity/frame_fitting/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::connectivity::table::Links;
+use crate::connectivity::peer_table::PeerTable;
 use crate::protocol::peer::{Acknowledgement, Frame, FrameError, RecentMachine, Revocations, decode, encode};
 use std::time::Duration;
 
@@ -9,17 +9,18 @@
 const ASKED: usize = 24;
 const STRAYS: usize = 200;
 const PARTS: usize = 4;
-/// Beats in which each list has come round.
+/// Heartbeats within which each list has been covered.
 const ROUND: usize = 24;
-/// Machines are due every two seconds, give or take a quarter.
+/// Machines send heartbeats every two seconds, give or take a quarter.
 const LATEST_MS: u64 = 2_500;
 
 fn name(n: usize) -> String {
     format!("machine-of-a-fleet-with-long-names-{n:05}")
 }
 
-/// All that a controller can have to tell at once: it hears the whole fleet, rents it, the
-/// cloud lists none of it, and each machine has answered its call.
+/// The largest heartbeat that a controller can have to send: it receives heartbeats of the
+/// whole fleet, provisioned it, the cloud lists none of it, and each machine has answered
+/// its probe.
 fn largest(machines: usize, heartbeats: usize) -> PeerHeartbeat {
     let mut heartbeat = PeerHeartbeat {
         incarnation: 9,
@@ -65,10 +66,10 @@
     heartbeat
 }
 
-/// At 4,000 machines the lists took more than a frame; each beat made the others drop
-/// the connection, and controllers did not hear each other at all.
+/// At 4,000 machines the lists took more than a frame; each heartbeat made the others drop
+/// the connection, and no heartbeat was received at all.
 #[test]
-fn a_beat_of_a_large_fleet_fits_a_frame() {
+fn a_heartbeat_of_a_large_fleet_fits_a_frame() {
     for machines in FLEETS {
         let whole = encode(&Frame::PeerHeartbeat(Box::new(largest(machines, 0))));
         assert!(whole.len() > FRAME_LIMIT, "{machines} machines fit without any of this");
@@ -82,9 +83,9 @@
     }
 }
 
-/// What controllers of smaller fleets say to each other must not change with this.
+/// Heartbeats of smaller fleets must not be touched.
 #[test]
-fn a_beat_that_fits_is_not_changed() {
+fn a_heartbeat_that_fits_is_not_changed() {
     for machines in [ASKED, 100, 600] {
         let before = largest(machines, 3);
         let mut after = before.clone();
@@ -93,10 +94,10 @@
     }
 }
 
-/// A machine that its owner left out of a beat and another controller had heard would
-/// count as cut off from its owner, and be moved.
+/// A machine that its owner left out of a heartbeat and that reached another controller
+/// would count as cut off from its owner, and be reassigned.
 #[test]
-fn machines_that_others_hear_are_told_of_in_each_beat() {
+fn machines_that_reach_other_controllers_are_in_every_heartbeat() {
     for machines in FLEETS {
         for heartbeats in 0..8 {
             let told: BTreeSet<String> =
@@ -106,10 +107,10 @@
     }
 }
 
-/// Two of every three beats may leave out a machine that only its owner hears, and none
-/// that has just reported.
+/// Two of every three heartbeats may leave out a machine that reaches only its owner, but
+/// none that sent a heartbeat just now.
 #[test]
-fn what_is_left_out_was_heard_before_what_is_told() {
+fn the_oldest_machines_are_left_out() {
     for machines in FLEETS {
         let heartbeat = fitted(machines, 0);
         let told: BTreeSet<&str> = heartbeat.recent_machines.iter().map(|h| h.machine.as_str()).collect();
@@ -121,19 +122,19 @@
     }
 }
 
-/// A silent machine that answered the sender's own call is not missed by it.
+/// An unresponsive machine that answered the sender's own probe does not count as missed.
 #[test]
-fn a_machine_that_answered_is_not_missed() {
-    let mut links = Links::new("perch-1", 1, Duration::from_secs(1));
+fn a_machine_that_answered_a_probe_is_not_missed() {
+    let mut links = PeerTable::new("perch-1", 1, Duration::from_secs(1));
     links.send(Duration::from_secs(10));
     links.receive("perch-0", &fitted(FLEETS[1], 0), Duration::from_secs(10));
     assert!(links.news("perch-0").is_some());
     assert_eq!(links.misses("perch-0").count(), 0);
 }
 
-/// What others only add up must come round, to the last machine.
+/// Lists that receivers accumulate must cover every machine in the end.
 #[test]
-fn lists_told_in_turns_come_round() {
+fn rotated_lists_cover_all_machines() {
     let mut told = [const { BTreeSet::new() }; 3];
     for heartbeats in 0..ROUND {
         let heartbeat = fitted(FLEETS[0], heartbeats);
--- a/src/connectivity/mod.rs
+++ b/src/connectivity/mod.rs
@@ -1,15 +1,16 @@
-//! Who reaches whom, as one controller can know it: what its own calls and
-//! callers tell it, and what the other controllers say they see. From it follow
-//! accounts of what is wrong (a controller that is deaf, a zone that is cut, a
-//! machine that is dead, a store that refuses all), or that it is undecided, and
-//! then the careful act is taken. Pure: beats and times come in, accounts go out.
-//! Ways weighed and what each cut looks like: `docs/notes/links.md`.
+//! Connectivity between controllers and machines, as far as one controller can know it:
+//! from the heartbeats and probe answers that it receives, and from what the other
+//! controllers report in theirs. From it follow diagnoses of what is wrong (a controller
+//! that is cut off, a zone that is partitioned, a machine that is dead, a store that
+//! refuses all), or that the cause is undecided, and then the cautious action is taken.
+//! All of it is pure: heartbeats and times come in, diagnoses go out. Alternatives that
+//! were considered, and what each partition looks like: `docs/notes/links.md`.
 //!
-//! No rule rests on an account alone. What is decided here costs time or money
-//! when it is wrong, never a task in two places: that is fenced by fencing tokens.
+//! No safety rule rests on a diagnosis alone. A wrong one costs time or money, never a task
+//! that runs twice: that is prevented by fencing tokens.
 
-pub mod account;
-pub mod arrivals;
-pub mod fit;
-pub mod hearing;
-pub mod table;
+pub mod failure_detector;
+pub mod frame_fitting;
+pub mod heartbeat_tracking;
+pub mod partition_diagnosis;
+pub mod peer_table;
--- a/src/controller/agents.rs
+++ b/src/controller/agents.rs
@@ -2,7 +2,7 @@
 //! get, and giving up those that fell silent.
 
 use super::*;
-use crate::connectivity::account::{Group, Silence, of_silence};
+use crate::connectivity::partition_diagnosis::{Group, Silence, of_silence};
 use crate::coordination::fault_attribution::Verdict;
 use crate::placement::MachineCapacity;
 use crate::protocol::cloud::{RELEASE, RELEASE_LIMIT, ReleaseRequest};
--- a/src/controller/api.rs
+++ b/src/controller/api.rs
@@ -2,7 +2,7 @@
 
 use super::transactions::Ended;
 use super::*;
-use crate::connectivity::table::Peer;
+use crate::connectivity::peer_table::Peer;
 use crate::coordination::health::{Facts, healthy};
 use crate::protocol::store::{Condition, Op};
 use crate::protocol::user::{ErrorBody, JobKind, JobSpec, JobState, Route, Status, route, valid_uid};
--- a/src/controller/connectivity.rs
+++ b/src/controller/connectivity.rs
@@ -1,17 +1,17 @@
 //! Who reaches whom: beats out and in, and from them which controllers are deaf to
 //! their machines and which machines are cut off from their owner. Hints only; no
-//! rule rests on them, but for the attestation, whose proof is in `links::table`.
+//! rule rests on them, but for the attestation, whose proof is in `connectivity::peer_table`.
 
 use super::*;
-use crate::connectivity::account::{Account, Group, Sight, of_owner};
-use crate::connectivity::fit::{self, Turns};
+use crate::connectivity::frame_fitting::{self, Turns};
+use crate::connectivity::partition_diagnosis::{Account, Group, Sight, of_owner};
 use crate::protocol::peer::{FRAME_LIMIT, RecentMachine, Revocations};
 
 /// Which controllers and machines reach each other, as far as is known here.
 #[derive(Debug)]
 pub(super) struct Connectivity {
     /// The other controllers, by their heartbeats.
-    pub(super) peers: Links,
+    pub(super) peers: PeerTable,
     /// Heartbeats came since the connections were last looked at.
     pub(super) changed: bool,
     /// Controllers that do not hear their machines.
@@ -34,7 +34,7 @@
 
 impl Connectivity {
     /// Nothing is known of the other controllers yet.
-    pub(super) fn new(peers: Links) -> Connectivity {
+    pub(super) fn new(peers: PeerTable) -> Connectivity {
         Connectivity {
             peers,
             changed: false,
@@ -118,7 +118,7 @@
         }
         let turns =
             Turns { heartbeats: self.connectivity.heartbeats, held: self.connectivity.heartbeats / BEATS_PER_ROUND };
-        fit::fit(&mut heartbeat, turns, |machine| self.told_first(machine));
+        frame_fitting::fit(&mut heartbeat, turns, |machine| self.told_first(machine));
         for other in &self.config.others {
             let frame = Frame::PeerHeartbeat(Box::new(heartbeat.clone()));
             self.outbox.actions.push(Action::Send { member: other.member.clone(), frame });
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -22,9 +22,9 @@
 mod task_ranges;
 mod transactions;
 
-use crate::connectivity::account::Deaf;
-use crate::connectivity::hearing::{At, Hearing, News};
-use crate::connectivity::table::Links;
+use crate::connectivity::heartbeat_tracking::{At, Hearing, News};
+use crate::connectivity::partition_diagnosis::Deaf;
+use crate::connectivity::peer_table::PeerTable;
 use crate::coordination::account::{Account, Charge, WritePriority};
 use crate::coordination::fault_attribution::Tried;
 use crate::coordination::log::Writer;
@@ -285,7 +285,7 @@
             ),
             leadership: Leadership::default(),
             sharding: Sharding::default(),
-            connectivity: Connectivity::new(Links::new(&set.member, incarnation >> 1, heartbeat_interval)),
+            connectivity: Connectivity::new(PeerTable::new(&set.member, incarnation >> 1, heartbeat_interval)),
             agents: Agents::default(),
             scheduler: Scheduler::default(),
             quota: QuotaReservations::default(),
