--- a/crates/emulator/src/checker.rs
+++ b/crates/emulator/src/checker.rs
@@ -87,7 +87,7 @@
     started: bool,
     accepted: Option<f64>,
     cancel_asked: bool,
-    told: Option<(Status, f64)>,
+    reported_end: Option<(Status, f64)>,
     done: BTreeSet<u32>,
     /// Where its tasks are: index to machines.
     on: BTreeMap<u32, BTreeSet<String>>,
@@ -175,7 +175,7 @@
         }
         let job = self.jobs.entry(uid.to_string()).or_default();
         let before = job.accepted.is_some_and(|a| a <= began);
-        let told = job.told.filter(|(_, at)| *at <= began);
+        let reported_end = job.reported_end.filter(|(_, at)| *at <= began);
         if asked == Asked::Cancel {
             job.cancel_asked = true;
         }
@@ -195,13 +195,13 @@
             _ => {}
         }
         let Some(state) = state.filter(|_| matches!(status, Some(200 | 201))) else { return };
-        self.state(t, uid, state, told);
+        self.state(t, uid, state, reported_end);
     }
 
-    /// A state that was told to a user; `told` is the end told before it asked.
-    fn state(&mut self, t: f64, uid: &str, state: Status, told: Option<(Status, f64)>) {
+    /// A state that was told to a user; `reported_end` is the end told before it asked.
+    fn state(&mut self, t: f64, uid: &str, state: Status, reported_end: Option<(Status, f64)>) {
         let job = self.jobs.entry(uid.to_string()).or_default();
-        if let Some((end, at)) = told
+        if let Some((end, at)) = reported_end
             && end != state
         {
             let what = format!("{uid}: told {end:?} at {at:.2} s, then {state:?}");
@@ -210,9 +210,9 @@
         if !matches!(state, Status::Done | Status::Cancelled) {
             return;
         }
-        let first = job.told.is_none();
-        let other = job.told.filter(|(s, _)| *s != state);
-        job.told.get_or_insert((state, t));
+        let first = job.reported_end.is_none();
+        let other = job.reported_end.filter(|(s, _)| *s != state);
+        job.reported_end.get_or_insert((state, t));
         let (asked, finished) = (job.cancel_asked, job.done.len());
         let spec = job.spec.as_ref();
         let tasks = spec.map_or(0, |s| s.task_count as usize);
@@ -267,7 +267,7 @@
         let job = self.jobs.entry(uid.to_string()).or_default();
         let spec = job.spec.clone();
         let elsewhere = job.on.get(&index).and_then(|m| m.iter().find(|m| *m != machine)).cloned();
-        let late = job.told.filter(|(s, at)| *s == Status::Cancelled && t > at + self.facts.cancel_s + SLACK_S);
+        let late = job.reported_end.filter(|(s, at)| *s == Status::Cancelled && t > at + self.facts.cancel_s + SLACK_S);
         job.on.entry(index).or_default().insert(machine.to_string());
         job.started = true;
         let others: Vec<String> =
@@ -329,7 +329,7 @@
             self.verdict.tasks_done += u64::from(new);
             self.verdict.done_again += u64::from(!new);
         }
-        let late = job.told.filter(|(s, at)| *s == Status::Cancelled && t > at + self.facts.cancel_s + SLACK_S);
+        let late = job.reported_end.filter(|(s, at)| *s == Status::Cancelled && t > at + self.facts.cancel_s + SLACK_S);
         if let (Some(spec), true) = (job.spec.as_ref(), was_on) {
             let used = self.used.entry(spec.team.clone()).or_default();
             *used = (used.0 - spec.cores, used.1 - spec.gpus);
@@ -349,14 +349,14 @@
         }
         for (uid, job) in &self.jobs {
             let Some(spec) = job.spec.as_ref().filter(|_| job.accepted.is_some()) else { continue };
-            if let Some((Status::Cancelled, at)) = job.told
+            if let Some((Status::Cancelled, at)) = job.reported_end
                 && !job.on.is_empty()
                 && t > at + self.facts.cancel_s + SLACK_S
             {
                 found.push((Rule::RanCancelled, format!("{uid}: tasks are still on machines at the end")));
             }
             let finite = spec.kind != JobKind::Service || job.cancel_asked;
-            if settled && finite && job.told.is_none() {
+            if settled && finite && job.reported_end.is_none() {
                 let what =
                     format!("{uid}: accepted, {} of {} tasks done, no end told", job.done.len(), spec.task_count);
                 found.push((Rule::NoFinalAnswer, what));
@@ -373,14 +373,14 @@
     fn count_served(&mut self) {
         for job in self.jobs.values() {
             let Some(spec) = &job.spec else { continue };
-            let done = job.told.filter(|(s, _)| *s == Status::Done);
+            let done = job.reported_end.filter(|(s, _)| *s == Status::Done);
             let standing = spec.kind == JobKind::Service && job.started;
             for who in [format!("class {}", spec.class), format!("team {}", spec.team)] {
                 let s = self.verdict.served.entry(who).or_default();
                 s.submitted += 1;
                 s.accepted += u64::from(job.accepted.is_some());
                 s.started += u64::from(job.started);
-                s.served += u64::from(job.told.is_some() || standing);
+                s.served += u64::from(job.reported_end.is_some() || standing);
                 s.with_deadline += u64::from(spec.deadline_s.is_some());
                 let in_time = spec.deadline_s.zip(done).is_some_and(|(due, (_, at))| at - job.submitted <= due);
                 s.in_time += u64::from(in_time);
--- a/crates/emulator/src/machine/driver.rs
+++ b/crates/emulator/src/machine/driver.rs
@@ -151,8 +151,8 @@
     /// Records what happened and wakes machines with a change to report.
     fn settle(&self) {
         let mut fleet = self.fleet();
-        let (told, changed) = fleet.take();
-        for (machine, h) in told {
+        let (happenings, changed) = fleet.take();
+        for (machine, h) in happenings {
             match h {
                 Happening::Start { task, attempt } => {
                     self.shared.recorder.record(Event::Start { machine, job: task.job, index: task.index, attempt });
--- a/crates/emulator/src/machine/fleet.rs
+++ b/crates/emulator/src/machine/fleet.rs
@@ -19,7 +19,7 @@
     speed: f64,
     /// The first orderly stop: when, and the progress that it saves.
     stop: Option<(Duration, f64)>,
-    told: BTreeSet<u32>,
+    stopped: BTreeSet<u32>,
     /// When a running gang lost a task.
     broken: Option<Duration>,
 }
@@ -33,7 +33,7 @@
 }
 
 /// What happened on which machine.
-pub type Told = (String, Happening);
+pub type MachineHappening = (String, Happening);
 
 pub struct Fleet {
     workers: HashMap<String, Worker>,
@@ -43,7 +43,7 @@
     /// When each machine has something to do next.
     agenda: BTreeSet<(Duration, String)>,
     due: HashMap<String, Duration>,
-    told: Vec<Told>,
+    happenings: Vec<MachineHappening>,
     changed: BTreeSet<String>,
 }
 
@@ -56,7 +56,7 @@
             gang_peer,
             agenda: BTreeSet::new(),
             due: HashMap::new(),
-            told: Vec::new(),
+            happenings: Vec::new(),
             changed: BTreeSet::new(),
         }
     }
@@ -138,8 +138,8 @@
     }
 
     /// What has happened, and which machines have a change to report.
-    pub fn take(&mut self) -> (Vec<Told>, BTreeSet<String>) {
-        (std::mem::take(&mut self.told), std::mem::take(&mut self.changed))
+    pub fn take(&mut self) -> (Vec<MachineHappening>, BTreeSet<String>) {
+        (std::mem::take(&mut self.happenings), std::mem::take(&mut self.changed))
     }
 
     /// After a change of one machine: its agenda, and its gangs.
@@ -161,7 +161,7 @@
             for h in happened {
                 queue.extend(self.gang_happening(&name, &h, now));
                 if matches!(h, Happening::Start { .. } | Happening::Stop { .. }) {
-                    self.told.push((name.clone(), h));
+                    self.happenings.push((name.clone(), h));
                 }
             }
         }
@@ -198,7 +198,7 @@
                 if let Some(g) = self.gangs.get_mut(&key) {
                     let progress = g.progress(total, now);
                     g.stop.get_or_insert((now, progress));
-                    g.told.insert(task.index);
+                    g.stopped.insert(task.index);
                 }
                 Vec::new()
             }
@@ -238,9 +238,9 @@
             let until = g.broken.or(g.stop.map(|(at, _)| at)).unwrap_or(now);
             let every = spec.checkpoint_interval_s;
             let fallback = if every > 0.0 { (g.progress(total, until) / every).floor() * every } else { 0.0 };
-            let all_told = g.told.len() == spec.task_count as usize && g.broken.is_none();
+            let all_stopped = g.stopped.len() == spec.task_count as usize && g.broken.is_none();
             let ends: Option<(Cause, Cause, Option<bool>, f64)> = match (g.stop, g.broken) {
-                (Some((at, progress)), None) if all_told => {
+                (Some((at, progress)), None) if all_stopped => {
                     let saved = now >= at + Duration::from_secs_f64(spec.checkpoint_duration_s);
                     saved.then_some((Cause::Stopped, Cause::Stopped, Some(true), progress))
                 }
@@ -253,16 +253,16 @@
                 (None, None) if g.progress(total, now) >= total => Some((Cause::Done, Cause::Done, None, total)),
                 _ => None,
             };
-            let Some((told, others, kept, progress)) = ends else { continue };
+            let Some((stopped_cause, others, kept, progress)) = ends else { continue };
             let Some(g) = self.gangs.remove(&key) else { continue };
             let id = TaskId { job: key.0.clone(), index: 0 };
             let saved = self.shared.saved.entry(id).or_default();
             *saved = saved.max(progress);
             for (index, machine) in g.members {
-                let was_told = g.told.contains(&index);
-                let cause = if was_told { told } else { others };
+                let was_stopped = g.stopped.contains(&index);
+                let cause = if was_stopped { stopped_cause } else { others };
                 let task = (TaskId { job: key.0.clone(), index }, key.1);
-                self.with(&machine, now, |w, shared| w.exit(now, &task, cause, kept.filter(|_| was_told), shared));
+                self.with(&machine, now, |w, shared| w.exit(now, &task, cause, kept.filter(|_| was_stopped), shared));
             }
         }
     }
--- a/crates/emulator/src/machine/fleet/tests.rs
+++ b/crates/emulator/src/machine/fleet/tests.rs
@@ -73,8 +73,8 @@
     assert_eq!(state(&mut f, "host-0", 6.2, "run-1/0").unwrap().1, Some(Cause::Done));
     // Its result is kept: a second start exits at once.
     commands(&mut f, "host-0", 7.0, 3, &[Command::Forget { task: "run-1/0".into(), attempt: 7 }, run("run-1/0", 9)]);
-    let (told, _) = f.take();
-    let stops = told.iter().filter(|(_, h)| matches!(h, Happening::Stop { cause: "done", .. })).count();
+    let (happenings, _) = f.take();
+    let stops = happenings.iter().filter(|(_, h)| matches!(h, Happening::Stop { cause: "done", .. })).count();
     assert_eq!(stops, 2);
 }
 
--- a/crates/emulator/src/machine/worker.rs
+++ b/crates/emulator/src/machine/worker.rs
@@ -116,7 +116,7 @@
     /// Every task fails here.
     pub sick: bool,
     hung_since: Option<Duration>,
-    token_told: Duration,
+    token_announced_at: Duration,
     out: Vec<Happening>,
     changed: bool,
 }
@@ -134,7 +134,7 @@
             preempted_at: None,
             sick: false,
             hung_since: None,
-            token_told: now,
+            token_announced_at: now,
             out: Vec::new(),
             changed: true,
         }
@@ -367,8 +367,8 @@
     fn see_token(&mut self, now: Duration, fencing_token: u64) {
         if fencing_token > self.fencing_token {
             self.fencing_token = fencing_token;
-            if now > self.token_told + self.traits.lease / 2 {
-                self.token_told = now;
+            if now > self.token_announced_at + self.traits.lease / 2 {
+                self.token_announced_at = now;
                 self.changed = true;
             }
         }
