--- a/src/coordination/fault_attribution.rs
+++ b/src/coordination/fault_attribution.rs
@@ -1,23 +1,25 @@
-//! Whether tasks fail because of their machine or because of their job.
+//! Decides whether tasks fail because of their machine or because of their job.
 //!
 //! A faulty machine fails tasks that succeed elsewhere; a job that was submitted with a
-//! mistake fails wherever it is tried. What happened elsewhere tells the two apart:
+//! mistake fails on every machine. Its results on other machines tell the two apart:
 //!
-//! - A job that failed on several machines and never succeeded is at fault itself, and leads
-//!   to no cordon.
-//! - A machine that failed tasks of several jobs, or of one that succeeded elsewhere, is
-//!   cordoned.
-//! - The failures of one job on one machine are undecided: the machine is cordoned briefly, so
-//!   that the job is tried elsewhere, which decides.
+//! - A job that failed on several machines and never succeeded is at fault itself, so its failures
+//!   do not cordon any machine.
+//! - A machine on which tasks of several jobs failed, or of one job that succeeded elsewhere,
+//!   is at fault and is cordoned.
+//! - Failures of a single job on a single machine are undecided. The machine is cordoned
+//!   briefly, so that the job is tried elsewhere; the result there decides.
+
+#![warn(missing_docs)]
 
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A job that failed on this many machines, and succeeded on none, fails everywhere.
-const MACHINES_THAT_DECIDE: usize = 3;
-/// This many failures for which no job is at fault are the machine's.
+/// A job that failed on this many machines, and succeeded on none, is at fault itself.
+const FAILED_MACHINES_TO_BLAME_JOB: usize = 3;
+/// A machine with this many failures for which no job is at fault is cordoned.
 const FAILURES_TO_CORDON: u32 = 3;
 
-/// The failures on one machine since a task last succeeded there, by job.
+/// The failed tasks of each job on one machine, since a task last succeeded there.
 #[derive(Debug, Default)]
 pub struct Failures {
     by_job: BTreeMap<String, u32>,
@@ -26,7 +28,7 @@
 /// What the failures on a machine say about it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
-    /// No fault of the machine is known.
+    /// There is no sign that the machine is at fault.
     Healthy,
     /// Either the machine or the job is at fault.
     Undecided,
@@ -35,18 +37,18 @@
 }
 
 impl Failures {
-    /// A task of the job failed on the machine.
+    /// Records that a task of the job failed on the machine.
     pub fn note(&mut self, job: &str) {
         *self.by_job.entry(job.to_string()).or_default() += 1;
     }
 
-    /// A task succeeded on the machine.
+    /// Records that a task succeeded on the machine, which clears the earlier failures.
     pub fn clear(&mut self) {
         self.by_job.clear();
     }
 
-    /// The machine is cordoned for these failures. Keeps so many of them that one more
-    /// failure leads to a cordon again.
+    /// Records that the machine is cordoned for these failures. Keeps one failure fewer than
+    /// a cordon needs, so that a single new failure cordons the machine again.
     pub fn served(&mut self) {
         let kept = FAILURES_TO_CORDON - 1;
         self.by_job.values_mut().for_each(|failures| *failures = (*failures).min(kept));
@@ -55,8 +57,10 @@
         }
     }
 
-    /// `fails_everywhere` tells whether a job is at fault itself, `succeeded` whether a job
-    /// succeeded on some machine.
+    /// Judges the machine by its failures.
+    ///
+    /// `fails_everywhere` returns whether a job is at fault itself, `succeeded` whether a job
+    /// has succeeded on any machine.
     pub fn verdict(&self, fails_everywhere: impl Fn(&str) -> bool, succeeded: impl Fn(&str) -> bool) -> Verdict {
         let unexplained: Vec<(&str, u32)> = self
             .by_job
@@ -78,21 +82,22 @@
 /// The machines on which tasks of one job failed.
 #[derive(Debug, Default)]
 pub struct AttemptHistory {
-    /// At most [`MACHINES_THAT_DECIDE`]: more need not be remembered.
+    /// At most [`FAILED_MACHINES_TO_BLAME_JOB`] machines; further ones would change nothing.
     failed_on: BTreeSet<String>,
 }
 
 impl AttemptHistory {
-    /// A task of the job failed on this machine.
+    /// Records that a task of the job failed on this machine.
     pub fn failed_on(&mut self, machine: &str) {
-        if self.failed_on.len() < MACHINES_THAT_DECIDE {
+        if self.failed_on.len() < FAILED_MACHINES_TO_BLAME_JOB {
             self.failed_on.insert(machine.to_string());
         }
     }
 
-    /// Whether the job fails everywhere, provided that no task of it has succeeded.
+    /// Whether the job failed on so many machines that it is at fault itself, provided that
+    /// none of its tasks has succeeded.
     pub fn everywhere(&self) -> bool {
-        self.failed_on.len() >= MACHINES_THAT_DECIDE
+        self.failed_on.len() >= FAILED_MACHINES_TO_BLAME_JOB
     }
 }
 
--- a/src/coordination/fault_attribution/tests.rs
+++ b/src/coordination/fault_attribution/tests.rs
@@ -1,4 +1,4 @@
-//! Which failures are attributed to a machine, and which to a job.
+//! Tests of which failures are attributed to a machine and which to a job.
 
 use super::*;
 
@@ -8,9 +8,9 @@
     failures
 }
 
-/// One job with a mistake cordoned machine after machine.
+/// A job with a mistake must not get every machine cordoned on which it fails.
 #[test]
-fn a_job_that_fails_everywhere_cordons_no_machine() {
+fn a_job_that_fails_everywhere_does_not_cordon_machines() {
     let bad = |job: &str| job == "bad";
     let none = |_: &str| false;
     assert_eq!(failures_of(&[("bad", 40)]).verdict(bad, none), Verdict::Healthy);
@@ -22,21 +22,22 @@
     assert!(history.everywhere());
 }
 
-/// A faulty machine must not take task after task and fail them all.
+/// A faulty machine must not get further tasks after the first few have failed.
 #[test]
-fn a_machine_that_fails_several_jobs_is_cordoned_after_few_tasks() {
+fn a_machine_that_fails_several_jobs_is_cordoned_after_three_failures() {
     let none = |_: &str| false;
     assert_eq!(failures_of(&[("a", 1), ("b", 1)]).verdict(none, none), Verdict::Healthy);
     assert_eq!(failures_of(&[("a", 2), ("b", 1)]).verdict(none, none), Verdict::Faulty);
     assert_eq!(failures_of(&[("a", 3)]).verdict(none, |_| true), Verdict::Faulty);
     assert_eq!(failures_of(&[("a", 3)]).verdict(none, none), Verdict::Undecided);
-    // Both at once.
+    // A faulty job and a faulty machine at the same time.
     assert_eq!(failures_of(&[("bad", 9), ("a", 2), ("b", 1)]).verdict(|j| j == "bad", none), Verdict::Faulty);
 }
 
-/// A machine that is still faulty after its cordon fails few tasks more; one that succeeds begins anew.
+/// A machine that is still faulty after its cordon must fail only one more task; a success
+/// clears its earlier failures.
 #[test]
-fn after_a_cordon_one_more_failure_is_enough() {
+fn one_failure_after_a_cordon_leads_to_another_cordon() {
     let none = |_: &str| false;
     let mut failures = failures_of(&[("a", 5), ("b", 4)]);
     failures.served();
--- a/src/coordination/health.rs
+++ b/src/coordination/health.rs
@@ -1,59 +1,64 @@
-//! Whether the load balancer should send users to this controller.
+//! Decides whether the load balancer should send users to this controller.
 //!
 //! The load balancer takes a controller out of rotation after two failed probes, one per
-//! second, for at least three seconds, and for twice as long with each further time within two
-//! minutes. A process that is back within a fraction of a second is ready before the second
-//! probe, and must not lose its users because it was probed in between. So a start counts as
-//! healthy until another controller is known to serve them better.
+//! second, for at least three seconds, and for twice as long each further time within two
+//! minutes. A process that restarts within a fraction of a second is ready before the second
+//! probe, and must not lose its users to a probe that came during the restart. Therefore a
+//! starting controller counts as healthy until another one is known to serve users better.
 //!
-//! - A process younger than the interval of probes is healthy: it is about to be ready.
-//! - With a replica of the state: healthy while the replica is fresh. While it is stale, healthy
-//!   as long as this controller may still act and no other one has a much fresher replica, or
-//!   if all are as stale. A controller that has lost the state service and hears no other
-//!   controller is isolated: users go elsewhere.
-//! - Without a replica: unhealthy once another controller reports a fresh one, or once the start
-//!   has taken long, unless an outage is known to affect all of them.
+//! - A process that is younger than the interval between two probes is healthy, because it is
+//!   about to be ready.
+//! - A controller with a fresh replica of the state is healthy. With a stale replica it is
+//!   healthy as long as no other controller has a much fresher one, and either it may still act
+//!   or the replicas of all others are stale too. A controller that has lost the state service
+//!   and hears no other controller is isolated and therefore unhealthy.
+//! - A controller without a replica is unhealthy once another controller reports a fresh one, or
+//!   once its start has taken long, unless an outage is known to affect all controllers.
+
+#![warn(missing_docs)]
 
 use std::time::Duration;
 
-/// The interval of the load balancer's probes (PROTOCOL).
+/// The interval between two probes of the load balancer, fixed by the protocol.
 const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What this controller knows of itself and of the others.
+/// What this controller knows about itself and about the other controllers.
 #[derive(Debug, Clone)]
 pub struct Facts {
     /// Time since the process started.
     pub age: Duration,
-    /// The stored state is read completely, and followed.
+    /// Whether the stored state has been read completely and is being followed.
     pub loaded: bool,
-    /// The greatest possible age of our replica; `None` before it was first proved fresh.
+    /// The greatest possible age of this controller's replica; `None` until it was first proved
+    /// fresh.
     pub stale: Option<Duration>,
-    /// There are other controllers.
+    /// Whether other controllers are configured.
     pub has_others: bool,
-    /// The ages of the replicas of the other controllers that were heard from recently.
+    /// The greatest possible ages of the replicas of the other controllers that were heard from
+    /// recently.
     pub others: Vec<Duration>,
-    /// This controller may act for the cluster.
+    /// Whether this controller may act for the cluster.
     pub entitled: bool,
-    /// The state service counts as unavailable.
+    /// Whether the state service counts as unavailable.
     pub store_away: bool,
-    /// Replicas up to this age count as fresh; a start that takes longer is a long one.
+    /// Replicas younger than this count as fresh, and starts shorter than this as quick.
     pub margin: Duration,
 }
 
 impl Facts {
-    /// All other controllers that were heard from have stale replicas.
+    /// Whether all other controllers that were heard from have stale replicas.
     fn no_other_is_fresh(&self) -> bool {
         self.others.iter().all(|age| *age > self.margin)
     }
 
-    /// Others report that they are no better off. Then the first request after the outage
-    /// finds a controller in rotation, and need not wait for probes.
+    /// Whether other controllers report that their replicas are stale too. This controller then
+    /// stays in rotation, so that the first request after the outage need not wait for probes.
     fn outage_is_shared(&self) -> bool {
         !self.others.is_empty() && self.no_other_is_fresh()
     }
 }
 
-/// Whether this controller should get requests of users.
+/// Whether the load balancer should send users' requests to this controller.
 pub fn healthy(facts: &Facts) -> bool {
     let fresh = facts.loaded && facts.stale.is_some_and(|age| age < facts.margin);
     if facts.age < PROBE_INTERVAL || fresh {
@@ -62,13 +67,15 @@
     if facts.loaded { healthy_with_stale_replica(facts) } else { healthy_while_starting(facts) }
 }
 
+/// The rule for a controller that has a complete but stale replica.
 fn healthy_with_stale_replica(facts: &Facts) -> bool {
-    let ours = facts.stale.unwrap_or(Duration::MAX);
+    let own_staleness = facts.stale.unwrap_or(Duration::MAX);
     let isolated = facts.has_others && facts.others.is_empty();
-    let another_is_fresher = facts.others.iter().any(|age| age.saturating_add(facts.margin) < ours);
+    let another_is_fresher = facts.others.iter().any(|age| age.saturating_add(facts.margin) < own_staleness);
     !another_is_fresher && !isolated && (facts.entitled || facts.outage_is_shared())
 }
 
+/// The rule for a controller that has not read the stored state completely.
 fn healthy_while_starting(facts: &Facts) -> bool {
     let quick_start = facts.age < facts.margin;
     facts.no_other_is_fresh() && quick_start || facts.outage_is_shared() && facts.store_away
--- a/src/coordination/health/tests.rs
+++ b/src/coordination/health/tests.rs
@@ -1,4 +1,4 @@
-//! When a controller counts as healthy for the load balancer.
+//! Tests of when a controller counts as healthy for the load balancer.
 
 use super::*;
 
@@ -21,44 +21,45 @@
     }
 }
 
-/// All controllers were back within 0.2 s, and the load balancer took all of them
-/// out for having said once that they were not ready: for half a minute the fleet
-/// ran empty with nothing wrong.
+/// All controllers restarted within 0.2 s. The load balancer took all of them out of rotation
+/// because each had once answered that it was not ready, and the fleet got no work for half a
+/// minute although nothing was wrong.
 #[test]
 fn a_quick_start_stays_healthy() {
-    assert!(healthy(&starting(0.1, &[])), "nobody is known to be better off");
+    assert!(healthy(&starting(0.1, &[])), "no other controller is known to be fresh");
     assert!(healthy(&starting(0.4, &[1e9, 0.2])), "it is ready before the next probe");
-    assert!(healthy(&starting(1.4, &[1e9, 1e9])), "all of them start");
-    assert!(!healthy(&starting(1.4, &[1e9, 0.2])), "the others go on serving");
-    assert!(!healthy(&starting(3.1, &[])), "a start that takes long is no quick one");
+    assert!(healthy(&starting(1.4, &[1e9, 1e9])), "all controllers are starting");
+    assert!(!healthy(&starting(1.4, &[1e9, 0.2])), "another controller is fresh");
+    assert!(!healthy(&starting(3.1, &[])), "the start has taken too long");
     assert!(!healthy(&starting(3.1, &[1e9])));
 }
 
-/// Without the state service nobody can load: users stay where they are.
+/// Without the state service no controller can read the state, so no other one serves users
+/// better.
 #[test]
 fn an_outage_of_all_controllers_leaves_all_healthy() {
     assert!(healthy(&Facts { store_away: true, ..starting(20.0, &[30.0, 1e9]) }));
-    assert!(!healthy(&Facts { store_away: true, ..starting(20.0, &[]) }), "nobody else says so");
-    assert!(!healthy(&Facts { store_away: true, ..starting(20.0, &[0.1, 1e9]) }), "it is we alone");
+    assert!(!healthy(&Facts { store_away: true, ..starting(20.0, &[]) }), "no other controller reports the outage");
+    assert!(!healthy(&Facts { store_away: true, ..starting(20.0, &[0.1, 1e9]) }), "another controller is fresh");
 }
 
-/// Users must not be sent to a controller that is the only one without the store.
+/// Users must not be sent to a controller that is the only one without access to the store.
 #[test]
-fn a_controller_that_alone_lost_the_store_is_unhealthy() {
-    let view = |stale: f64, others: &[f64], entitled| Facts {
+fn the_only_controller_without_the_store_is_unhealthy() {
+    let with_replica = |stale: f64, others: &[f64], entitled| Facts {
         loaded: true,
         stale: Some(s(stale)),
         entitled,
         ..starting(100.0, others)
     };
-    assert!(healthy(&view(1.0, &[0.5], true)));
-    assert!(!healthy(&view(9.0, &[0.5, 9.0], true)), "one of the others is much fresher");
-    assert!(healthy(&view(9.0, &[8.0, 9.0], true)));
-    assert!(healthy(&view(40.0, &[39.0, 41.0], false)), "all are as badly off");
-    assert!(!healthy(&view(40.0, &[], false)));
-    // Without the store and without the others it is rather we who are cut off: users
-    // asked in vain for as long as it might have acted.
-    assert!(!healthy(&view(9.0, &[], true)));
-    let single = Facts { has_others: false, ..view(9.0, &[], true) };
-    assert!(healthy(&single), "nobody else could serve them");
+    assert!(healthy(&with_replica(1.0, &[0.5], true)));
+    assert!(!healthy(&with_replica(9.0, &[0.5, 9.0], true)), "one of the others is much fresher");
+    assert!(healthy(&with_replica(9.0, &[8.0, 9.0], true)));
+    assert!(healthy(&with_replica(40.0, &[39.0, 41.0], false)), "all replicas are as stale");
+    assert!(!healthy(&with_replica(40.0, &[], false)));
+    // A controller that reaches neither the store nor the others is probably cut off itself.
+    // While it counted as healthy, its users got no answers for as long as it might have acted.
+    assert!(!healthy(&with_replica(9.0, &[], true)));
+    let single = Facts { has_others: false, ..with_replica(9.0, &[], true) };
+    assert!(healthy(&single), "no other controller could serve the users");
 }
--- a/src/coordination/in_flight_writes.rs
+++ b/src/coordination/in_flight_writes.rs
@@ -1,18 +1,20 @@
-//! Transactions in flight, and the evidence that resolves each of them.
+//! Tracks transactions in flight and the evidence that resolves each of them.
 //!
-//! A transaction is resolved by the first proof of any kind: its own answer, or what the
+//! A transaction is resolved by the first proof of its outcome: its own answer, or what the
 //! watch or a read shows of the store.
 //!
 //! - *Done*: the store holds every value that it puts, all at one revision that is newer than
 //!   everything known when it was sent. It does not matter which client wrote them: the
-//!   transaction is conditional on one of these keys, so if another client wrote that key,
-//!   ours can no longer be carried out, and what it was to bring about is there.
-//! - *Void*: a key that it is conditional on has changed, and the watch has shown every
-//!   change up to that one, and ours was not among them. A key that may be deleted can be
-//!   absent again, so a condition on absence proves this only where keys are never deleted.
+//!   transaction is conditional on one of these keys. If another client wrote that key, the
+//!   transaction can no longer be carried out, but the values that it would put are there.
+//! - *Void*: a key that it is conditional on has changed, the watch has shown every change up
+//!   to that one, and the transaction was not among them. A key that may be deleted can be
+//!   absent again, so a condition on absence proves this only for keys that are never deleted.
 //!
-//! After a gap in the watch (a new scan) only *done* can be proved, until the transaction is
-//! answered.
+//! For a transaction that was in flight during a gap in the watch (a new scan), only *done* can
+//! be proved; otherwise only its answer resolves it.
+
+#![warn(missing_docs)]
 
 use crate::effects::CallId;
 use crate::protocol::store::{Condition, Op, Txn};
@@ -20,55 +22,63 @@
 use ciborium::Value;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// Proof of what became of a transaction.
+/// The proven outcome of a transaction.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Proof {
-    /// It was carried out, by the change of this revision.
+    /// All its values were stored by the change of this revision.
     Done(u64),
-    /// It was not carried out and never will be: this key changed at that revision.
-    Void { key: String, revision: u64 },
+    /// It was not carried out and never will be, because a key that it is conditional on has
+    /// changed.
+    Void {
+        /// The key that changed.
+        key: String,
+        /// The revision of that change.
+        revision: u64,
+    },
 }
 
-/// One transaction in flight, and what is known of it.
+/// One transaction in flight, and the evidence about its outcome.
 #[derive(Debug)]
 struct InFlightWrite {
-    /// The newest revision known when it was sent: its own is newer.
+    /// The newest revision known when it was sent; its own revision can only be newer.
     sent_at_revision: u64,
-    /// The values that it puts, by key.
+    /// The values that it puts, by key. Deletes are not included.
     puts: BTreeMap<String, Value>,
-    /// The versions that it is conditional on, of the keys of which any change makes it
-    /// void for good.
+    /// The versions that it is conditional on. Only keys for which any change proves that the
+    /// transaction is void.
     conditions: BTreeMap<String, u64>,
-    /// Keys that were shown with the value it puts, by the revision they were shown at.
+    /// The keys that were seen with the value that it puts, by revision.
     matching_puts: BTreeMap<u64, BTreeSet<String>>,
-    /// The first change of a condition: key and revision.
+    /// The first change of a key in `conditions`: key and revision.
     failed_condition: Option<(String, u64)>,
-    /// Changes may have been missed since it was sent.
+    /// Whether the watch may have missed changes since it was sent.
     watch_gap: bool,
 }
 
 impl InFlightWrite {
     fn new(txn: &Txn, sent_at_revision: u64) -> InFlightWrite {
-        let put = |op: &Op| match op {
+        let put_value = |op: &Op| match op {
             Op::Put { key, data, .. } => Some((key.clone(), data.clone())),
             Op::Delete { .. } => None,
         };
-        let voiding = txn.conditions.iter().filter(|condition| voids_for_good(txn, condition));
+        let conclusive = txn.conditions.iter().filter(|condition| any_change_proves_void(txn, condition));
         InFlightWrite {
             sent_at_revision,
-            puts: txn.ops.iter().filter_map(put).collect(),
-            conditions: voiding.map(|c| (c.key.clone(), c.version)).collect(),
+            puts: txn.ops.iter().filter_map(put_value).collect(),
+            conditions: conclusive.map(|c| (c.key.clone(), c.version)).collect(),
             matching_puts: BTreeMap::new(),
             failed_condition: None,
             watch_gap: false,
         }
     }
 
-    /// The keys that have to do with this transaction.
+    /// The keys whose changes are evidence about this transaction. A key may occur twice.
     fn keys(&self) -> impl Iterator<Item = &String> {
         self.puts.keys().chain(self.conditions.keys())
     }
 
+    /// The outcome, if the evidence so far proves it. *Done* takes precedence: a condition that
+    /// changed later does not undo the transaction.
     fn proof(&self) -> Option<Proof> {
         let complete = self.matching_puts.iter().find(|(_, keys)| keys.len() == self.puts.len());
         if let Some((revision, _)) = complete {
@@ -79,30 +89,30 @@
     }
 }
 
-/// Whether any change of the condition's key means that the transaction will never be
-/// carried out. It does not where the transaction itself deletes the key, nor where the key
-/// has to be absent and may be deleted again.
-fn voids_for_good(txn: &Txn, condition: &Condition) -> bool {
+/// Whether any change of the condition's key proves that the transaction will never be carried
+/// out. It does not if the transaction itself deletes the key, nor if the key must be absent
+/// and may be deleted again.
+fn any_change_proves_void(txn: &Txn, condition: &Condition) -> bool {
     let deleted = txn.ops.iter().any(|op| matches!(op, Op::Delete { key } if *key == condition.key));
     !deleted && (condition.version > 0 || lasts(&condition.key))
 }
 
-/// All transactions in flight that what the store shows can resolve.
+/// All transactions in flight that changes and reads of the store can resolve.
 ///
-/// Invariant: a transaction that is resolved is forgotten, so a late answer finds nothing.
+/// Invariant: a resolved transaction is removed, so a late answer to it has no effect.
 #[derive(Debug, Default)]
 pub struct InFlightWrites {
     writes: BTreeMap<CallId, InFlightWrite>,
-    /// The transactions that each key has to do with.
+    /// The transactions for which changes of each key are evidence.
     by_key: HashMap<String, BTreeSet<CallId>>,
-    /// Transactions with new evidence since the last look at what is resolved.
-    touched: BTreeSet<CallId>,
+    /// Transactions with evidence that `settled` has not examined yet.
+    unexamined: BTreeSet<CallId>,
 }
 
 impl InFlightWrites {
-    /// A transaction is sent; `newest_revision` is the newest one of which anything is
-    /// known. A transaction that puts none of the keys it is conditional on is resolved by
-    /// its answer alone.
+    /// Starts to track a transaction that is sent now. `newest_revision` is the newest revision
+    /// of the store that is known. A transaction that puts none of the keys that it is
+    /// conditional on is not tracked: only its answer resolves it.
     pub fn sent(&mut self, id: CallId, txn: &Txn, newest_revision: u64) {
         if !txn.conditions.iter().any(|condition| txn.puts(&condition.key)) {
             return;
@@ -114,10 +124,10 @@
         self.writes.insert(id, write);
     }
 
-    /// A transaction was answered, or given up.
+    /// Stops tracking a transaction that was answered or given up.
     pub fn ended(&mut self, id: CallId) {
         let Some(write) = self.writes.remove(&id) else { return };
-        self.touched.remove(&id);
+        self.unexamined.remove(&id);
         for key in write.keys() {
             if let Some(ids) = self.by_key.get_mut(key) {
                 ids.remove(&id);
@@ -128,8 +138,8 @@
         }
     }
 
-    /// The watch shows a change of a key, after all changes before it. `data` is `None` if
-    /// the key was deleted.
+    /// Records a change of a key that the watch shows. The watch must have shown all earlier
+    /// changes, except where `gap` was called. `data` is `None` if the key was deleted.
     pub fn changed(&mut self, key: &str, data: Option<&Value>, revision: u64) {
         self.shows(key, data, revision);
         for id in self.by_key.get(key).into_iter().flatten() {
@@ -138,37 +148,38 @@
                 && write.failed_condition.is_none()
             {
                 write.failed_condition = Some((key.to_string(), revision));
-                self.touched.insert(*id);
+                self.unexamined.insert(*id);
             }
         }
     }
 
-    /// The store holds this value at this revision, whatever it held before.
+    /// Records a value that the store holds at this revision, from the watch or from a read.
+    /// Nothing is assumed about earlier changes.
     pub fn shows(&mut self, key: &str, data: Option<&Value>, revision: u64) {
         let Some(data) = data else { return };
         for id in self.by_key.get(key).into_iter().flatten() {
             if let Some(write) = self.writes.get_mut(id)
                 && revision > write.sent_at_revision
-                && write.puts.get(key).is_some_and(|ours| same_data(ours, data))
+                && write.puts.get(key).is_some_and(|expected| same_data(expected, data))
             {
                 write.matching_puts.entry(revision).or_default().insert(key.to_string());
-                self.touched.insert(*id);
+                self.unexamined.insert(*id);
             }
         }
     }
 
-    /// Changes may be missed from here on.
+    /// Records that the watch may miss changes from now on.
     pub fn gap(&mut self) {
         for write in self.writes.values_mut() {
             write.watch_gap = true;
         }
     }
 
-    /// Takes out the transactions that are resolved, with their proofs. To be called once
-    /// all of a response has been applied.
+    /// Removes the resolved transactions and returns them with their proofs. Call this only
+    /// after a response has been applied completely, because its changes are evidence together.
     pub fn settled(&mut self) -> Vec<(CallId, Proof)> {
-        let touched = std::mem::take(&mut self.touched);
-        let proofs = touched.into_iter().filter_map(|id| Some((id, self.writes.get(&id)?.proof()?)));
+        let unexamined = std::mem::take(&mut self.unexamined);
+        let proofs = unexamined.into_iter().filter_map(|id| Some((id, self.writes.get(&id)?.proof()?)));
         let proofs: Vec<(CallId, Proof)> = proofs.collect();
         for (id, _) in &proofs {
             self.ended(*id);
@@ -176,14 +187,15 @@
         proofs
     }
 
-    /// Whether no transaction is in flight that what the store shows could resolve.
+    /// Whether no transaction is tracked.
     pub fn is_empty(&self) -> bool {
         self.writes.is_empty()
     }
 }
 
-/// Whether two values are the same data, however they are encoded: a map has no order, a
-/// null may be left out, and a number is its value.
+/// Whether two values are equal apart from their encoding: the order of a map's entries does
+/// not matter, an entry that is null may be left out, and an integer equals a float of the same
+/// value.
 fn same_data(a: &Value, b: &Value) -> bool {
     match (a, b) {
         (Value::Map(a), Value::Map(b)) => includes(b, a) && includes(a, b),
@@ -193,7 +205,7 @@
     }
 }
 
-/// Whether `map` has the same data as `entries` under each of their keys.
+/// Whether `map` has the same data as `entries` under each key of `entries`.
 fn includes(map: &[(Value, Value)], entries: &[(Value, Value)]) -> bool {
     entries.iter().all(|(key, value)| {
         let other = map.iter().find(|(name, _)| name == key).map_or(&Value::Null, |(_, value)| value);
--- a/src/coordination/in_flight_writes/tests.rs
+++ b/src/coordination/in_flight_writes/tests.rs
@@ -1,4 +1,4 @@
-//! What resolves a transaction in flight, and what does not.
+//! Tests of which evidence resolves a transaction in flight.
 
 use super::*;
 use ciborium::cbor;
@@ -17,7 +17,7 @@
     Txn { conditions, ops }
 }
 
-/// A job's record is put where there was none, and two more keys are only looked at.
+/// One transaction that creates a job's record and is conditional on two more keys.
 fn with_one_submission() -> InFlightWrites {
     let mut writes = InFlightWrites::default();
     let t = txn(&[("fq/j/run-1", 0), ("fq/h/a", 30), ("fq/b/perch-0", 7)], vec![put("fq/j/run-1", 5)]);
@@ -29,7 +29,8 @@
     vec![(1, Proof::Void { key: key.into(), revision })]
 }
 
-/// Another key or another value resolves nothing, or shows that another client was first.
+/// A change of another key proves nothing, and another value under the key proves that another
+/// client wrote it first.
 #[test]
 fn only_the_value_put_proves_done() {
     let mut writes = with_one_submission();
@@ -40,10 +41,11 @@
     assert!(writes.is_empty() && writes.by_key.is_empty());
     let mut writes = with_one_submission();
     writes.changed("fq/j/run-1", Some(&data(6)), 42);
-    assert_eq!(writes.settled(), void("fq/j/run-1", 42), "another's value");
+    assert_eq!(writes.settled(), void("fq/j/run-1", 42), "another client's value");
 }
 
-/// Ours is carried out after it was sent: what was known by then is older.
+/// A transaction is carried out after it was sent, so a value of a revision that was known by
+/// then is not evidence for it.
 #[test]
 fn an_equal_value_from_before_the_write_proves_nothing() {
     let mut writes = InFlightWrites::default();
@@ -51,13 +53,13 @@
     writes.changed("fq/m/perch-0", Some(&data(5)), 40);
     assert!(writes.settled().is_empty());
     writes.changed("fq/m/perch-0", None, 41);
-    assert!(writes.settled().is_empty(), "absent again, so ours may come yet");
+    assert!(writes.settled().is_empty(), "the key is absent again, so the transaction may still be carried out");
     writes.changed("fq/m/perch-0", Some(&data(5)), 42);
     assert_eq!(writes.settled(), vec![(1, Proof::Done(42))]);
 }
 
-/// Other writes put some of the keys with values like ours; only all of them at one
-/// revision are ours, or as good.
+/// Other transactions may put equal values under some of the keys. Only all values at one
+/// revision prove that the transaction was carried out, or that its effect is there.
 #[test]
 fn all_puts_must_be_shown_at_one_revision() {
     let t = txn(&[("fq/l/perch-0/3", 9), ("fq/q/capped", 8)], vec![put("fq/l/perch-0/3", 1), put("fq/q/capped", 2)]);
@@ -70,22 +72,26 @@
     writes.changed("fq/l/perch-0/3", Some(&data(1)), 43);
     writes.changed("fq/q/capped", Some(&data(2)), 43);
     writes.changed("fq/q/capped", Some(&data(3)), 44);
-    assert_eq!(writes.settled(), vec![(1, Proof::Done(43))], "changed again by another, within one response");
+    assert_eq!(
+        writes.settled(),
+        vec![(1, Proof::Done(43))],
+        "another client changed the key again within the same response"
+    );
 }
 
-/// A condition that failed before the transaction came will fail for good.
+/// A condition that failed before the transaction reached the store fails for good.
 #[test]
 fn a_change_of_any_condition_proves_void() {
     for (key, known) in [("fq/h/a", 30), ("fq/b/perch-0", 7)] {
         let mut writes = with_one_submission();
         writes.changed(key, Some(&data(1)), known);
-        assert!(writes.settled().is_empty(), "the change that the condition names");
+        assert!(writes.settled().is_empty(), "the version that the condition requires");
         writes.changed(key, None, 41);
         assert_eq!(writes.settled(), void(key, 41));
     }
 }
 
-/// What is carried out first counts: a change of a condition that came after ours.
+/// A condition that changed after the transaction was carried out does not void it.
 #[test]
 fn done_takes_precedence_over_a_later_change_of_a_condition() {
     let mut writes = with_one_submission();
@@ -94,7 +100,8 @@
     assert_eq!(writes.settled(), vec![(1, Proof::Done(42))]);
 }
 
-/// Between two loads the store may have held ours: only what it holds is proof then.
+/// The transaction may have been carried out during the gap and overwritten since, so a changed
+/// condition proves nothing.
 #[test]
 fn after_a_watch_gap_only_done_can_be_proved() {
     let mut writes = with_one_submission();
@@ -105,7 +112,7 @@
     assert_eq!(writes.settled(), vec![(1, Proof::Done(42))]);
 }
 
-/// A read has no order, so it voids nothing.
+/// A read does not show the changes before it, so it cannot prove a transaction void.
 #[test]
 fn a_read_can_only_prove_done() {
     let mut writes = with_one_submission();
@@ -114,7 +121,7 @@
     assert!(writes.settled().is_empty());
 }
 
-/// Its key may be absent again, or it deletes it itself.
+/// The key may become absent again, or the transaction itself may have deleted it.
 #[test]
 fn absence_of_a_deletable_key_does_not_prove_void() {
     let mut writes = InFlightWrites::default();
@@ -130,7 +137,7 @@
     assert_eq!(writes.settled(), vec![(1, Proof::Done(43))]);
 }
 
-/// What is resolved keeps no entry, and a write that nothing shown can resolve gets none.
+/// A resolved transaction leaves no entry, and one that only its answer can resolve gets none.
 #[test]
 fn answered_writes_are_forgotten() {
     let mut writes = with_one_submission();
@@ -139,20 +146,20 @@
     writes.changed("fq/j/run-1", Some(&data(5)), 42);
     assert!(writes.settled().is_empty() && writes.is_empty() && writes.by_key.is_empty());
     writes.sent(2, &txn(&[("fq/h/a", 3)], vec![Op::Delete { key: "fq/h/a".into() }]), 40);
-    assert!(writes.is_empty(), "it puts nothing that it is conditional on");
+    assert!(writes.is_empty(), "it puts no key that it is conditional on");
 }
 
-/// A store may write a value down in another way than it came.
+/// The store may encode a value differently from how it was sent.
 #[test]
 fn equal_data_is_recognised_in_any_encoding() {
-    let ours = cbor!({"a" => 4.0, "b" => [1, null], "c" => null, "d" => {"e" => "x", "f" => true}}).unwrap();
-    let theirs = cbor!({"d" => {"f" => true, "e" => "x"}, "b" => [1, null], "a" => 4}).unwrap();
-    assert!(same_data(&ours, &theirs) && same_data(&theirs, &ours));
+    let sent = cbor!({"a" => 4.0, "b" => [1, null], "c" => null, "d" => {"e" => "x", "f" => true}}).unwrap();
+    let stored = cbor!({"d" => {"f" => true, "e" => "x"}, "b" => [1, null], "a" => 4}).unwrap();
+    assert!(same_data(&sent, &stored) && same_data(&stored, &sent));
     for other in [
         cbor!({"a" => 4.5, "b" => [1, null], "d" => {"e" => "x", "f" => true}}).unwrap(),
         cbor!({"a" => 4, "b" => [1], "d" => {"e" => "x", "f" => true}}).unwrap(),
         cbor!({"a" => 4, "b" => [1, null], "d" => {"e" => "x", "f" => true}, "g" => 1}).unwrap(),
     ] {
-        assert!(!same_data(&ours, &other) && !same_data(&other, &ours));
+        assert!(!same_data(&sent, &other) && !same_data(&other, &sent));
     }
 }
--- a/src/coordination/log_writer.rs
+++ b/src/coordination/log_writer.rs
@@ -1,14 +1,15 @@
-//! Writing this controller's log: what fits into the next segment, when the segment is
-//! sent.
+//! Decides when the next segment of this controller's log is sent and what fits into it.
 //!
 //! One segment is in flight at a time. Facts accumulate meanwhile, so batches grow with the
-//! load, while the start that an idle controller decides on is sent at once.
+//! load, while an idle controller sends a start as soon as it has decided on it.
 //!
-//! A segment whose answer is missing may still be carried out, minutes later. The next
-//! segment is written to the same slot, on the condition that the slot has not been written:
-//! whichever of the two is carried out first makes the other void. The same holds for the
-//! first segment of a restarted controller, which is written to the slot that its
-//! predecessor would have used next.
+//! A segment that got no answer may still be stored minutes later. The next segment is written
+//! to the same slot, on the condition that the slot has not been written: whichever of the two
+//! is stored first makes the other void. The same holds for the first segment after a restart
+//! of the controller, which is written to the slot that the previous process would have used
+//! next.
+
+#![warn(missing_docs)]
 
 use crate::effects::Instant;
 use crate::protocol::store::Condition;
@@ -16,103 +17,108 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// When segments are sent.
+/// The schedule of the log's segments.
 #[derive(Debug, Default)]
 pub struct LogWriter {
-    /// A segment is in flight.
+    /// Whether a segment is in flight.
     pub busy: bool,
-    /// Facts that can wait are sent from then on.
+    /// The earliest time at which facts that can wait are sent.
     next_at: Instant,
 }
 
 impl LogWriter {
-    /// Whether facts that can wait have waited long enough.
+    /// Whether facts that can wait may be sent now.
     pub fn due(&self, now: Instant) -> bool {
         now >= self.next_at
     }
 
-    /// A segment is sent; facts that can wait go with the next one, `interval` later.
+    /// Records that a segment is sent. Facts that can wait are sent `interval` later at the
+    /// earliest.
     pub fn sent(&mut self, now: Instant, interval: Duration) {
         self.busy = true;
         self.next_at = now + interval;
     }
 }
 
-/// The most bytes that a transaction may have.
-const TXN_BYTES: usize = 64 * 1024;
-/// The part of a transaction that its values may have. Conditions and keys need the rest.
-const VALUES_SHARE: f64 = 0.75;
-/// The bytes that all values of a transaction may have.
-const VALUES_BYTES: usize = (TXN_BYTES as f64 * VALUES_SHARE) as usize;
+/// The largest size of a transaction.
+const MAX_TXN_BYTES: usize = 64 * 1024;
+/// The fraction of a transaction's size that its values may use. Conditions and keys need the
+/// rest.
+const VALUES_FRACTION: f64 = 0.75;
+/// The largest total size of a transaction's values.
+const MAX_VALUES_BYTES: usize = (MAX_TXN_BYTES as f64 * VALUES_FRACTION) as usize;
 
-/// The bytes for a segment, and for checkpoints that are written with it in one transaction,
-/// where a single value may have `value_limit` bytes.
+/// The largest size of a segment, and of all checkpoints that are written with it in one
+/// transaction. `value_limit` is the largest size of a single value; all sizes are in bytes.
 pub fn byte_shares(value_limit: usize) -> (usize, usize) {
-    let segment = value_limit.min(VALUES_BYTES / 4 * 3);
-    (segment, VALUES_BYTES - segment)
+    let segment = value_limit.min(MAX_VALUES_BYTES / 4 * 3);
+    (segment, MAX_VALUES_BYTES - segment)
 }
 
-/// How many of the checkpoints of these sizes fit into a transaction of their own, in order.
-/// At least one does, since no value is larger than a transaction.
+/// How many checkpoints of these sizes, taken in order, fit into a transaction of their own. At
+/// least one does, since no value is larger than a transaction.
 pub fn fitting(sizes: impl IntoIterator<Item = usize>) -> usize {
-    let sums = sizes.into_iter().scan(0, |sum, size| {
-        *sum += size;
-        Some(*sum)
+    let running_totals = sizes.into_iter().scan(0, |total, size| {
+        *total += size;
+        Some(*total)
     });
-    sums.take_while(|sum| *sum <= VALUES_BYTES).count().max(1)
+    running_totals.take_while(|total| *total <= MAX_VALUES_BYTES).count().max(1)
 }
 
-/// Whether a gang of this many tasks may not fit into one segment, even if nothing else is
-/// in it: each task may need a condition on a record of its own, and names its machine.
+/// Whether a gang of this many tasks may be too large for a segment that contains nothing else:
+/// each task may need a condition on a separate record, and names its machine.
 pub fn wide(task_count: u32, txn_ops: usize, value_limit: usize) -> bool {
-    // The other conditions: the slot, the job, the shard, the team, and checkpoints that are
-    // written with it.
+    // Conditions are also needed for the slot, the job, the shard and the team, and for the
+    // checkpoints that are written with the segment.
     let conditions = (txn_ops * 4).saturating_sub(txn_ops + 4);
-    let bytes_per_task = bytes::START + LONGEST_NAME;
-    let bytes_for_tasks = byte_shares(value_limit).0.saturating_sub(bytes::FRAME + LONGEST_NAME);
+    let bytes_per_task = bytes::START + LONGEST_NAME_BYTES;
+    let bytes_for_tasks = byte_shares(value_limit).0.saturating_sub(bytes::FRAME + LONGEST_NAME_BYTES);
     task_count as usize > conditions.min(bytes_for_tasks / bytes_per_task)
 }
 
-/// The longest expected name of a machine or a job, in bytes. With longer ones a segment
-/// takes fewer of them.
-const LONGEST_NAME: usize = 24;
+/// The longest expected name of a machine or a job. A segment holds fewer facts if names are
+/// longer.
+const LONGEST_NAME_BYTES: usize = 24;
 
-/// What one transaction may hold.
+/// The limits of a segment and of the transaction that writes it.
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
+    /// The largest number of conditions of the transaction.
     pub conditions: usize,
+    /// The largest encoded size of the segment, in bytes.
     pub bytes: usize,
 }
 
-/// Builds the next segment, fact by fact.
+/// Collects the facts of the next segment.
 ///
-/// Invariant: the encoded segment and its conditions stay within the limits; the sizes of
-/// facts are counted as upper bounds.
+/// Invariant: the encoded segment and its conditions stay within the limits. Facts are counted
+/// with upper bounds of their sizes.
 #[derive(Debug)]
 pub struct SegmentBuilder {
     limits: Limits,
-    /// An upper bound of the encoded size.
+    /// An upper bound of the encoded size of the segment.
     bytes: usize,
     /// The versions that the transaction is conditional on, by key.
     pub conditions: BTreeMap<String, u64>,
     /// The facts of each job.
     pub facts: BTreeMap<String, Facts>,
-    /// The machines that the segment names; each name is stored once.
+    /// The machines that the segment names. Each name is stored once.
     machines: BTreeSet<String>,
 }
 
-/// What one fact needs in a segment.
+/// What a segment needs to hold one fact.
 #[derive(Debug, Clone, Default)]
 pub struct FactRequirements {
-    /// Keys and the versions that they must have.
+    /// The keys on which the fact depends, with the versions that they must have.
     pub conditions: Vec<(String, u64)>,
     /// The machine that the fact names.
     pub machine: Option<String>,
-    /// The size of the fact without names.
+    /// The size of the fact without names, in bytes.
     pub bytes: usize,
 }
 
 impl SegmentBuilder {
+    /// An empty segment.
     pub fn new(limits: Limits) -> SegmentBuilder {
         SegmentBuilder {
             limits,
@@ -123,13 +129,14 @@
         }
     }
 
-    /// Whether there are no facts yet.
+    /// Whether the segment has no facts yet.
     pub fn is_empty(&self) -> bool {
         self.facts.is_empty()
     }
 
-    /// Reserves room for facts of one job, for all of them or for none. Returns whether they
-    /// fit; the caller then adds them to the job's `facts`.
+    /// Reserves room for all the given facts of one job, or for none of them if they do not fit
+    /// together. Returns whether they fit. If they do, the caller adds them to the job's entry
+    /// in `facts`.
     pub fn take(&mut self, uid: &str, requirements: &[&FactRequirements]) -> bool {
         let new_machines = self.new_machines(requirements);
         let size = self.added_bytes(uid, &new_machines, requirements);
@@ -148,20 +155,20 @@
         true
     }
 
-    /// The keys among the requirements that the transaction is not conditional on yet.
+    /// The number of keys in the requirements on which the transaction is not conditional yet.
     fn count_new_conditions(&self, requirements: &[&FactRequirements]) -> usize {
         let keys = requirements.iter().flat_map(|r| &r.conditions).map(|(key, _)| key.as_str());
         let new_keys: BTreeSet<&str> = keys.filter(|key| !self.conditions.contains_key(*key)).collect();
         new_keys.len()
     }
 
-    /// The machines among the requirements that the segment does not name yet.
+    /// The machines in the requirements that the segment does not name yet.
     fn new_machines<'a>(&self, requirements: &[&'a FactRequirements]) -> BTreeSet<&'a str> {
         let machines = requirements.iter().filter_map(|r| r.machine.as_deref());
         machines.filter(|machine| !self.machines.contains(*machine)).collect()
     }
 
-    /// What the facts add to the size of the segment.
+    /// How many bytes the facts add to the segment, with all names that are new in it.
     fn added_bytes(&self, uid: &str, new_machines: &BTreeSet<&str>, requirements: &[&FactRequirements]) -> usize {
         let job_name = if self.facts.contains_key(uid) { 0 } else { bytes::name(uid) };
         let machine_names = new_machines.iter().map(|machine| bytes::name(machine)).sum::<usize>();
--- a/src/coordination/machine.rs
+++ b/src/coordination/machine.rs
@@ -1,14 +1,16 @@
-//! The state of one machine in this controller's shard: what its agent last reported, what
-//! it was told, and what proves that its tasks have ended.
+//! The state of one machine in this controller's shard: what its agent last reported, which
+//! commands it was sent, and what proves that its tasks have ended.
 //!
-//! The desired state is the placement of tasks in the store; `commands` derives the commands
-//! that lead from the last report to it. Two proofs matter here: *absent* (a task that was
-//! ordered never arrived, and never will) and *empty* (the whole machine is). Both are argued
-//! in `docs/design.md`.
+//! The desired state is the placement of tasks in the store. The module `commands` derives the
+//! commands that lead from the last report to that state. Two things have to be proved here: a
+//! task is *absent* (its `run` command has not started it and never will), or a machine is
+//! *empty* (no task runs on it). `docs/design.md` has both arguments.
 //!
-//! - `commands`: commands to the agent, and which of them are pushed
+//! - `commands`: the commands to the agent, and which of them are pushed
 //! - `liveness`: what reports and answers prove about the agent and its lease
 
+#![warn(missing_docs)]
+
 mod commands;
 mod liveness;
 
@@ -21,112 +23,122 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// One attempt of a task: job, index of the task, and number of the attempt.
+/// Identifies one attempt of a task: the job, the task's index, and the attempt's number.
 pub type AttemptKey = (String, u32, u64);
 
 /// One attempt as the agent last reported it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ObservedTask {
+    /// The task.
     pub task: TaskId,
+    /// The number of the attempt.
     pub attempt: u64,
+    /// The state of the attempt on the machine.
     pub state: TaskState,
-    /// Why it exited.
+    /// Why it exited, if it did and the agent gave a cause.
     pub cause: Option<Cause>,
 }
 
 impl ObservedTask {
+    /// The identifier of this attempt.
     fn key(&self) -> AttemptKey {
         (self.task.job.clone(), self.task.index, self.attempt)
     }
 
-    /// Whether it needs no room any more. A gang's task that gave up waiting for its gang is
-    /// started again, and keeps its room.
+    /// Whether it has released its resources. A gang's task that stopped waiting for its gang is
+    /// started again, so its resources stay reserved.
     fn has_ended(&self) -> bool {
         self.state == TaskState::Exited && self.cause != Some(Cause::GangIncomplete)
     }
 }
 
-/// A machine under one grant, as this controller knows it.
+/// What this controller knows about a machine under one grant of its machine group.
 ///
 /// Invariants:
-/// - Reports are taken in the order of (`agent_epoch`, `heartbeat_seq`); older ones change
-///   nothing.
-/// - The fencing token only rises, and it rises when a push gets no answer. So while it is
-///   confirmed, no earlier command can still be carried out.
-/// - Within one incarnation of the agent the reported token never falls.
+/// - Reports are applied in the order of (`agent_epoch`, `heartbeat_seq`); older ones are
+///   ignored.
+/// - The fencing token only rises, and it rises whenever a push gets no answer. Therefore, while
+///   the agent reports the current token and no push is in flight, no earlier command can still
+///   be carried out.
+/// - Within one incarnation of the agent, the reported token never falls.
 #[derive(Debug)]
 pub struct Machine {
-    /// Version of the machine group's record under which this state was built.
+    /// The version of the machine group's record from which this state was built.
     pub grant: u64,
-    /// The leader's term and the epoch of the grant: the upper parts of the fencing token.
+    /// The leader's term of the grant, the highest part of the fencing token.
     pub term: u64,
+    /// The epoch of the grant within that term, the middle part of the fencing token.
     pub epoch: u64,
     /// The lowest part of the fencing token, which the owner raises by itself.
     counter: u64,
+    /// When this controller began to own the machine under this grant.
     pub owned_since: Instant,
-    /// The newest report: agent epoch and heartbeat sequence number.
+    /// Agent epoch and heartbeat sequence number of the newest report.
     pub at: (u64, u64),
-    /// The highest fencing token that the agent has seen, by the newest report.
+    /// The highest fencing token that the agent has seen, according to the newest report.
     pub fencing_token: u64,
+    /// The time in seconds that the newest report gives until the machine is preempted, if a
+    /// preemption is announced.
     pub preemption_notice_s: Option<f64>,
-    /// Where the agent takes commands, by its own report.
+    /// The address at which the agent accepts commands, according to its reports.
     pub addr: String,
     /// All attempts in the newest report.
     pub tasks: Vec<ObservedTask>,
-    /// Those of `tasks` that need no room any more.
+    /// Those of `tasks` that have released their resources.
     ended: BTreeSet<AttemptKey>,
-    /// When the last report came that was sent by the agent itself, by its own call.
+    /// When the last report arrived in a call that the agent itself made.
     pub heard_at: Option<Instant>,
-    /// When the last answer was sent that may have renewed the agent's lease.
+    /// When the last answer that may have renewed the agent's lease was sent.
     pub answered_at: Option<Instant>,
     /// The fencing token of the newest answers.
     answered_token: u64,
-    /// The last answer before the first one with `answered_token`.
-    answered_before: Option<Instant>,
-    /// The number of answers in a row that did not reach the agent, as its reports show.
+    /// When the last answer before the first one with `answered_token` was sent.
+    answered_before_token: Option<Instant>,
+    /// The number of consecutive answers that did not reach the agent, as its reports show.
     missed_answers: u32,
-    /// The number of latest reports that each came late.
+    /// The number of consecutive reports that came late, up to the newest one.
     late_reports: u32,
     /// When a report last showed that an answer had reached the agent.
     pub reached_at: Option<Instant>,
-    /// The newest report is proved to be the agent's own and of its present incarnation.
-    /// Only then does it prove an exit or a preemption notice.
+    /// Whether the newest report is proved to be sent by the agent's present incarnation. Only
+    /// then does it prove an exit or a preemption notice.
     pub sure: bool,
-    /// The fencing token in the newest report that was `sure`.
-    lowest_token: u64,
-    /// A pushed message that is not answered yet.
+    /// The fencing token in the newest report that was proved to be the agent's own (see `sure`).
+    proven_token: u64,
+    /// The pushed message that has not been answered yet.
     pub push: Option<CallId>,
-    /// When the last message was pushed. What it started may run for a whole lease from then
-    /// on, answered or not, because a new incarnation's lease begins with it.
+    /// When the last message was pushed. Whether or not it was answered, tasks that it started
+    /// may run for a whole lease from then on, because it begins the lease of a new incarnation.
     pushed_at: Option<Instant>,
-    /// Commands pushed to this incarnation, which are not pushed again.
+    /// The commands pushed to the present incarnation. They are not pushed again.
     pushed: BTreeSet<PushedCommand>,
-    /// Tasks that failed here.
+    /// The failures of tasks on this machine.
     pub failures: Failures,
-    /// The machine is cordoned until then: nothing is placed on it.
+    /// The machine is cordoned until this time: no task is placed on it.
     pub cordoned_until: Instant,
-    /// Images that it is known to hold.
+    /// The images that the machine is known to hold.
     pub images: Images,
-    /// Images that it is fetching, and since when that is known.
+    /// The images that the machine is fetching, and since when this is known.
     pub fetches: BTreeMap<String, Instant>,
-    /// It is being returned to the cloud.
+    /// Whether the machine is being returned to the cloud.
     pub releasing: bool,
-    /// Some controller saw that the cloud does not list it any more.
+    /// Whether any controller has found that the cloud no longer lists the machine.
     pub unlisted: bool,
     /// When each attempt was first seen to run.
     pub since: BTreeMap<AttemptKey, Instant>,
-    /// Attempts that are stopped to make room for higher priorities, or because the machine
-    /// will be taken away, with their grace periods in seconds.
+    /// Attempts that are stopped to make room for higher priorities, or because the cloud will
+    /// take the machine away, with their grace periods in seconds.
     pub preempted: BTreeMap<AttemptKey, f64>,
     /// Attempts that are proved to have ended. They are never started again, although their
-    /// placements may stay in the store until the write of the exit gets through.
+    /// placements stay in the store until their exits have been written.
     pub gone: BTreeSet<AttemptKey>,
-    /// A report has shown our current grant's token.
+    /// Whether a report has shown the fencing token in force, since the grant or since the agent
+    /// was last found to be restarted.
     pub ready: bool,
 }
 
 impl Machine {
-    /// The state under a new grant, before any report.
+    /// The state of a machine under a new grant, before any report.
     pub fn new(grant: u64, term: u64, epoch: u64, now: Instant) -> Machine {
         Machine {
             grant,
@@ -143,12 +155,12 @@
             heard_at: None,
             answered_at: None,
             answered_token: 0,
-            answered_before: None,
+            answered_before_token: None,
             missed_answers: 0,
             late_reports: 0,
             reached_at: None,
             sure: false,
-            lowest_token: 0,
+            proven_token: 0,
             push: None,
             pushed_at: None,
             pushed: BTreeSet::new(),
@@ -165,7 +177,7 @@
         }
     }
 
-    /// Whether this state was built under the grant of that term and epoch.
+    /// Whether this state belongs to the grant of this term and epoch.
     pub fn is_under(&self, term: u64, epoch: u64) -> bool {
         (self.term, self.epoch) == (term, epoch)
     }
@@ -175,13 +187,13 @@
         FencingToken::new(self.term, self.epoch, self.counter).0
     }
 
-    /// Whether the agent obeys nobody else, and no message of ours that was given up: then
-    /// what it reports is all there is.
+    /// Whether the agent accepts commands from no other controller, and no push of this one is
+    /// pending that could still be carried out. Its newest report is then complete.
     pub fn confirmed(&self) -> bool {
         self.fencing_token == self.token() && self.push.is_none()
     }
 
-    /// Applies a report unless a newer one is known. Returns whether it was applied.
+    /// Applies a report if it is newer than all reports so far. Returns whether it was applied.
     pub fn take(&mut self, report: &Heartbeat) -> bool {
         let at = (report.agent_epoch, report.heartbeat_seq);
         if at <= self.at {
@@ -201,8 +213,9 @@
         true
     }
 
-    /// The agent was restarted, as its answer to our call shows: nothing that was pushed to
-    /// its earlier incarnation may be carried out any more.
+    /// Applies the report of a restarted agent, which came as the answer to this controller's
+    /// call. Raises the token, so that nothing that was pushed to the earlier incarnation can be
+    /// carried out any more.
     pub fn restart_incarnation(&mut self, report: &Heartbeat) {
         self.push_lost();
         self.at = (0, 0);
@@ -213,20 +226,21 @@
         self.fetches.clear();
     }
 
-    /// Attempts that need no room here any more, whatever the store still says.
+    /// The attempts that no longer need resources here, even if the store still has them.
     pub fn over(&self) -> impl Iterator<Item = &AttemptKey> {
         self.ended.union(&self.gone)
     }
 
-    /// Whether the attempt needs no room here any more, whatever the store still says.
+    /// Whether the attempt no longer needs resources here, even if the store still has it.
     pub fn is_over(&self, key: &AttemptKey) -> bool {
         self.ended.contains(key) || self.gone.contains(key)
     }
 
-    /// The agent has seen a token above ours: raises the counter past it where that is
-    /// possible. Returns whether ours is now at least as high.
+    /// Raises the counter until the token is at least as high as the one that the agent has
+    /// seen, if that is possible within this grant. Returns whether it is.
     pub fn raise_token_above_agent(&mut self) -> bool {
-        // Within our grant only a counter that we raised ourselves can be ahead.
+        // A higher token of this grant can only come from a counter that this controller raised
+        // itself. A token of a later grant must not be exceeded.
         let highest_of_grant = FencingToken::new(self.term, self.epoch, u64::MAX).0;
         while self.token() < self.fencing_token {
             let before = self.token();
@@ -239,8 +253,8 @@
         true
     }
 
-    /// Whether the gang's task is here and its gang has not started: it fetches its image,
-    /// waits for the others, or gave up waiting and is started again.
+    /// Whether a gang's task is on this machine and its gang has not started yet: the task
+    /// fetches its image, waits for the others, or stopped waiting and is started again.
     pub fn gathers(&self, job: &str, index: u32, attempt: u64) -> bool {
         self.confirmed()
             && self.find(job, index, attempt).is_some_and(|t| {
@@ -249,13 +263,13 @@
             })
     }
 
-    /// The attempt in the newest report.
+    /// The attempt as the newest report lists it.
     pub fn find(&self, job: &str, index: u32, attempt: u64) -> Option<&ObservedTask> {
         self.tasks.iter().find(|t| t.attempt == attempt && t.task.index == index && t.task.job == job)
     }
 }
 
-/// The attempts in a report whose names are well-formed.
+/// The attempts in a report. Tasks with malformed names are left out.
 fn observed_tasks(report: &Heartbeat) -> Vec<ObservedTask> {
     let tasks = report.tasks.iter().filter_map(|t| {
         let task = TaskId::parse(&t.task)?;
--- a/src/coordination/machine/commands.rs
+++ b/src/coordination/machine/commands.rs
@@ -1,5 +1,7 @@
-//! Commands to a machine's agent: what leads from its last report to the desired state, and
-//! which of these commands are pushed instead of waiting for the next report.
+//! The commands to a machine's agent that lead from its last report to the desired state, and
+//! the choice of those that are pushed instead of being sent with the next answer to a report.
+
+#![warn(missing_docs)]
 
 use super::{AttemptKey, Machine, ObservedTask};
 use crate::effects::{CallId, Instant};
@@ -7,16 +9,18 @@
 use crate::reconciliation::difference::{ObservedState, RecordedState, Remedy, compare};
 use crate::state::PlacedTasks;
 
-/// The most commands in one message, which keeps it below the limit of the body's size.
-const COMMANDS_LIMIT: usize = 400;
+/// The largest number of commands in one message. It keeps the message below the limit on the
+/// size of a request's body.
+const MAX_COMMANDS_PER_MESSAGE: usize = 400;
 
+/// The kinds of commands that are pushed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum PushedKind {
     Start,
     Kill,
 }
 
-/// A command that was pushed to the present incarnation of the agent.
+/// Identifies a command that was pushed to the present incarnation of the agent.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct PushedCommand {
     attempt: AttemptKey,
@@ -24,7 +28,8 @@
 }
 
 impl PushedCommand {
-    /// `None` for commands that are never pushed, and for malformed names of tasks.
+    /// Identifies a command. Returns `None` for commands that are never pushed and for malformed
+    /// task names.
     fn of(command: &Command) -> Option<PushedCommand> {
         let (task, attempt, kind) = match command {
             Command::Run { task, attempt } => (task, *attempt, PushedKind::Start),
@@ -37,17 +42,17 @@
 }
 
 impl Machine {
-    /// The commands that lead from the last report to the desired state. `wanted` are the
-    /// attempts that shall run here; `kept` are those whose exit is not in the store yet,
-    /// and which the agent must therefore not forget.
+    /// The commands that lead from the last report to the desired state. `wanted` has the
+    /// attempts that should run here. `kept` has all attempts placed here whose exits are not in
+    /// the store yet, so that the agent must not forget them.
     pub fn commands(&self, wanted: &PlacedTasks, kept: &PlacedTasks) -> Vec<Command> {
         let confirmed = self.confirmed();
         let mut commands = Vec::new();
         for observed in &self.tasks {
             let key = (observed.task.job.clone(), observed.task.index);
-            let stored = RecordedState::of(wanted, kept, &key, observed.attempt);
-            // A gang's task that gave up waiting and is still wanted has a gang that comes.
-            let difference = compare(stored, ObservedState::of(observed.state, observed.cause), true);
+            let recorded = RecordedState::of(wanted, kept, &key, observed.attempt);
+            // If a gang's task stopped waiting and is still wanted, its gang is being started.
+            let difference = compare(recorded, ObservedState::of(observed.state, observed.cause), true);
             self.add_commands(&mut commands, observed, difference.act(confirmed));
         }
         for ((job, index), attempt) in wanted {
@@ -55,21 +60,21 @@
                 commands.push(Command::Run { task: format!("{job}/{index}"), attempt: *attempt });
             }
         }
-        commands.truncate(COMMANDS_LIMIT);
+        commands.truncate(MAX_COMMANDS_PER_MESSAGE);
         commands
     }
 
-    /// Adds the commands by which the agent carries out `act` on a reported attempt.
-    fn add_commands(&self, commands: &mut Vec<Command>, observed: &ObservedTask, act: Remedy) {
+    /// Adds the commands that make the agent carry out the remedy for a reported attempt.
+    fn add_commands(&self, commands: &mut Vec<Command>, observed: &ObservedTask, remedy: Remedy) {
         let (task, attempt) = (observed.task.to_string(), observed.attempt);
-        match act {
+        match remedy {
             Remedy::Kill => {
                 let grace_period_s = self.preempted.get(&observed.key()).copied().unwrap_or(0.0);
                 commands.push(Command::Kill { task, attempt, grace_period_s });
             }
             Remedy::Forget => commands.push(Command::Forget { task, attempt }),
             Remedy::Restart => {
-                // The same attempt waits for its gang again, with its image there by now.
+                // The same attempt waits for its gang again; its image has been fetched by now.
                 commands.push(Command::Forget { task: task.clone(), attempt });
                 commands.push(Command::Run { task, attempt });
             }
@@ -77,21 +82,22 @@
         }
     }
 
-    /// A message is pushed.
+    /// Records that a message is pushed.
     pub fn pushes(&mut self, id: CallId, now: Instant) {
         self.push = Some(id);
         self.pushed_at = Some(now);
     }
 
-    /// A push got no answer. It may be carried out at any later time, so the token is raised:
-    /// once the agent has the new one, it refuses that push.
+    /// Records that a push got no answer. It may be carried out at any later time, so the token
+    /// is raised: once the agent has seen the new token, it refuses that push.
     pub fn push_lost(&mut self) {
         self.push = None;
         self.counter += 1;
         self.pushed.clear();
     }
 
-    /// Of `commands`, those that are pushed now: starts and kills that were not pushed before.
+    /// Selects the commands to push now: starts and kills that were not pushed before. There are
+    /// none while a push is in flight or the agent has not confirmed the current token.
     pub fn to_push(&mut self, commands: Vec<Command>) -> Vec<Command> {
         if self.push.is_some() || !self.confirmed() {
             return Vec::new();
--- a/src/coordination/machine/liveness.rs
+++ b/src/coordination/machine/liveness.rs
@@ -1,78 +1,83 @@
-//! What reports and answers prove about an agent: whether a report is of its present
+//! What reports and answers prove about an agent: whether a report is from its present
 //! incarnation, whether answers reach it, and when its lease has expired.
 
+#![warn(missing_docs)]
+
 use super::Machine;
 use crate::effects::Instant;
 use std::time::Duration;
 
-/// An agent counts as unreachable by answers once this many in a row did not reach it.
-const UNREACHABLE_AFTER: u32 = 2;
+/// Answers count as lost once this many in a row did not reach the agent. A single one may be
+/// lost by chance.
+const MISSED_ANSWERS_UNTIL_LOST: u32 = 2;
 
 impl Machine {
-    /// A report by the agent's own call was applied; `news` if it was above the newest one
-    /// known. The agent keeps one call in flight, so no answer to an earlier one reaches it
-    /// any more: what it does not show by now it never had, and its lease was not renewed
-    /// by it.
+    /// Draws the conclusions from a report that the agent sent in a call of its own and that was
+    /// just applied. `is_newest` tells whether the report was newer than all earlier ones.
+    ///
+    /// The agent has only one call in flight, so no answer to an earlier call can reach it any
+    /// more. If the report does not show the token of an answer, that answer never arrived and
+    /// did not renew the agent's lease.
     ///
-    /// A copy from before a restart may be above all that is known of an agent that is back,
-    /// and show all that its present incarnation began with. It never shows our token. So
-    /// until the agent has, what it does not show proves nothing about the lease, and is a
+    /// There is an exception. A delayed copy of a report from before a restart may be newer than
+    /// every report known from the restarted agent, and may show the same token as the present
+    /// incarnation did at first. But it never shows the token in force. Therefore, until the
+    /// agent has shown that token, a missing token proves nothing about the lease; it is only a
     /// reason to wait (`must_await_lease_expiry`).
-    pub fn observe_report(&mut self, news: bool, now: Instant) {
-        self.set_report_proven(self.confirmed() || news && self.ready);
+    pub fn observe_report(&mut self, is_newest: bool, now: Instant) {
+        self.set_report_proven(self.confirmed() || is_newest && self.ready);
         if self.answered_token <= self.fencing_token {
             self.missed_answers = 0;
             self.reached_at = Some(now);
-        } else if self.sure || news {
-            self.note_missed_answer();
+        } else if self.sure || is_newest {
+            self.record_missed_answer();
         }
     }
 
-    /// The newest report does not show the token of the newest answer.
-    fn note_missed_answer(&mut self) {
+    /// Records that the newest report does not show the token of the newest answer.
+    fn record_missed_answer(&mut self) {
         self.missed_answers += 1;
         if self.sure {
-            self.answered_at = self.answered_before;
+            self.answered_at = self.answered_before_token;
         } else if self.answered_token == self.token() {
-            // The agent may also have been restarted unnoticed: the next answer carries a
-            // token that its earlier incarnation cannot show.
+            // The agent may have been restarted without this controller noticing it. The next
+            // answer carries a token that its earlier incarnation cannot have seen.
             self.counter += 1;
         }
     }
 
-    /// Records whether the newest report is proved to be the agent's own and of its present
-    /// incarnation, as an answer to our own call is.
-    pub fn set_report_proven(&mut self, sure: bool) {
-        self.sure = sure;
-        if sure {
-            self.lowest_token = self.fencing_token;
+    /// Records whether the newest report is proved to be sent by the agent's present incarnation.
+    /// An answer to a call of this controller always is.
+    pub fn set_report_proven(&mut self, proven: bool) {
+        self.sure = proven;
+        if proven {
+            self.proven_token = self.fencing_token;
         }
     }
 
-    /// Whether a report that shows this token cannot be of the same incarnation as the
-    /// newest report that was `sure`: one of the two incarnations is over.
+    /// Whether a report that shows this token cannot be from the same incarnation as the newest
+    /// proven report. One of the two incarnations has then ended.
     pub fn contradicts_token(&self, fencing_token: u64) -> bool {
-        fencing_token < self.lowest_token
+        fencing_token < self.proven_token
     }
 
-    /// A report of the agent is answered. Returns the token for the answer.
+    /// Records that a report of the agent is answered. Returns the token for the answer.
     pub fn answer(&mut self, now: Instant) -> u64 {
         let token = self.token();
         if self.answered_token != token {
             self.answered_token = token;
-            self.answered_before = self.answered_at;
+            self.answered_before_token = self.answered_at;
         }
         self.answered_at = Some(now);
         token
     }
 
-    /// Records whether the newest report came late (`away`: the agent was away for longer
-    /// than between two reports), and whether the agent's lease expired (`lapsed`) although
-    /// we answer it.
+    /// Records whether the newest report came late (`away`: the agent was silent for longer than
+    /// its interval between two reports), and whether the agent's lease expired (`lapsed`)
+    /// although its reports are answered.
     ///
-    /// An agent that was cut off for a while reports at its usual interval from then on. If
-    /// this one does not, the token is raised, so that its reports tell whether answers
-    /// reach it.
+    /// After a short partition an agent reports at its usual interval again. If this agent does
+    /// not, the token is raised, so that its reports show whether answers reach it.
     pub fn observe_report_timing(&mut self, away: bool, lapsed: bool) {
         self.late_reports = if away { self.late_reports + 1 } else { 0 };
         if (self.late_reports > 1 || lapsed) && self.confirmed() {
@@ -80,17 +85,17 @@
         }
     }
 
-    /// Whether reports come that show that answers do not reach the agent. One lost answer
-    /// is not enough.
+    /// Whether the agent's reports show that answers do not reach it. A single lost answer is
+    /// not enough.
     pub fn answers_are_lost(&self) -> bool {
-        self.missed_answers >= UNREACHABLE_AFTER
+        self.missed_answers >= MISSED_ANSWERS_UNTIL_LOST
     }
 
-    /// Whether everything on the machine has ended because its lease has expired.
+    /// Whether all tasks on the machine have ended because its agent's lease has expired.
     ///
-    /// `lease` and `cancel` include a margin for clock drift already. Before the grant
-    /// another controller may have answered the agent, at the latest `cancel - lease` after
-    /// it last saw the store.
+    /// `lease` and `cancel` already include a margin for clock drift. Another controller may
+    /// have owned the machine before this grant and answered its agent, at the latest
+    /// `cancel - lease` after that controller last saw the store.
     pub fn lapsed(&self, now: Instant, lease: Duration, cancel: Duration) -> bool {
         let last_renewal = self.answered_at.max(self.pushed_at);
         let expires_at = last_renewal.map_or(Duration::ZERO, |at| at + lease);
@@ -99,10 +104,11 @@
 
     /// Whether the agent must not be answered until its lease has expired.
     ///
-    /// That is so while no answer reaches it and none did under this grant, or since its
-    /// restart: then its lease may have expired, and only the time proves that it has. Once
-    /// no earlier owner answers it any more we do not either, until our own answers cannot
-    /// have kept the lease alive.
+    /// This is the case if answers do not reach the agent, and none has reached it under this
+    /// grant or since its restart. Its lease may then have expired, and only the passing of time
+    /// can prove that it has. Once no earlier owner can answer the agent any more, this
+    /// controller does not either, until its own earlier answers cannot have kept the lease
+    /// alive.
     pub fn must_await_lease_expiry(&self, now: Instant, lease: Duration, cancel: Duration) -> bool {
         let earlier_owners_until = self.owned_since + cancel.saturating_sub(lease);
         self.answers_are_lost() && !self.ready && now > earlier_owners_until && !self.lapsed(now, lease, cancel)
--- a/src/coordination/machine/tests.rs
+++ b/src/coordination/machine/tests.rs
@@ -1,4 +1,5 @@
-//! What reports, answers and pushes prove about a machine, and the commands that follow.
+//! Tests of what reports, answers and pushes prove about a machine, and of the resulting
+//! commands.
 
 use super::*;
 use crate::protocol::worker::{Command, TaskReport};
@@ -32,8 +33,8 @@
     list.iter().map(|(j, i, a)| ((j.to_string(), *i), *a)).collect()
 }
 
-/// A held-back packet may deliver an old report after a newer one; acting
-/// on it would kill or restart what has moved on.
+/// A delayed packet may deliver an old report after a newer one. Acting on it would kill or
+/// restart tasks according to an outdated state.
 #[test]
 fn an_older_report_changes_nothing() {
     let mut m = Machine::new(1, 1, 1, Duration::ZERO);
@@ -44,8 +45,8 @@
     assert!(m.take(&report((3, 1), 9, &[])));
 }
 
-/// A push without an answer may start its task minutes later. Until the
-/// worker has taken a higher token, nothing may be forgotten or called absent.
+/// A push without an answer may start its task minutes later. Until the agent has shown a
+/// higher token, it must not be told to forget a task, and no task counts as absent.
 #[test]
 fn an_unanswered_push_blocks_forgetting_until_the_token_is_raised() {
     let mut m = Machine::new(1, 1, 1, Duration::ZERO);
@@ -63,7 +64,7 @@
     assert_eq!(m.commands(&places(&[]), &places(&[])), vec![forget]);
 }
 
-/// `done` must be in the store before the worker forgets it.
+/// An exit must be in the store before the agent is told to forget it.
 #[test]
 fn an_exit_that_is_not_stored_is_not_forgotten() {
     let mut m = Machine::new(1, 1, 1, Duration::ZERO);
@@ -73,7 +74,7 @@
     assert!(m.commands(&kept, &places(&[])).is_empty());
 }
 
-/// An attempt that the store does not want here must not run beside the one that it does.
+/// An attempt that the store does not place here must not run beside the one that it does.
 #[test]
 fn unwanted_tasks_are_killed_and_missing_tasks_started() {
     let mut m = Machine::new(1, 1, 1, Duration::ZERO);
@@ -84,7 +85,7 @@
     assert_eq!(commands, vec![kill, run]);
 }
 
-/// An earlier owner may be cut off with the worker and still answer it.
+/// An earlier owner may be in the same partition as the agent and still answer it.
 #[test]
 fn lease_expiry_counts_from_the_grant_too() {
     let s = Duration::from_secs;
@@ -96,8 +97,8 @@
     assert!(m.lapsed(s(159), s(18), s(48)));
 }
 
-/// One machine of a gang had its image long before the others: its task gave
-/// up, the whole gang was started anew, elsewhere, and gave up again.
+/// One machine of a gang fetched the image long before the others. Its task stopped waiting,
+/// so the whole gang was started again on other machines, where the same happened.
 #[test]
 fn a_gang_task_that_gave_up_waiting_is_started_again() {
     let mut m = Machine::new(1, 1, 1, Duration::ZERO);
@@ -109,12 +110,12 @@
     let run = Command::Run { task: "run-1/0".into(), attempt: 2 };
     assert_eq!(m.commands(&here, &here), vec![forget, run]);
     assert!(m.gathers("run-1", 0, 2) && m.over().next().is_none());
-    // With a push under way nothing is forgotten.
+    // While a push is in flight, nothing is forgotten.
     m.push = Some(7);
     assert!(m.commands(&here, &here).is_empty() && !m.gathers("run-1", 0, 2));
 }
 
-/// Tasks that can save lost their work when they were stopped for others.
+/// Preempted tasks that can write checkpoints lost their work when they got no grace period.
 #[test]
 fn a_preempted_task_gets_its_grace_period() {
     let mut m = Machine::new(1, 1, 1, Duration::ZERO);
@@ -122,85 +123,89 @@
     let kill = |grace_period_s| vec![Command::Kill { task: "run-1/0".into(), attempt: 2, grace_period_s }];
     m.preempted.insert(("run-1".into(), 0, 2), 5.0);
     assert_eq!(m.commands(&places(&[]), &places(&[("run-1", 0, 2)])), kill(5.0));
-    // Withdrawn meanwhile: its work is of no use to anyone.
+    // Its job was cancelled meanwhile, so its checkpoint is not needed.
     m.preempted.clear();
     assert_eq!(m.commands(&places(&[]), &places(&[("run-1", 0, 2)])), kill(0.0));
 }
 
-/// A machine ended and was back at once, and a copy of what it said before its end came
-/// after our first answer to its present life: above all that this had said. It voided
-/// that answer, so the lease counted as over, and its tasks were started elsewhere; an exit
-/// in it ended a task that runs.
+/// An agent was restarted at once, and a delayed copy of a report from before its restart
+/// arrived after the first answer to the new incarnation. It was newer than all reports of the
+/// new incarnation. That answer was taken for lost, so the lease counted as expired and the
+/// tasks were started elsewhere; an exit in the copy ended a task that was running.
 #[test]
-fn a_copy_from_an_earlier_incarnation_proves_nothing() {
+fn a_delayed_report_of_an_earlier_incarnation_proves_nothing() {
     let s = Duration::from_secs;
     let mut m = Machine::new(1, 1, 1, s(0));
     let old = m.token();
-    let says = |m: &mut Machine, at, fencing_token, now| {
+    let observe = |m: &mut Machine, at, fencing_token, now| {
         assert!(m.take(&report(at, fencing_token, &[("run-1/0", 1, TaskState::Exited)])));
         m.observe_report(true, now);
     };
-    says(&mut m, (1, 8), old, s(10));
+    observe(&mut m, (1, 8), old, s(10));
     assert!(m.sure && m.answer(s(10)) == old);
     m.restart_incarnation(&report((1, 2), 0, &[]));
     assert!(m.token() > old && !m.contradicts_token(0));
     m.answer(s(20));
-    says(&mut m, (1, 7), old, s(21));
-    assert!(!m.sure, "it is no proof of the exit that it shows");
-    assert_eq!(m.answered_at, Some(s(20)), "our answer may have come");
-    // Another that goes on from there is no better; the worker's own shows that it did.
-    says(&mut m, (1, 9), old, s(22));
+    observe(&mut m, (1, 7), old, s(21));
+    assert!(!m.sure, "the copy does not prove the exit that it shows");
+    assert_eq!(m.answered_at, Some(s(20)), "the answer may have arrived");
+    // Another copy from the same incarnation proves nothing either. The agent's own report
+    // shows the token of the answer.
+    observe(&mut m, (1, 9), old, s(22));
     assert!(!m.sure && m.answered_at == Some(s(20)));
     let token = m.token();
-    says(&mut m, (1, 10), token, s(23));
+    observe(&mut m, (1, 10), token, s(23));
     m.ready = true;
     assert!(m.sure && m.contradicts_token(old) && !m.contradicts_token(token));
 }
 
-/// One that hears nothing since it came, and a copy of what it said first in an earlier
-/// life, look alike: neither voids an answer. So that its places come free all the same
-/// it is not answered until its lease must be over, and as soon as it shows our token.
+/// The reports of an agent that no answer has reached look like delayed copies of the first
+/// reports of an earlier incarnation, so neither proves that an answer was lost. To free the
+/// placements nevertheless, the agent is not answered until its lease must have expired. Once
+/// it shows the current token, it is answered again at once.
 #[test]
 fn the_lease_of_an_agent_that_no_answer_reached_is_waited_out() {
     let s = Duration::from_secs;
     let (lease, cancel) = (s(18), s(48));
-    let says = |m: &mut Machine, heartbeat_seq, fencing_token, now| {
+    let observe = |m: &mut Machine, heartbeat_seq, fencing_token, now| {
         assert!(m.take(&report((1, heartbeat_seq), fencing_token, &[])));
         m.observe_report(true, now);
     };
     let mut unreachable = Machine::new(1, 1, 1, s(0));
     for n in 0..15 {
-        says(&mut unreachable, 1 + n, 3, s(2 * n));
-        assert!(!unreachable.must_await_lease_expiry(s(2 * n), lease, cancel), "an earlier owner may answer it");
+        observe(&mut unreachable, 1 + n, 3, s(2 * n));
+        assert!(!unreachable.must_await_lease_expiry(s(2 * n), lease, cancel), "an earlier owner may still answer it");
         unreachable.answer(s(2 * n));
     }
-    says(&mut unreachable, 30, 3, s(31));
+    observe(&mut unreachable, 30, 3, s(31));
     assert!(unreachable.answers_are_lost() && !unreachable.sure && unreachable.answered_at == Some(s(28)));
     assert!(
         unreachable.must_await_lease_expiry(s(31), lease, cancel)
             && unreachable.must_await_lease_expiry(s(48), lease, cancel)
     );
     assert!(unreachable.lapsed(s(49), lease, cancel) && !unreachable.must_await_lease_expiry(s(49), lease, cancel));
-    // It hears again: it is answered at once, and what ran there goes on.
+    // Answers reach it again: it is answered at once, and its tasks go on.
     let token = unreachable.token();
-    says(&mut unreachable, 31, token, s(33));
+    observe(&mut unreachable, 31, token, s(33));
     unreachable.ready = true;
     assert!(unreachable.sure && !unreachable.must_await_lease_expiry(s(33), lease, cancel));
-    // From then on a report without our newest token is its own, and voids.
+    // From then on a report without the newest token is proved to be the agent's own, and shows
+    // that an answer was lost.
     unreachable.answer(s(33));
     unreachable.push_lost();
-    says(&mut unreachable, 32, token, s(35));
+    observe(&mut unreachable, 32, token, s(35));
     unreachable.answer(s(35));
-    says(&mut unreachable, 33, token, s(37));
+    observe(&mut unreachable, 33, token, s(37));
     assert!(unreachable.sure && unreachable.answered_at == Some(s(33)));
 }
 
-/// A machine ended and was back, and its owner had heard nothing of it in either life. Its
-/// first words were answered with its tasks; then came a copy of what it had said first in
-/// the life before, with the token (none) that the present one came with. That voided the
-/// answer, the lease counted as over, and what had just started was started elsewhere too.
+/// An agent was restarted, and its owner had got no report from either incarnation before. The
+/// first report was answered with commands to run its tasks. Then a delayed copy of the first
+/// report of the earlier incarnation arrived, without a token, as the new incarnation had
+/// reported too. The answer was taken for lost, the lease counted as expired, and tasks that had
+/// just started were started elsewhere too.
 #[test]
-fn a_copy_of_the_first_report_of_an_earlier_incarnation_voids_no_answer() {
+fn a_delayed_first_report_of_an_earlier_incarnation_does_not_show_a_lost_answer() {
     let s = Duration::from_secs;
     let mut m = Machine::new(1, 1, 1, s(0));
     for (heartbeat_seq, at) in [(1, 47), (4, 49), (5, 50)] {
@@ -210,15 +215,16 @@
             m.answer(s(at));
         }
     }
-    assert_eq!(m.answered_at, Some(s(47)), "our answer may have come");
+    assert_eq!(m.answered_at, Some(s(47)), "the answer may have arrived");
     assert!(!m.lapsed(s(50), s(18), s(48)) && m.lapsed(s(66), s(18), s(48)));
     assert!(m.must_await_lease_expiry(s(50), s(18), s(48)));
 }
 
-/// A machine ended while what it had reported last was held back, and was back; its owner
-/// had heard too little of the earlier life to tell. A report of that life that showed our
-/// token came after the present one had been answered with its tasks: it passed for the
-/// newest, listed none of them, and so they were called absent and started elsewhere.
+/// An agent was restarted while its last report was delayed, and its owner had got too few
+/// reports of the earlier incarnation to notice. The delayed report, which showed the current
+/// token, arrived after the new incarnation had been answered with commands to run its tasks. It
+/// was taken for the newest report and listed none of these tasks, so they counted as absent
+/// and were started elsewhere.
 #[test]
 fn a_report_from_before_an_unnoticed_restart_proves_nothing() {
     let s = Duration::from_secs;
@@ -226,25 +232,26 @@
     m.take(&report((1, 3), 0, &[]));
     m.observe_report(false, s(1));
     let old = m.answer(s(1));
-    // The present life: above all that is known.
+    // A report of the new incarnation, newer than all reports known.
     m.take(&report((1, 5), 0, &[]));
     m.observe_report(true, s(3));
     m.answer(s(3));
     m.take(&report((1, 6), old, &[("run-1/0", 1, TaskState::Exited)]));
     m.observe_report(true, s(4));
     assert!(!m.confirmed() && !m.sure && m.answered_at == Some(s(3)));
-    // The present life's own shows what only it was given.
+    // The next report of the new incarnation shows the token that only it was given.
     let token = m.answer(s(5));
     m.take(&report((1, 7), token, &[("run-1/0", 1, TaskState::Running)]));
     m.observe_report(true, s(6));
     assert!(m.confirmed() && m.sure);
 }
 
-/// A machine that opened no connection lost what it had with its lease; its next session,
-/// of which nobody had heard, began then. What was pushed to it was held to have ended with
-/// the lease of the last answer, long before, and was started elsewhere while it ran.
+/// An agent that could not open connections lost its lease and its tasks, and started a new
+/// incarnation that no controller had heard of. A push to it began a new lease. The pushed tasks
+/// were assumed to have ended with the lease of the last answer, long before, and were started
+/// elsewhere while they ran.
 #[test]
-fn a_pushed_start_may_run_for_a_whole_lease() {
+fn a_pushed_task_may_run_for_a_whole_lease() {
     let s = Duration::from_secs;
     let (lease, cancel) = (s(18), s(48));
     let mut m = Machine::new(1, 1, 1, s(0));
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -1,8 +1,10 @@
-//! How the controllers agree on who may do what: store sessions and leases, shards of
-//! machines, fencing tokens, freshness of reads, and limits on writes.
+//! Coordination between the controllers: store sessions and leases, shards of machines,
+//! fencing tokens, freshness of reads, and limits on writes.
 //!
-//! Everything here is a state machine or a pure function: no sockets and no clocks. The
-//! controller calls the state service and passes the current time in.
+//! Everything here is a state machine or a pure function that uses neither sockets nor clocks.
+//! The controller calls the state service itself and passes the current time in.
+
+#![warn(missing_docs)]
 
 pub mod fault_attribution;
 pub mod fencing_token;
--- a/src/coordination/rate_limiter.rs
+++ b/src/coordination/rate_limiter.rs
@@ -1,16 +1,19 @@
-//! A token bucket with priorities for the writes of one controller.
+//! A token bucket with priorities, which limits the rate of one controller's writes.
 //!
-//! Every controller has its own share of the store's limit, in changes per second, and one
-//! rate limiter for all kinds of writes.
+//! Every controller has its own share of the store's limit on changes per second, and one rate
+//! limiter for all kinds of writes. A second one, without priorities, paces its requests to the
+//! cloud.
 //!
-//! A change is charged when it is sent. If the store refused it, the charge is refunded:
-//! the store did not carry it out and does not count it. A change that got no answer stays
+//! A change is charged when it is sent. If the store refuses it, the charge is refunded, because
+//! the store neither carries out nor counts a refused change. A change that got no answer stays
 //! charged.
 //!
-//! Higher priorities may borrow from lower ones, in steps, up to one second's worth of
-//! writes. A priority that has waited for the time of some writes (see `OVERDUE_WRITES`)
-//! may borrow as much as the highest one, and higher priorities leave room for one write of
-//! it. So no priority starves.
+//! The higher its priority, the further a write may take the balance into debt, up to one
+//! second's worth of changes. A priority that has waited for the time of several writes (see
+//! `OVERDUE_WRITES`) may borrow as much as the highest one, and higher priorities leave room for
+//! one write of it. So no priority starves.
+
+#![warn(missing_docs)]
 
 use crate::effects::Instant;
 use std::time::Duration;
@@ -18,23 +21,24 @@
 /// The order in which writes are admitted when the rate does not allow all of them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum WritePriority {
-    /// Cancellations, and changes that everything else waits for.
+    /// Cancellations, and changes on which all other writes depend.
     Critical,
-    /// Acceptances of submissions, and ends of jobs.
+    /// Acceptances of submissions, and the ends of jobs.
     Responses,
-    /// Starts of services, and the last exits of a job. Waiting exits and starts of
-    /// arrays are written in the same transaction.
+    /// Starts of services, and the last exits of a job. Waiting exits and starts of arrays are
+    /// written in the same transaction.
     Services,
     /// Starts of arrays, and all other exits.
     Arrays,
 }
 
 impl WritePriority {
+    /// All priorities, the highest first.
     const ALL: [WritePriority; 4] =
         [WritePriority::Critical, WritePriority::Responses, WritePriority::Services, WritePriority::Arrays];
 
     /// The balance that must remain after a write of this priority, as a fraction of one
-    /// second's worth. A negative reserve is permission to borrow.
+    /// second's worth of changes. If it is negative, such writes may borrow.
     fn reserve(self) -> f64 {
         match self {
             WritePriority::Critical => -1.0,
@@ -44,46 +48,47 @@
         }
     }
 
-    /// Whether a write of this priority also carries what waits with `other`: waiting
-    /// changes of arrays join the transaction that starts services.
-    fn carries(self, other: WritePriority) -> bool {
+    /// Whether a write of this priority also includes the waiting changes of priority `other`:
+    /// waiting changes of arrays join the transaction that starts services.
+    fn includes(self, other: WritePriority) -> bool {
         self == WritePriority::Services && other == WritePriority::Arrays
     }
 }
 
-/// A priority is overdue once it has waited for the time of this many writes, but for
-/// [`OVERDUE_MIN_S`] at least. Each of the three lower priorities then takes at most one of
-/// these writes, and the highest priority has the rest.
+/// A priority is overdue once it has waited for the time of this many writes, and at least for
+/// [`OVERDUE_MIN_S`]. Each of the three lower priorities then takes at most one of these writes,
+/// and the highest priority gets the rest.
 const OVERDUE_WRITES: f64 = 4.0;
 /// The shortest wait after which a priority is overdue, in seconds.
 const OVERDUE_MIN_S: f64 = 1.0;
 
-/// A priority whose write was refused and that keeps asking.
+/// A priority whose writes are not admitted and that keeps asking.
 #[derive(Debug, Clone, Copy)]
 struct Waiting {
     since: Instant,
     last_asked: Instant,
 }
 
-/// What a write took from the balance, to be refunded if the store refuses the write.
+/// The amount that a write took from the balance, refunded if the store refuses the write.
 #[derive(Debug, Clone, Copy)]
 pub struct Charge(f64);
 
 /// The rate limiter of one controller's writes.
 ///
 /// Invariants:
-/// - The debt is never more than one second's worth, so one second later a write of the
-///   highest priority is admitted.
-/// - After an outage of the store the balance is not positive, so that what all controllers
-///   write at the same moment stays within the burst that the store allows.
+/// - The debt is never more than one second's worth of changes, so one second later a write of
+///   the highest priority is admitted.
+/// - After an outage of the store the balance is not positive, so that the simultaneous writes
+///   of all controllers stay within the burst that the store allows.
 #[derive(Debug)]
 pub struct RateLimiter {
-    /// Changes per second.
+    /// The allowed rate, in changes per second.
     pub rate: f64,
-    /// Changes that may be written without borrowing, as of `updated_at`; negative if in debt.
+    /// The number of changes that may be written without borrowing, as of `updated_at`; negative
+    /// if in debt.
     balance: f64,
     updated_at: Instant,
-    /// By priority.
+    /// The waiting state of each priority.
     waiting: [Option<Waiting>; WritePriority::ALL.len()],
 }
 
@@ -93,41 +98,42 @@
         RateLimiter { rate, balance: rate, updated_at: Duration::ZERO, waiting: Default::default() }
     }
 
-    /// The largest balance and the largest debt: one second's worth, but one change at least.
+    /// The largest balance and the largest debt: one second's worth, but at least one change.
     fn capacity(&self) -> f64 {
         self.rate.max(1.0)
     }
 
-    /// Changes that may be written without borrowing; negative if in debt.
+    /// The number of changes that may be written now without borrowing; negative if in debt.
     pub fn level(&self, now: Instant) -> f64 {
         let elapsed_s = now.saturating_sub(self.updated_at).as_secs_f64();
         (self.balance + elapsed_s * self.rate).min(self.capacity())
     }
 
-    /// Whether `changes` that can also wait may be written now. A full balance is enough
-    /// for more changes than it can ever hold.
+    /// Whether `changes` may be written now without borrowing, which is required of writes that
+    /// can wait. A full balance suffices if there are more changes than it can ever cover.
     pub fn has(&self, now: Instant, changes: f64) -> bool {
         self.level(now) >= changes.min(self.capacity())
     }
 
-    /// The wait after which a priority is overdue.
+    /// How long a priority must wait until it is overdue.
     fn overdue_after(&self) -> Duration {
         Duration::from_secs_f64(
             (OVERDUE_WRITES / self.rate.max(f64::MIN_POSITIVE)).clamp(OVERDUE_MIN_S, f64::from(u16::MAX)),
         )
     }
 
-    /// Whether this priority has waited for too long and asked lately.
+    /// Whether this priority has waited for too long and has asked again recently.
     fn is_overdue(&self, priority: WritePriority, now: Instant) -> bool {
-        let limit = self.overdue_after();
-        self.waiting[priority as usize].is_some_and(|w| now >= w.since + limit && now <= w.last_asked + limit)
+        let overdue_after = self.overdue_after();
+        self.waiting[priority as usize]
+            .is_some_and(|waiting| now >= waiting.since + overdue_after && now <= waiting.last_asked + overdue_after)
     }
 
-    /// Whether a write of this priority may be sent now. One that may not is remembered as
-    /// waiting for as long as it is asked for again.
+    /// Whether a write of this priority may be sent now. If not, the priority counts as waiting
+    /// for as long as it keeps asking.
     pub fn admits(&mut self, priority: WritePriority, now: Instant) -> bool {
         let admitted = self.level(now) >= self.required_balance(priority, now);
-        self.remember_waiting(priority, admitted, now);
+        self.update_waiting(priority, admitted, now);
         admitted
     }
 
@@ -135,30 +141,30 @@
     fn required_balance(&self, priority: WritePriority, now: Instant) -> f64 {
         let overdue = WritePriority::ALL
             .into_iter()
-            .filter(|other| *other == priority || priority.carries(*other))
+            .filter(|other| *other == priority || priority.includes(*other))
             .any(|other| self.is_overdue(other, now));
         let reserve = if overdue { WritePriority::Critical } else { priority }.reserve();
-        // One write for each lower priority that is overdue and not carried along.
+        // Leaves room for one write of each lower priority that is overdue and not included.
         let overdue_below = WritePriority::ALL
             .into_iter()
-            .filter(|other| *other > priority && !priority.carries(*other) && self.is_overdue(*other, now))
+            .filter(|other| *other > priority && !priority.includes(*other) && self.is_overdue(*other, now))
             .count();
         (1.0 + reserve * self.capacity()).min(self.capacity()) + overdue_below as f64
     }
 
     /// Records whether a write of this priority still waits, and since when.
-    fn remember_waiting(&mut self, priority: WritePriority, admitted: bool, now: Instant) {
-        let limit = self.overdue_after();
+    fn update_waiting(&mut self, priority: WritePriority, admitted: bool, now: Instant) {
+        let overdue_after = self.overdue_after();
         let waiting = &mut self.waiting[priority as usize];
-        let since = waiting.filter(|w| now <= w.last_asked + limit).map_or(now, |w| w.since);
+        let since = waiting.filter(|w| now <= w.last_asked + overdue_after).map_or(now, |w| w.since);
         *waiting = (!admitted).then_some(Waiting { since, last_asked: now });
         if admitted && priority == WritePriority::Services {
             self.waiting[WritePriority::Arrays as usize] = None;
         }
     }
 
-    /// Charges `changes` that are sent now. Debt beyond one second's worth is forgiven, and
-    /// is not part of the charge.
+    /// Charges `changes` that are sent now. Debt beyond one second's worth is forgiven and is not
+    /// part of the returned charge.
     pub fn charge(&mut self, now: Instant, changes: f64) -> Charge {
         let before = self.level(now);
         self.balance = (before - changes).max(-self.capacity()).min(before);
@@ -166,14 +172,14 @@
         Charge(before - self.balance)
     }
 
-    /// Refunds a write that the store refused and did not carry out.
+    /// Refunds the charge of a write that the store refused and so did not carry out.
     pub fn give_back(&mut self, now: Instant, charge: Charge) {
         self.balance = (self.level(now) + charge.0).min(self.capacity());
         self.updated_at = now;
     }
 
-    /// The store is back after an outage. All controllers write at once now, so none may
-    /// start with a positive balance.
+    /// Records that the store is available again after an outage. All controllers write at the
+    /// same moment, so none may start with a positive balance.
     pub fn store_is_back(&mut self, now: Instant) {
         self.balance = self.level(now).min(0.0);
         self.updated_at = now;
--- a/src/coordination/shards.rs
+++ b/src/coordination/shards.rs
@@ -1,9 +1,11 @@
-//! Which controller owns which machines, and which tasks it may place: what the leader
-//! decides, as pure functions of the replicated state.
+//! Decides which controller owns which machines and which tasks it may place. These are the
+//! leader's decisions, as pure functions of the replicated state.
 //!
-//! - `machine_moves`: machine groups that change their owner, and owners of new machines
+//! - `machine_moves`: moves of machine groups to other owners, and the owners of new machines
 //! - `assignment`: the ranges of a job's tasks that each controller may place
 
+#![warn(missing_docs)]
+
 mod assignment;
 mod machine_moves;
 
--- a/src/coordination/shards/assignment.rs
+++ b/src/coordination/shards/assignment.rs
@@ -1,4 +1,6 @@
-//! Which controller may place which of a job's tasks.
+//! Decides which controller may place which of a job's tasks.
+
+#![warn(missing_docs)]
 
 use crate::placement::{MachineCapacity, zone_capacity};
 use crate::protocol::user::JobSpec;
@@ -7,28 +9,30 @@
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// What an assignment of tasks depends on besides the job itself.
+/// The data from which tasks are assigned, besides the job itself.
 pub struct AssignmentInputs<'a> {
+    /// The controllers to which tasks may be assigned.
     pub members: &'a [String],
     /// The capacities of all machines, with the members that own them.
     pub capacities: &'a [(String, MachineCapacity)],
-    /// Cores that tasks assigned to each member wait for, ahead of the job's own tasks.
+    /// The number of cores for which tasks assigned to each member already wait, ahead of the
+    /// job's own tasks.
     pub queues: &'a BTreeMap<String, f64>,
-    /// The number of tasks whose state shares a record. They are assigned together, so that
-    /// every record has one writer.
+    /// The number of tasks whose state is in the same record. They are assigned together, so
+    /// that every record has a single writer.
     pub grain: u32,
-    /// Tasks of the job per zone that are, or may still be, on machines.
+    /// The number of the job's tasks in each zone that are, or may still be, on machines.
     pub zones: &'a BTreeMap<String, u32>,
-    /// Waiting tasks with the job's image that are assigned to each member: their machines
-    /// will fetch it.
+    /// The number of waiting tasks with the job's image that are assigned to each member. The
+    /// machines that get them will fetch the image.
     pub alike: &'a BTreeMap<String, u32>,
 }
 
-/// The number of tasks that a shard has room for.
+/// The number of a job's tasks that a shard has room for.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
 struct ShardCapacity {
     tasks: u32,
-    /// Those of `tasks` on machines that hold the job's image.
+    /// The part of `tasks` on machines that hold the job's image.
     with_image: u32,
 }
 
@@ -42,56 +46,57 @@
     }
 }
 
-/// How many tasks of the job each member's shard has room for, in zones where the job may
-/// have them, given those it has in each zone already.
+/// How many tasks of the job each member's shard has room for. It respects the job's zone rules,
+/// given the tasks that the job already has in each zone (`tasks_by_zone`).
 fn capacity_by_member<'a>(
     capacities: &'a [(String, MachineCapacity)],
     spec: &JobSpec,
-    zones: &BTreeMap<String, u32>,
+    tasks_by_zone: &BTreeMap<String, u32>,
 ) -> BTreeMap<&'a str, ShardCapacity> {
     let mut by_zone: BTreeMap<(&str, &str), ShardCapacity> = BTreeMap::new();
     for (member, capacity) in capacities {
         let tasks = capacity.fits(spec).min(spec.task_count);
         if tasks > 0 {
             let with_image = if capacity.has_image(spec) { tasks } else { 0 };
-            let capacity_left = by_zone.entry((member, &capacity.zone)).or_default();
-            *capacity_left = capacity_left.plus(ShardCapacity { tasks, with_image });
+            let in_zone = by_zone.entry((member, &capacity.zone)).or_default();
+            *in_zone = in_zone.plus(ShardCapacity { tasks, with_image });
         }
     }
     let mut by_member: BTreeMap<&str, ShardCapacity> = BTreeMap::new();
-    for ((member, zone), capacity_left) in by_zone {
-        let in_zone = capacity_left.at_most(zone_capacity(spec, spec.task_count, zones, zone));
+    for ((member, zone), in_zone) in by_zone {
+        let in_zone = in_zone.at_most(zone_capacity(spec, spec.task_count, tasks_by_zone, zone));
         let total = by_member.entry(member).or_default();
         *total = if spec.zone_affinity { (*total).max(in_zone) } else { total.plus(in_zone) };
     }
     by_member
 }
 
-/// What one member's shard has to offer a job.
+/// What one member's shard offers a job.
 struct Offer<'a> {
     member: &'a str,
-    /// Tasks of the job that it has room for once its queue is served; negative where the
-    /// queue is longer than its room.
+    /// The number of the job's tasks for which it has room after its queue; negative if the queue
+    /// needs more than its room.
     fits: i64,
-    /// Tasks of the job that find its image there.
+    /// The number of the job's tasks that fit on machines which hold its image.
     with_image: u32,
-    /// Machines that hold the image, and waiting tasks that will fetch it.
+    /// The number of machines that hold the image, plus that of waiting tasks whose machines will
+    /// fetch it.
     image_copies: u32,
 }
 
 impl AssignmentInputs<'_> {
-    /// The number of the job's tasks that each member has room for once its queue is served;
-    /// negative where the queue is longer than its room.
+    /// The number of the job's tasks for which each member has room after its queue; negative if
+    /// the queue needs more than its room.
     pub fn capacity(&self, spec: &JobSpec) -> Vec<(&str, i64)> {
         self.offers(spec).into_iter().map(|offer| (offer.member, offer.fits)).collect()
     }
 
-    /// The member's queue, in tasks of the job.
+    /// The length of the member's queue, expressed in tasks of the job.
     fn queued_tasks(&self, spec: &JobSpec, member: &str) -> i64 {
         (self.queues.get(member).copied().unwrap_or(0.0) / spec.cores.max(f64::MIN_POSITIVE)) as i64
     }
 
-    /// What each member offers the job, in the order of `members`.
+    /// The offer of each member, in the order of `members`.
     fn offers(&self, spec: &JobSpec) -> Vec<Offer<'_>> {
         let capacities_left = capacity_by_member(self.capacities, spec, self.zones);
         let image_copies = self.image_copies(spec);
@@ -107,7 +112,8 @@
         self.members.iter().map(String::as_str).map(offer).collect()
     }
 
-    /// The number of places in each member's shard that hold the job's image or will fetch it.
+    /// The number of copies of the job's image in each member's shard, including those that
+    /// waiting tasks will fetch.
     fn image_copies(&self, spec: &JobSpec) -> BTreeMap<String, u32> {
         let mut copies = self.alike.clone();
         for (member, _) in self.capacities.iter().filter(|(_, capacity)| capacity.has_image(spec)) {
@@ -116,21 +122,27 @@
         copies
     }
 
-    /// The offers, those first that serve `waiting` tasks best: where the image is, then where
-    /// it will be, then where there is most room. Of equal ones, `me` comes first.
+    /// The offers, ordered by how well they suit `waiting` tasks of the job: first by the tasks
+    /// that find its image, then by its copies, then by the room. Of equal offers, the one of
+    /// `me` comes first.
     fn offers_by_preference(&self, spec: &JobSpec, waiting: u32, me: &str) -> Vec<Offer<'_>> {
         let mut offers = self.offers(spec);
-        offers.sort_by_key(|o| {
-            (Reverse(o.with_image.min(waiting)), Reverse(o.image_copies), Reverse(o.fits), o.member != me)
+        offers.sort_by_key(|offer| {
+            let with_image = offer.with_image.min(waiting);
+            (Reverse(with_image), Reverse(offer.image_copies), Reverse(offer.fits), offer.member != me)
         });
         offers
     }
 }
 
-/// Assigns a job's tasks to the members whose shards can hold them: all to one member where
-/// they fit, best where the image is or will be, so that few machines fetch it; else to the
-/// shortest queues. `waiting` are the tasks in question; all others are assigned along with
-/// them. `whole` jobs are never split.
+/// Assigns a job's tasks to members whose shards have room for them.
+///
+/// If all waiting tasks fit into one shard, that member gets all tasks. Shards that hold the
+/// image, or will fetch it, are preferred, so that few machines have to fetch it. Otherwise the
+/// tasks go to the shortest queues. `waiting` has the indices of the tasks for which room is
+/// needed, in ascending order; the other tasks are assigned along with them. A job that must
+/// stay `whole` is not split. `me` is preferred among equal members, and gets all tasks if there
+/// is no member.
 pub fn assign_task_ranges(
     spec: &JobSpec,
     waiting: &[u32],
@@ -153,31 +165,32 @@
     split_by_record(spec, waiting, &offers, inputs.grain.max(1))
 }
 
+/// Assigns all tasks of the job to one member.
 fn all_tasks_to(spec: &JobSpec, member: &str) -> Vec<TaskRange> {
     vec![TaskRange { member: member.to_string(), from: 0, to: spec.task_count - 1 }]
 }
 
-/// The member for a job that fits nowhere now and cannot be split: it waits where others with
-/// its image wait, unless it would have to wait for much longer there.
+/// The member for a job that fits into no shard now and is not split. It waits where the most
+/// copies of its image are or will be, unless the wait there would be much longer than elsewhere.
 fn member_to_wait_for<'a>(spec: &JobSpec, offers: &[Offer<'a>], inputs: &AssignmentInputs) -> Option<&'a str> {
-    let most = offers.iter().map(|offer| offer.fits).max()?;
+    let most_room = offers.iter().map(|offer| offer.fits).max()?;
     let queued = offers.iter().map(|offer| inputs.queued_tasks(spec, offer.member)).sum::<i64>();
     let average_queue = queued / offers.len() as i64;
-    let tolerable = offers.iter().filter(|offer| offer.fits >= most - average_queue);
+    let tolerable = offers.iter().filter(|offer| offer.fits >= most_room - average_queue);
     let best = tolerable.max_by_key(|offer| (offer.image_copies, tie_breaker(&spec.image, offer.member)))?;
     Some(best.member)
 }
 
-/// A pseudo-random order of members for an image that no shard holds. All controllers compute
-/// the same one.
+/// Orders the members pseudo-randomly for an image of which they have equally many copies. All
+/// controllers compute the same order.
 fn tie_breaker(image: &str, member: &str) -> u64 {
     let mut hasher = DefaultHasher::new();
     (image, member).hash(&mut hasher);
     hasher.finish()
 }
 
-/// Splits the waiting tasks between the members, each record's tasks in turn to the member
-/// with the most room left. A member's range extends to where the next one begins, so that
+/// Splits the waiting tasks between the members. The tasks of each record in turn go to the
+/// member with the most room left. Each range extends to the beginning of the next one, so that
 /// the ranges cover all of the job's tasks.
 fn split_by_record(spec: &JobSpec, waiting: &[u32], offers: &[Offer], tasks_per_record: u32) -> Vec<TaskRange> {
     let mut capacities_left: Vec<i64> = offers.iter().map(|offer| offer.fits).collect();
--- a/src/coordination/store_session/tests.rs
+++ b/src/coordination/store_session/tests.rs
@@ -1,11 +1,11 @@
-//! What a session knows of the freshness of its replica.
+//! Tests of what a session knows about the freshness of its replica.
 
 use super::*;
 
-/// Freshness dates from when the read was sent, not from when the watch
-/// caught up: a cancellation in between must not be counted as seen.
+/// The replica counts as current when the barrier was sent, not when the watch caught up with
+/// it: a cancellation in between may not be in the replica yet.
 #[test]
-fn freshness_dates_from_the_sending_of_the_read() {
+fn freshness_counts_from_the_sending_of_the_barrier() {
     let s = Duration::from_secs;
     let mut session = StoreSession::new(s(4), s(1), 1.0);
     session.barriers = vec![(10, s(5)), (12, s(6))];
--- a/src/coordination/token_bucket/tests.rs
+++ b/src/coordination/token_bucket/tests.rs
@@ -1,4 +1,4 @@
-//! How many reads a token bucket allows, and when.
+//! Tests of how many reads a token bucket allows, and when.
 
 use super::*;
 
@@ -6,8 +6,8 @@
     Duration::from_millis(x)
 }
 
-/// A start read the stored state at the pace of a long day, with a store that had
-/// nothing else to do: it was blind for seconds.
+/// A starting controller read the stored state at the pace of steady operation, although the
+/// store was idle, and had no replica for seconds.
 #[test]
 fn a_burst_is_allowed_at_once_and_then_the_even_pace_holds() {
     let mut bucket = TokenBucket::new(ms(100), 4.0);
@@ -19,8 +19,8 @@
         }
     }
     assert_eq!(at[..6], [0, 0, 0, 0, 100, 200]);
-    assert_eq!(at.len(), 4 + 9, "no more than the burst and the even pace together");
-    // A pause saves up the burst again, and never more.
+    assert_eq!(at.len(), 4 + 9, "the burst and the even pace together");
+    // After a pause the burst is allowed again, but not more.
     (0..4).for_each(|_| {
         assert!(bucket.may(ms(9000)));
         bucket.take(ms(9000));
