--- a/src/reconciliation/difference.rs
+++ b/src/reconciliation/difference.rs
@@ -1,8 +1,10 @@
-//! The difference between the recorded and the observed state of one task on one machine,
-//! and the one remedy that follows from it.
+//! Compares the recorded with the observed state of one attempt of a task on one machine, and
+//! derives the remedy for the difference.
 //!
-//! The table is closed: every pair of recorded and observed state has a difference. The
-//! same table is in `docs/design.md`, with the proof that each remedy depends on.
+//! The table is complete: every pair of a recorded and an observed state has a difference.
+//! `docs/design.md` has the same table, with the proof on which each remedy depends.
+
+#![warn(missing_docs)]
 
 use crate::protocol::worker::{Cause, TaskState};
 use crate::state::PlacedTasks;
@@ -10,19 +12,19 @@
 /// What the store records of an attempt on this machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RecordedState {
-    /// It is placed here and shall run.
+    /// It is placed here and should run.
     Wanted,
-    /// It is placed here but shall not run: its job was cancelled, it was preempted, or it
-    /// is proved gone and the write that records this is in flight.
+    /// It is placed here but should not run: its job was cancelled, it was preempted, or it is
+    /// proved gone and the write that records this is in flight.
     Ending,
-    /// It is not placed here: the task is elsewhere or has another attempt, or its job is
-    /// over or unknown.
+    /// It is not placed here: the task is on another machine or has another attempt, or its job
+    /// has ended or is unknown.
     Nowhere,
 }
 
 impl RecordedState {
-    /// The recorded state of an attempt, from the placements on one machine: `kept` has
-    /// all of them and `wanted` those that shall run.
+    /// The recorded state of an attempt. `kept` has all placements on the machine, and `wanted`
+    /// those that should run.
     pub fn of(wanted: &PlacedTasks, kept: &PlacedTasks, task: &(String, u32), attempt: u64) -> RecordedState {
         if wanted.get(task) == Some(&attempt) {
             RecordedState::Wanted
@@ -34,12 +36,14 @@
     }
 }
 
-/// What the newest heartbeat of the machine says about an attempt.
+/// What the machine's newest heartbeat reports about an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ObservedState {
     /// It fetches its image, waits for its gang, runs or writes a checkpoint.
     Alive,
+    /// It has exited, with the cause if the agent gave one.
     Exited(Option<Cause>),
+    /// The heartbeat does not list it.
     Absent,
 }
 
@@ -50,28 +54,29 @@
     }
 }
 
-/// How the recorded and the observed state compare.
+/// How the recorded and the observed state of an attempt differ.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Difference {
     /// It runs as recorded.
     Running,
-    /// It is recorded but not there: it was never commanded to run, the command was lost,
-    /// or the agent stopped it when its lease expired.
+    /// It should run but is not there: its `run` command was never sent or got lost, or the agent
+    /// stopped it when its lease expired.
     Missing,
-    /// It completed, perhaps while no controller was reachable: the result counts.
+    /// It completed, perhaps while the agent reached no controller. Its result is valid.
     Finished,
-    /// It ended here without a result.
+    /// It exited without completing.
     Failed,
-    /// A task of a gang stopped waiting for the others, which are still being started.
+    /// It belongs to a gang and stopped waiting for the other tasks, which are still being
+    /// started.
     GangTimeout,
-    /// It runs but shall not.
+    /// It is placed here and runs, but should not run.
     Unwanted,
-    /// It shall not run, and is not there.
+    /// It is placed here but should not run, and it is not there.
     Stopped,
-    /// It runs without a recorded placement: another attempt has it, or its job is over or
-    /// unknown.
+    /// It runs without being placed here: the task is on another machine or has another attempt,
+    /// or its job has ended or is unknown.
     Unrecorded,
-    /// It ended, and the store has recorded that.
+    /// It exited, and the store no longer places it here.
     ExitRecorded,
     /// It is neither recorded nor observed.
     Unknown,
@@ -86,7 +91,7 @@
     Run,
     /// Command the machine to stop it.
     Kill,
-    /// Record its result, which the agent keeps until then.
+    /// Record its result, which the agent keeps until it is recorded.
     StoreResult,
     /// Record that the attempt is gone from this machine.
     StoreGone,
@@ -98,13 +103,15 @@
 
 /// Compares the recorded and the observed state of an attempt.
 ///
-/// `comes` means that the other tasks of a gang are being started, so that a task that
-/// stopped waiting for them is started again rather than recorded as failed.
-pub fn compare(stored: RecordedState, shown: ObservedState, comes: bool) -> Difference {
-    match (stored, shown) {
+/// `gang_is_starting` means that the other tasks of the attempt's gang are being started. A task
+/// that stopped waiting for them is then started again instead of being recorded as failed.
+pub fn compare(recorded: RecordedState, observed: ObservedState, gang_is_starting: bool) -> Difference {
+    match (recorded, observed) {
         (RecordedState::Wanted, ObservedState::Alive) => Difference::Running,
         (RecordedState::Wanted, ObservedState::Absent) => Difference::Missing,
-        (RecordedState::Wanted, ObservedState::Exited(Some(Cause::GangIncomplete))) if comes => Difference::GangTimeout,
+        (RecordedState::Wanted, ObservedState::Exited(Some(Cause::GangIncomplete))) if gang_is_starting => {
+            Difference::GangTimeout
+        }
         (RecordedState::Wanted | RecordedState::Ending, ObservedState::Exited(Some(Cause::Done))) => {
             Difference::Finished
         }
@@ -118,21 +125,21 @@
 }
 
 impl Difference {
-    /// The remedy.
+    /// The remedy for this difference.
     ///
-    /// `confirmed` means that the agent obeys no other controller and that no earlier
-    /// message of ours can still reach it, so that its heartbeat is complete. Remedies that
-    /// cannot be reverted require it.
+    /// `confirmed` means that the agent accepts commands from no other controller and that no
+    /// earlier message of this controller can still reach it, so that its heartbeat is complete.
+    /// Remedies that cannot be undone require this.
     pub fn act(self, confirmed: bool) -> Remedy {
         match self {
             Difference::Running | Difference::Unknown => Remedy::Nothing,
-            // Safe without confirmation: this attempt may start here and nowhere else.
+            // Safe without confirmation: this attempt may start on this machine only.
             Difference::Missing => Remedy::Run,
             Difference::Unwanted | Difference::Unrecorded => Remedy::Kill,
             Difference::Finished => Remedy::StoreResult,
             Difference::Failed => Remedy::StoreGone,
-            // Otherwise a delayed `run` command could start what was forgotten or recorded
-            // as gone.
+            // Without confirmation, a delayed `run` command could start an attempt that has been
+            // forgotten or recorded as gone.
             Difference::GangTimeout if confirmed => Remedy::Restart,
             Difference::Stopped if confirmed => Remedy::StoreGone,
             Difference::ExitRecorded if confirmed => Remedy::Forget,
--- a/src/reconciliation/difference/tests.rs
+++ b/src/reconciliation/difference/tests.rs
@@ -1,4 +1,4 @@
-//! Every combination of recorded and observed state.
+//! Tests of every combination of recorded and observed state.
 
 use super::*;
 
@@ -15,56 +15,60 @@
 ];
 
 fn for_every_combination(mut check: impl FnMut(RecordedState, ObservedState, bool, bool, Difference, Remedy)) {
-    let shown = [ObservedState::Alive, ObservedState::Absent].into_iter().chain(CAUSES.map(ObservedState::Exited));
-    for shown in shown {
-        for stored in [RecordedState::Wanted, RecordedState::Ending, RecordedState::Nowhere] {
-            for comes in [false, true] {
+    let observations =
+        [ObservedState::Alive, ObservedState::Absent].into_iter().chain(CAUSES.map(ObservedState::Exited));
+    for observed in observations {
+        for recorded in [RecordedState::Wanted, RecordedState::Ending, RecordedState::Nowhere] {
+            for gang_is_starting in [false, true] {
                 for confirmed in [false, true] {
-                    let difference = compare(stored, shown, comes);
-                    check(stored, shown, comes, confirmed, difference, difference.act(confirmed));
+                    let difference = compare(recorded, observed, gang_is_starting);
+                    check(recorded, observed, gang_is_starting, confirmed, difference, difference.act(confirmed));
                 }
             }
         }
     }
 }
 
-/// Each assertion is a rule that a forbidden remedy broke, or would break.
+/// Each assertion is a rule that a wrong remedy would break, or has broken.
 #[test]
 fn no_difference_allows_a_forbidden_remedy() {
-    for_every_combination(|stored, shown, comes, confirmed, difference, act| {
-        let combination = format!("{stored:?} {shown:?} comes {comes} confirmed {confirmed}: {difference:?} {act:?}");
-        // ran_twice, ran_cancelled: only what the store wants here starts here.
-        if matches!(act, Remedy::Run | Remedy::Restart) {
-            assert_eq!(stored, RecordedState::Wanted, "{combination}");
+    for_every_combination(|recorded, observed, gang_is_starting, confirmed, difference, remedy| {
+        let combination = format!(
+            "{recorded:?} {observed:?} starting {gang_is_starting} confirmed {confirmed}: {difference:?} {remedy:?}"
+        );
+        // `ran_twice` and `ran_cancelled` of the emulator's checker: only an attempt that the store
+        // wants to run here is started here.
+        if matches!(remedy, Remedy::Run | Remedy::Restart) {
+            assert_eq!(recorded, RecordedState::Wanted, "{combination}");
         }
-        // Starting what is there already repeats without end and is refused as `in_use`.
-        assert!(act != Remedy::Run || shown == ObservedState::Absent, "{combination}");
-        // A result that is not recorded must not be forgotten, nor the task run again.
-        if act == Remedy::Forget {
+        // The agent refuses to start an attempt that is already there (`in_use`), so the command
+        // would be repeated for ever.
+        assert!(remedy != Remedy::Run || observed == ObservedState::Absent, "{combination}");
+        // A result that is not recorded must not be forgotten, and its task must not run again.
+        if remedy == Remedy::Forget {
             assert!(
-                stored == RecordedState::Nowhere && confirmed && matches!(shown, ObservedState::Exited(_)),
+                recorded == RecordedState::Nowhere && confirmed && matches!(observed, ObservedState::Exited(_)),
                 "{combination}"
             );
         }
-        let done = shown == ObservedState::Exited(Some(Cause::Done));
-        assert!(!(done && stored != RecordedState::Nowhere) || act == Remedy::StoreResult, "{combination}");
-        // What a delayed command may still start is not gone.
-        if act == Remedy::StoreGone && shown == ObservedState::Absent {
+        let done = observed == ObservedState::Exited(Some(Cause::Done));
+        assert!(!(done && recorded != RecordedState::Nowhere) || remedy == Remedy::StoreResult, "{combination}");
+        // An absent attempt that a delayed command may still start is not gone.
+        if remedy == Remedy::StoreGone && observed == ObservedState::Absent {
             assert!(confirmed, "{combination}");
         }
-        // What runs and shall run is not touched.
-        if stored == RecordedState::Wanted && shown == ObservedState::Alive {
-            assert_eq!(act, Remedy::Nothing, "{combination}");
+        // An attempt that runs and should run is left alone.
+        if recorded == RecordedState::Wanted && observed == ObservedState::Alive {
+            assert_eq!(remedy, Remedy::Nothing, "{combination}");
         }
-        // What runs and is not recorded to run is stopped.
-        if stored != RecordedState::Wanted && shown == ObservedState::Alive {
-            assert_eq!(act, Remedy::Kill, "{combination}");
+        // An attempt that runs and should not run is stopped.
+        if recorded != RecordedState::Wanted && observed == ObservedState::Alive {
+            assert_eq!(remedy, Remedy::Kill, "{combination}");
         }
     });
 }
 
-/// A machine whose tasks are as recorded gets no command, however often it sends
-/// heartbeats.
+/// A machine whose tasks are as recorded gets no commands, however many heartbeats it sends.
 #[test]
 fn only_differences_lead_to_commands() {
     assert_eq!(compare(RecordedState::Wanted, ObservedState::Alive, false).act(true), Remedy::Nothing);
--- a/src/reconciliation/phase.rs
+++ b/src/reconciliation/phase.rs
@@ -1,31 +1,33 @@
 //! The phases of a controller's startup.
 //!
-//! A heartbeat of one machine is enough to act on that machine, so commands to it wait
-//! for nothing else. Decisions that depend on the whole fleet wait here: machines are
-//! returned, moved between shards or rented for arrays, tasks are preempted and queues
-//! reassigned only once most machines have sent a heartbeat, or once the others have had
-//! enough time for it: a lease, or a round of heartbeats after which hardly any new
-//! machine appeared. Machines that hung or were partitioned before the startup delay
-//! nothing but what concerns them.
+//! Commands to a machine need only the heartbeat of that machine, so they do not wait for the
+//! startup. Decisions that depend on the whole fleet do: returning machines, moving them between
+//! shards, renting them for arrays, preempting tasks and reassigning queues. They wait until most
+//! machines have sent a heartbeat, or until the others have had enough time for one: a lease, or
+//! a round of heartbeats at whose end hardly any new machine appears. Machines that hung or were
+//! partitioned before the startup delay only decisions about themselves.
 //!
 //! Invariants:
-//! - Phases only advance, except after a pause of the process: what it heard before is
-//!   outdated then, and it gathers heartbeats again.
-//! - Time counts only while the replica is fresh: an outage of the store during startup
+//! - Phases only advance, except after a pause of the process: earlier heartbeats are then
+//!   outdated, and the controller gathers them again.
+//! - Time counts only while the replica is fresh, so an outage of the store during the startup
 //!   does not use up the time that machines have for their heartbeats.
 //! - A controller that starts with an empty fleet waits for nothing.
 
+#![warn(missing_docs)]
+
 use super::difference::Difference;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The part of the fleet that has to be heard before the silence of the rest counts.
-const MOST_OF_FLEET: f64 = 0.9;
-/// The fleet is still arriving if more than this part of it is heard for the first time
+/// The fraction of the fleet that must have sent heartbeats before the silence of the rest is
+/// significant.
+const REQUIRED_FLEET_FRACTION: f64 = 0.9;
+/// The fleet is still arriving if more than this fraction of it is heard for the first time
 /// within a quarter of a round.
-const STILL_ARRIVING: f64 = 0.01;
-/// Controllers that are absent get this part of an agent's lease before their machines
-/// are reassigned: a shard whose owner returns needs no reassignment.
+const ARRIVING_FLEET_FRACTION: f64 = 0.01;
+/// Absent controllers have this many leases of an agent to return before their machines are
+/// reassigned, because a shard whose owner returns needs no reassignment.
 const MEMBERS_WAIT_LEASES: f64 = 1.0 / 6.0;
 
 /// A phase of the startup, in the order in which they follow each other.
@@ -33,38 +35,42 @@
 pub enum Phase {
     /// The store is being read.
     Loading,
-    /// Controllers return and machines send their first heartbeats: nothing is decided that
-    /// depends on the whole fleet.
+    /// Controllers return and machines send their first heartbeats. Decisions that depend on the
+    /// whole fleet wait.
     Gathering,
-    /// Most of the fleet is known, but not all machines of this shard.
+    /// Most of the fleet is known, but not yet all machines of this shard.
     Reconciling,
     /// The startup is complete.
     Settled,
 }
 
-/// How many of the expected machines or controllers have been heard since the startup.
+/// How many of the expected machines or controllers have been heard from since the process
+/// started.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Heard {
+    /// The number of those that have been heard from.
     pub heard: usize,
+    /// The number of those that are expected.
     pub all: usize,
 }
 
 impl Heard {
+    /// Whether enough of them have been heard from for the silence of the rest to be significant.
     fn most(self) -> bool {
-        self.heard as f64 >= self.all as f64 * MOST_OF_FLEET
+        self.heard as f64 >= self.all as f64 * REQUIRED_FLEET_FRACTION
     }
 }
 
 /// What a controller observes during its startup.
 #[derive(Debug, Clone, Copy)]
 pub struct Facts {
-    /// The replica is no older than a heartbeat interval.
+    /// Whether the replica is no older than a heartbeat interval.
     pub fresh: bool,
-    /// Live controllers, of those configured.
+    /// The live ones of the configured controllers.
     pub members: Heard,
-    /// Machines of this controller's shard.
+    /// The machines of this controller's shard.
     pub shard: Heard,
-    /// Machines of all shards.
+    /// The machines of all shards.
     pub fleet: Heard,
 }
 
@@ -74,23 +80,26 @@
     phase: Phase,
     /// An agent that gets no response for this long stops all its tasks.
     lease: Duration,
-    /// An agent that is alive and reaches a responsive controller sends a heartbeat within
-    /// this time.
+    /// Every live agent that can reach a responsive controller sends a heartbeat within this
+    /// time.
     round: Duration,
+    /// When `look` was last called, or the startup was last reset.
     updated_at: Duration,
     last_growth: FleetGrowth,
-    /// Time with a fresh replica since the store was read.
+    /// The time that passed with a fresh replica since the store was read.
     elapsed: Duration,
+    /// Whether all controllers are live, or the absent ones have had time to return.
     members_known: bool,
-    /// The number of differences found with the first heartbeats of machines.
+    /// The number of differences of each kind that the first heartbeats of machines showed.
     pub cases: BTreeMap<Difference, u32>,
 }
 
-/// The last time the number of heard machines rose considerably.
+/// When the number of machines that have been heard from last rose considerably.
 #[derive(Debug, Default)]
 struct FleetGrowth {
+    /// The number after it rose.
     heard: usize,
-    /// The elapsed time at which it rose.
+    /// The value of `elapsed` when it rose.
     at: Duration,
 }
 
@@ -109,11 +118,12 @@
         }
     }
 
+    /// The present phase.
     pub fn phase(&self) -> Phase {
         self.phase
     }
 
-    /// The store has been read. Reading it again later does not restart the startup.
+    /// Records that the store has been read. Reading it again later does not restart the startup.
     pub fn loaded(&mut self, now: Duration) {
         if self.phase == Phase::Loading {
             self.phase = Phase::Gathering;
@@ -121,7 +131,7 @@
         }
     }
 
-    /// The process was suspended for so long that earlier heartbeats are outdated.
+    /// Records that the process was suspended for so long that earlier heartbeats are outdated.
     pub fn paused(&mut self, now: Duration) {
         if self.phase > Phase::Gathering {
             self.phase = Phase::Gathering;
@@ -132,15 +142,15 @@
         }
     }
 
-    /// Whether hardly any machine has been heard for the first time recently.
+    /// Whether hardly any new machine has been heard from recently.
     fn has_stopped_growing(&mut self, fleet: Heard) -> bool {
-        if fleet.heard as f64 > self.last_growth.heard as f64 + fleet.all as f64 * STILL_ARRIVING {
+        if fleet.heard as f64 > self.last_growth.heard as f64 + fleet.all as f64 * ARRIVING_FLEET_FRACTION {
             self.last_growth = FleetGrowth { heard: fleet.heard, at: self.elapsed };
         }
         self.elapsed.saturating_sub(self.last_growth.at) >= self.round / 4
     }
 
-    /// Evaluates the observations; returns the phase if it has changed.
+    /// Evaluates the observations at this time. Returns the phase if it has changed.
     pub fn look(&mut self, now: Duration, observed: &Facts) -> Option<Phase> {
         let since_update = now.saturating_sub(self.updated_at);
         self.updated_at = now;
@@ -166,20 +176,19 @@
         (self.phase != previous).then_some(self.phase)
     }
 
-    /// Whether controllers that are absent count as failed, so that their machines and
-    /// queues are reassigned.
+    /// Whether absent controllers count as failed, so that their machines and queues are
+    /// reassigned.
     pub fn members_known(&self) -> bool {
         self.members_known || self.phase == Phase::Settled
     }
 
-    /// Whether every live agent has had time to send a heartbeat: the lease of one that was
-    /// not heard has expired, or it is partitioned, or never started.
+    /// Whether every live agent has had time to send a heartbeat. An agent that has not been
+    /// heard from has lost its lease, is partitioned, or never started.
     pub fn all_came(&self) -> bool {
         self.elapsed >= self.lease
     }
 
-    /// Whether decisions may depend on the silence of a machine or on the capacity of the
-    /// fleet.
+    /// Whether decisions may depend on the silence of a machine or on the capacity of the fleet.
     pub fn fleet_known(&self) -> bool {
         self.phase >= Phase::Reconciling
     }
--- a/src/reconciliation/phase/tests.rs
+++ b/src/reconciliation/phase/tests.rs
@@ -1,4 +1,4 @@
-//! Startups with absent controllers, silent machines, outages and pauses.
+//! Tests of startups with absent controllers, silent machines, outages and pauses.
 
 use super::*;
 
@@ -15,10 +15,10 @@
     Facts { fresh: true, members: heard(members.0, members.1), shard, fleet: heard(fleet.0, fleet.1) }
 }
 
-/// The leader returned idle machines that had not had the time for a heartbeat, and
-/// assigned every machine to itself before the other controllers were back.
+/// A leader that had just started returned machines that had not had time to send a heartbeat,
+/// and assigned all machines to itself before the other controllers were back.
 #[test]
-fn silence_counts_only_after_most_machines_were_heard() {
+fn silence_is_significant_only_after_most_machines_were_heard_from() {
     let mut start = Start::new(s(18.0), s(9.0));
     start.loaded(s(1.0));
     assert_eq!(start.look(s(1.1), &facts((1, 3), (0, 900))), None);
@@ -30,7 +30,7 @@
     assert_eq!(start.look(s(4.0), &facts((3, 3), (900, 900))), Some(Phase::Settled));
 }
 
-/// One controller never returns, and a tenth of the machines has failed.
+/// One controller never returns, and more than a fifth of the machines stay silent.
 #[test]
 fn absent_controllers_and_machines_are_not_awaited_for_ever() {
     let mut start = Start::new(s(18.0), s(9.0));
@@ -42,8 +42,8 @@
     assert_eq!(start.look(s(18.0), &facts((2, 3), (700, 900))), Some(Phase::Settled));
 }
 
-/// A fifth of the fleet hung when all controllers restarted: for a whole lease no machine
-/// was rented for arrays and no queue reassigned.
+/// A fifth of the fleet hung when all controllers restarted. For a whole lease no machines were
+/// rented for arrays and no queues were reassigned.
 #[test]
 fn machines_that_failed_before_the_startup_delay_nothing_else() {
     let mut start = Start::new(s(36.0), s(15.5));
@@ -54,8 +54,8 @@
     assert!(!start.all_came(), "no machine counts as never started");
 }
 
-/// Agents that do not reach their controller try the others one after the other: the
-/// fleet arrives late, but it arrives.
+/// Agents that cannot reach their controller try the others one after another, so the fleet
+/// arrives late.
 #[test]
 fn a_fleet_that_is_still_arriving_is_awaited() {
     let mut start = Start::new(s(36.0), s(15.5));
@@ -67,19 +67,19 @@
     assert_eq!(start.look(s(34.0), &facts((7, 7), (730, 1000))), Some(Phase::Settled));
 }
 
-/// The store fails while machines send heartbeats: none can be answered, so the silence
-/// of a machine means nothing.
+/// The store fails while machines send heartbeats. They cannot be answered, so the silence of a
+/// machine is not significant.
 #[test]
 fn time_does_not_count_during_a_store_outage() {
     let mut start = Start::new(s(18.0), s(9.0));
     start.loaded(s(0.0));
-    let away = Facts { fresh: false, ..facts((3, 3), (100, 900)) };
-    (1..60).for_each(|t| assert_eq!(start.look(s(f64::from(t)), &away), None));
+    let outage = Facts { fresh: false, ..facts((3, 3), (100, 900)) };
+    (1..60).for_each(|t| assert_eq!(start.look(s(f64::from(t)), &outage), None));
     assert_eq!(start.look(s(60.5), &facts((3, 3), (100, 900))), None);
     assert!(!start.fleet_known());
 }
 
-/// A cluster that begins without machines rents them at once.
+/// A cluster without machines must be able to rent some at once.
 #[test]
 fn an_empty_fleet_is_settled_at_once() {
     let mut start = Start::new(s(36.0), s(15.0));
@@ -87,7 +87,7 @@
     assert_eq!(start.look(s(0.3), &facts((7, 7), (0, 0))), Some(Phase::Settled));
 }
 
-/// Heartbeats from before a long pause of the process do not count after it.
+/// Heartbeats from before a long pause of the process are outdated after it.
 #[test]
 fn a_suspended_process_gathers_heartbeats_again() {
     let mut start = Start::new(s(18.0), s(9.0));
--- a/src/requests/mod.rs
+++ b/src/requests/mod.rs
@@ -1,9 +1,11 @@
-//! Users' requests: what was asked about a job, what each request waits for and how it is
+//! Users' requests about jobs: what each request asks for, what it waits for and how it is
 //! answered.
 //!
-//! Pure logic: what the replica knows of a job and how our own writes end are inputs,
-//! answers are outputs. Connections are known by number only, and time only by the
-//! deadline of each request.
+//! This is pure logic: the replica's knowledge of a job and the outcomes of this controller's
+//! writes are inputs; answers are outputs. Connections are identified by number, and the only
+//! notion of time is the deadline of each request.
+
+#![warn(missing_docs)]
 
 mod open_requests;
 mod transitions;
--- a/src/requests/open_requests.rs
+++ b/src/requests/open_requests.rs
@@ -1,17 +1,22 @@
 //! The requests that have not been answered yet.
 
-use super::transitions::{Answer, Event, KnownStatus, Next, RequestKind, Stage, WriteOutcome, step};
+#![warn(missing_docs)]
+
+use super::transitions::{Answer, Event, KnownStatus, RequestKind, Stage, Transition, WriteOutcome, transition};
 use crate::effects::{ConnId, Instant};
 use std::collections::BTreeSet;
 
-/// A request of a user about a job.
+/// A user's request about a job.
 #[derive(Debug)]
 pub struct Request {
+    /// The connection on which the request is answered.
     pub conn: ConnId,
+    /// The identifier of the job.
     pub uid: String,
+    /// What the request asks for.
     pub asked: RequestKind,
     stage: Stage,
-    until: Instant,
+    deadline: Instant,
 }
 
 /// The requests that have not been answered yet, in the order of their arrival.
@@ -21,9 +26,9 @@
 }
 
 impl Requests {
-    /// Adds a request, to be answered by `until` at the latest.
-    pub fn came(&mut self, conn: ConnId, uid: &str, asked: RequestKind, stage: Stage, until: Instant) {
-        self.open.push(Request { conn, uid: uid.to_string(), asked, stage, until });
+    /// Adds a request that has arrived and must be answered by `deadline` at the latest.
+    pub fn came(&mut self, conn: ConnId, uid: &str, asked: RequestKind, stage: Stage, deadline: Instant) {
+        self.open.push(Request { conn, uid: uid.to_string(), asked, stage, deadline });
     }
 
     /// Whether any request waits for a read to be sent.
@@ -31,36 +36,36 @@
         self.open.iter().any(|request| request.stage == Stage::Queued)
     }
 
-    /// Jobs that are to be cancelled by our own writes.
+    /// The jobs for which a cancellation waits for this controller's write.
     pub fn cancelling(&self) -> BTreeSet<String> {
         let is_writing =
             |request: &&Request| request.asked == RequestKind::Cancelled && request.stage == Stage::Writing;
         self.open.iter().filter(is_writing).map(|request| request.uid.clone()).collect()
     }
 
-    /// Applies an event to all requests. Those that are answered by it are removed and
-    /// returned with their answer.
+    /// Applies an event to all requests. Those that it answers are removed and returned with
+    /// their answers. `known` returns what the replica knows of a job.
     pub fn event(&mut self, event: Event, known: impl Fn(&str) -> KnownStatus) -> Vec<(Request, Answer)> {
         self.event_for(|_| true, event, known)
     }
 
-    /// Applies the outcome of our write for the requests that asked this about the job.
+    /// Applies the outcome of this controller's write to all requests of this kind for the job.
     pub fn written(
         &mut self,
         uid: &str,
         asked: RequestKind,
-        how: WriteOutcome,
+        outcome: WriteOutcome,
         known: impl Fn(&str) -> KnownStatus,
     ) -> Vec<(Request, Answer)> {
-        self.event_for(|request| request.uid == uid && request.asked == asked, Event::WriteOutcome(how), known)
+        self.event_for(|request| request.uid == uid && request.asked == asked, Event::WriteOutcome(outcome), known)
     }
 
     /// Answers the requests whose deadline has passed.
     pub fn due(&mut self, now: Instant, known: impl Fn(&str) -> KnownStatus) -> Vec<(Request, Answer)> {
-        self.event_for(|request| request.until <= now, Event::Due, known)
+        self.event_for(|request| request.deadline <= now, Event::Due, known)
     }
 
-    /// Applies an event to the requests that it concerns; the others are left as they are.
+    /// Applies an event to the requests that it concerns, and leaves the others unchanged.
     fn event_for(
         &mut self,
         concerns: impl Fn(&Request) -> bool,
@@ -73,9 +78,9 @@
                 self.open.push(request);
                 continue;
             }
-            match step(request.asked, request.stage, event, known(&request.uid)) {
-                Next::Answer(answer) => answered.push((request, answer)),
-                Next::Stage(stage) => {
+            match transition(request.asked, request.stage, event, known(&request.uid)) {
+                Transition::Answer(answer) => answered.push((request, answer)),
+                Transition::Stage(stage) => {
                     request.stage = stage;
                     self.open.push(request);
                 }
--- a/src/requests/transitions.rs
+++ b/src/requests/transitions.rs
@@ -1,70 +1,80 @@
-//! The state machine of a request, as a closed table: every event leads from the current
-//! stage to another stage or to an answer.
+//! The state machine of a request, as a complete table: every event leads from the current stage
+//! to a stage or to an answer.
 //!
-//! Invariants, asserted by a test of every combination:
-//! - The final status of a job is answered as soon as it is known. Anything else is
-//!   answered only after a read that was sent after the request arrived, or because of our
+//! Invariants, which a test asserts for every combination:
+//! - The final status of a job is answered as soon as it is known. Any other status is answered
+//!   only after a read that was sent after the request arrived, or because of this controller's
 //!   own write for that request.
 //! - That a job is unknown is answered only after such a read.
 //! - A request that is not answered by its deadline is answered with a retry time.
 
-/// What a user asked about a job.
+#![warn(missing_docs)]
+
+/// What a user's request about a job asks for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestKind {
-    /// To run it.
+    /// To run the job.
     Submitted,
-    /// To run it, although it can never run: refused, unless it was accepted before.
+    /// To run a job that can never run. It is refused unless it was accepted before.
     Impossible,
-    /// Its status.
+    /// The status of the job.
     State,
-    /// To cancel it.
+    /// To cancel the job.
     Cancelled,
 }
 
 /// What a request waits for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Stage {
-    /// The next read to be sent.
+    /// It waits for the next read to be sent.
     Queued,
-    /// The response of a read that was sent after the request arrived.
+    /// It waits for the response to a read that was sent after the request arrived.
     Reading,
-    /// The replica to apply all changes up to this revision.
+    /// It waits until the replica has applied all changes up to this revision.
     AwaitingRevision(u64),
-    /// Our own write for the request, whose outcome decides the answer.
+    /// It waits for this controller's own write for the request, whose outcome decides the
+    /// answer.
     Writing,
 }
 
 /// What the replica knows of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum KnownStatus {
+    /// The replica does not have the job.
     Nothing,
+    /// The job waits to be started.
     Queued,
+    /// The job runs.
     Running,
-    /// Done or cancelled, which is final.
+    /// The job is done or cancelled, which is final.
     Over,
 }
 
 /// The outcome of a write for a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WriteOutcome {
+    /// The write was carried out.
     Done,
-    /// The compare-and-swap failed: the record had changed.
+    /// The write was not carried out because the record had changed.
     Void,
-    /// Refused by a rate limit.
+    /// The write was refused because of a rate limit.
     Limited,
-    /// Not executed, or the outcome is unknown.
+    /// The write was not carried out for another reason, or its outcome is unknown.
     Failed,
 }
 
 /// What can happen while a request waits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Event {
+    /// A read was sent.
     ReadSent,
     /// A read returned the store's revision.
     Read(u64),
+    /// A read failed.
     ReadFailed,
     /// The replica has applied all changes up to this revision.
     ClusterState(u64),
+    /// This controller's write for the request has ended.
     WriteOutcome(WriteOutcome),
     /// The request's deadline has passed.
     Due,
@@ -73,76 +83,81 @@
 /// How a request is answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Answer {
-    /// 201: accepted by our write.
+    /// 201: the job was accepted by this controller's write.
     Accepted,
-    /// 200 with the status that the replica has.
+    /// 200, with the status that the replica has.
     Tell,
-    /// 404.
+    /// 404: there is no such job.
     Unknown,
-    /// 422.
+    /// 422: the job can never run.
     NeverRuns,
-    /// 429, with a retry time according to the write rate.
+    /// 429, with a retry time that follows from the rate of writes.
     Limited,
-    /// 503: retry later.
+    /// 503: the client should retry later.
     Later,
 }
 
-/// The result of an event.
+/// The result of an event for a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Next {
+pub(super) enum Transition {
+    /// The request waits at this stage.
     Stage(Stage),
+    /// The request is answered.
     Answer(Answer),
 }
 
-/// The table: the result of `event` for a request at `stage`, where the replica knows
-/// `known` of its job.
-pub(super) fn step(asked: RequestKind, stage: Stage, event: Event, known: KnownStatus) -> Next {
+/// The transition table: the result of `event` for a request at `stage`, if the replica has
+/// `known` as the status of its job.
+pub(super) fn transition(asked: RequestKind, stage: Stage, event: Event, known: KnownStatus) -> Transition {
     if known == KnownStatus::Over {
-        return Next::Answer(Answer::Tell);
+        return Transition::Answer(Answer::Tell);
     }
     match (stage, event) {
-        (_, Event::Due) => Next::Answer(Answer::Later),
-        (Stage::Queued, Event::ReadSent) => Next::Stage(Stage::Reading),
-        (Stage::Reading, Event::Read(revision)) => Next::Stage(Stage::AwaitingRevision(revision)),
-        (Stage::Reading, Event::ReadFailed) => Next::Answer(Answer::Later),
+        (_, Event::Due) => Transition::Answer(Answer::Later),
+        (Stage::Queued, Event::ReadSent) => Transition::Stage(Stage::Reading),
+        (Stage::Reading, Event::Read(revision)) => Transition::Stage(Stage::AwaitingRevision(revision)),
+        (Stage::Reading, Event::ReadFailed) => Transition::Answer(Answer::Later),
         (Stage::AwaitingRevision(needed), Event::ClusterState(applied)) if applied >= needed => {
             after_read(asked, known)
         }
         (Stage::Writing, Event::WriteOutcome(outcome)) => after_write(asked, outcome, known),
-        // The replica was read again, and may not have the job that is to be cancelled yet.
+        // The replica is being read again and may not have the job that is to be cancelled yet.
         (Stage::Writing, Event::ClusterState(_))
             if asked == RequestKind::Cancelled && known == KnownStatus::Nothing =>
         {
-            Next::Stage(Stage::Queued)
+            Transition::Stage(Stage::Queued)
         }
-        _ => Next::Stage(stage),
+        _ => Transition::Stage(stage),
     }
 }
 
-/// The result once the replica has everything that a read after the request's arrival
-/// could show.
-fn after_read(asked: RequestKind, known: KnownStatus) -> Next {
+/// The result once the replica has every change that a read after the request's arrival could
+/// show.
+fn after_read(asked: RequestKind, known: KnownStatus) -> Transition {
     match (asked, known) {
-        (RequestKind::Cancelled, KnownStatus::Queued | KnownStatus::Running) => Next::Stage(Stage::Writing),
-        (_, KnownStatus::Queued | KnownStatus::Running | KnownStatus::Over) => Next::Answer(Answer::Tell),
-        // Not accepted at the time of the read; a submission in flight may still be.
-        (RequestKind::Submitted, KnownStatus::Nothing) => Next::Answer(Answer::Later),
-        (RequestKind::Impossible, KnownStatus::Nothing) => Next::Answer(Answer::NeverRuns),
-        (RequestKind::State | RequestKind::Cancelled, KnownStatus::Nothing) => Next::Answer(Answer::Unknown),
+        (RequestKind::Cancelled, KnownStatus::Queued | KnownStatus::Running) => Transition::Stage(Stage::Writing),
+        (_, KnownStatus::Queued | KnownStatus::Running | KnownStatus::Over) => Transition::Answer(Answer::Tell),
+        // The job was not accepted by the time of the read, but a submission in flight may still
+        // be.
+        (RequestKind::Submitted, KnownStatus::Nothing) => Transition::Answer(Answer::Later),
+        (RequestKind::Impossible, KnownStatus::Nothing) => Transition::Answer(Answer::NeverRuns),
+        (RequestKind::State | RequestKind::Cancelled, KnownStatus::Nothing) => Transition::Answer(Answer::Unknown),
     }
 }
 
-/// The result once our write for the request has ended.
-fn after_write(asked: RequestKind, outcome: WriteOutcome, known: KnownStatus) -> Next {
+/// The result once this controller's write for the request has ended.
+fn after_write(asked: RequestKind, outcome: WriteOutcome, known: KnownStatus) -> Transition {
     match (outcome, asked) {
-        // The watch may have shown by now that the job runs already.
-        (WriteOutcome::Done, RequestKind::Submitted) if known != KnownStatus::Running => Next::Answer(Answer::Accepted),
-        (WriteOutcome::Done, _) => Next::Answer(Answer::Tell),
-        // The job was accepted before. The replica may know that change alone, while other
-        // controllers have answered with later ones: a read decides.
-        (WriteOutcome::Void, RequestKind::Submitted) => Next::Stage(Stage::Queued),
-        // The record has changed; the user retries and meets the new one.
-        (WriteOutcome::Void | WriteOutcome::Failed, _) => Next::Answer(Answer::Later),
-        (WriteOutcome::Limited, _) => Next::Answer(Answer::Limited),
+        // The watch may have shown meanwhile that the job is already running.
+        (WriteOutcome::Done, RequestKind::Submitted) if known != KnownStatus::Running => {
+            Transition::Answer(Answer::Accepted)
+        }
+        (WriteOutcome::Done, _) => Transition::Answer(Answer::Tell),
+        // The job was accepted before. The replica may have only that change, while other
+        // controllers have already answered with later ones, so a read decides.
+        (WriteOutcome::Void, RequestKind::Submitted) => Transition::Stage(Stage::Queued),
+        // The record has changed, so the client's retry finds the new one.
+        (WriteOutcome::Void | WriteOutcome::Failed, _) => Transition::Answer(Answer::Later),
+        (WriteOutcome::Limited, _) => Transition::Answer(Answer::Limited),
     }
 }
