--- a/src/retry/tests.rs
+++ b/src/retry/tests.rs
@@ -1,4 +1,4 @@
-//! When failed calls are retried, and when clients are told to come back.
+//! Tests of when failed calls are retried, and of when clients are told to retry.
 
 use super::*;
 
@@ -11,7 +11,7 @@
     RetryPolicy::new(seed, all.map(|p| (p, s(1.0))))
 }
 
-/// Seven controllers that an outage hit together wrote together again.
+/// After an outage, seven controllers retried their writes at the same time.
 #[test]
 fn pauses_grow_and_differ_between_controllers() {
     let pause = |seed, failures| {
@@ -25,7 +25,7 @@
     assert!((0..200).any(|n| pause(n, 9) > 2.0) && (0..200).all(|n| pause(n, 99) <= 4.5));
 }
 
-/// An outage: one probe at a time, and no wait once it is over.
+/// During an outage only probes are sent, and calls need not wait once it is over.
 #[test]
 fn an_open_breaker_admits_probes_and_closes_with_the_first_answer() {
     let mut retries = policy(1);
@@ -33,25 +33,30 @@
         retries.ended(Purpose::Write, Outcome::Failed, s(0.0));
     }
     assert!(retries.is_open(Side::Store) && !retries.is_open(Side::Cloud));
-    assert!(!retries.may(Purpose::Write, s(60.0)), "a write is no probe");
+    assert!(!retries.may(Purpose::Write, s(60.0)), "a write is not a probe");
     assert!(retries.may(Purpose::Barrier, s(0.0)) && retries.may(Purpose::Lease, s(0.0)));
     retries.ended(Purpose::Barrier, Outcome::Failed, s(0.0));
     assert!(!retries.may(Purpose::Barrier, s(0.4)) && retries.may(Purpose::Barrier, s(1.5)));
     retries.ended(Purpose::Barrier, Outcome::Answered, s(0.1));
-    assert!(!retries.is_open(Side::Store) && retries.may(Purpose::Write, s(0.1)), "waits on though it answers");
+    assert!(
+        !retries.is_open(Side::Store) && retries.may(Purpose::Write, s(0.1)),
+        "the write still waits although the service answers"
+    );
 }
 
-/// After a start a thousand users came back after one second, all of them.
+/// After a start of the controllers, a thousand clients were told to retry after one second, and
+/// all came at the same time.
 #[test]
-fn a_crowd_gets_spread_retry_after_times() {
+fn many_clients_get_spread_retry_times() {
     let mut retries = RetryAfter::default();
     let delays_s: Vec<u32> = (0..4000).map(|_| retries.after(s(5.0), 50.0)).collect();
     assert_eq!((delays_s[0], delays_s[198], delays_s[2000]), (1, 1, 11));
     assert!(delays_s.windows(2).all(|w| w[0] <= w[1]) && delays_s.iter().max() <= Some(&30));
-    assert_eq!(retries.after(s(60.0), 50.0), 1, "the crowd is gone");
+    assert_eq!(retries.after(s(60.0), 50.0), 1, "no other clients are waiting");
 }
 
-/// A quarter of all writes got no answer: all others would have waited most of the time.
+/// When a quarter of all writes got no answer, the pauses after them would have delayed the
+/// other writes most of the time.
 #[test]
 fn a_single_failed_write_delays_no_other_write() {
     let mut retries = policy(1);
@@ -62,10 +67,10 @@
     }
     retries.ended(Purpose::Write, Outcome::Failed, s(30.0));
     retries.ended(Purpose::Write, Outcome::Failed, s(30.0));
-    assert!(!retries.may(Purpose::Write, s(30.1)), "two in a row are no chance");
+    assert!(!retries.may(Purpose::Write, s(30.1)), "two consecutive failures are not taken for chance");
 }
 
-/// Writes over the limit are no outage: reads and renewals go on.
+/// Writes over the rate limit are not an outage, so reads and renewals continue.
 #[test]
 fn rate_limits_and_refusals_do_not_open_the_breaker() {
     let mut retries = policy(1);
