--- a/src/coordination/machine/commands.rs
+++ b/src/coordination/machine/commands.rs
@@ -53,7 +53,7 @@
             let recorded = RecordedState::of(wanted, kept, &key, observed.attempt);
             // If a gang's task stopped waiting and is still wanted, its gang is being started.
             let difference = compare(recorded, ObservedState::of(observed.state, observed.cause), true);
-            self.add_commands(&mut commands, observed, difference.act(confirmed));
+            self.add_commands(&mut commands, observed, difference.remedy(confirmed));
         }
         for ((job, index), attempt) in wanted {
             if self.find(job, *index, *attempt).is_none() {
--- a/src/reconciliation/difference.rs
+++ b/src/reconciliation/difference.rs
@@ -130,7 +130,7 @@
     /// `confirmed` means that the agent accepts commands from no other controller and that no
     /// earlier message of this controller can still reach it, so that its heartbeat is complete.
     /// Remedies that cannot be undone require this.
-    pub fn act(self, confirmed: bool) -> Remedy {
+    pub fn remedy(self, confirmed: bool) -> Remedy {
         match self {
             Difference::Running | Difference::Unknown => Remedy::Nothing,
             // Safe without confirmation: this attempt may start on this machine only.
--- a/src/reconciliation/difference/tests.rs
+++ b/src/reconciliation/difference/tests.rs
@@ -22,7 +22,7 @@
             for gang_is_starting in [false, true] {
                 for confirmed in [false, true] {
                     let difference = compare(recorded, observed, gang_is_starting);
-                    check(recorded, observed, gang_is_starting, confirmed, difference, difference.act(confirmed));
+                    check(recorded, observed, gang_is_starting, confirmed, difference, difference.remedy(confirmed));
                 }
             }
         }
@@ -71,18 +71,18 @@
 /// A machine whose tasks are as recorded gets no commands, however many heartbeats it sends.
 #[test]
 fn only_differences_lead_to_commands() {
-    assert_eq!(compare(RecordedState::Wanted, ObservedState::Alive, false).act(true), Remedy::Nothing);
-    assert_eq!(compare(RecordedState::Nowhere, ObservedState::Absent, false).act(true), Remedy::Nothing);
+    assert_eq!(compare(RecordedState::Wanted, ObservedState::Alive, false).remedy(true), Remedy::Nothing);
+    assert_eq!(compare(RecordedState::Nowhere, ObservedState::Absent, false).remedy(true), Remedy::Nothing);
     assert_eq!(
-        compare(RecordedState::Wanted, ObservedState::Exited(Some(Cause::GangIncomplete)), true).act(true),
+        compare(RecordedState::Wanted, ObservedState::Exited(Some(Cause::GangIncomplete)), true).remedy(true),
         Remedy::Restart
     );
     assert_eq!(
-        compare(RecordedState::Wanted, ObservedState::Exited(Some(Cause::GangIncomplete)), true).act(false),
+        compare(RecordedState::Wanted, ObservedState::Exited(Some(Cause::GangIncomplete)), true).remedy(false),
         Remedy::Nothing
     );
     assert_eq!(
-        compare(RecordedState::Wanted, ObservedState::Exited(Some(Cause::GangIncomplete)), false).act(true),
+        compare(RecordedState::Wanted, ObservedState::Exited(Some(Cause::GangIncomplete)), false).remedy(true),
         Remedy::StoreGone
     );
 }
