--- a/src/controller/api.rs
+++ b/src/controller/api.rs
@@ -1,4 +1,5 @@
-//! Requests of users: submissions, queries, cancellations, health.
+//! The HTTP interface: submissions, status queries and cancellations of users, health checks
+//! of the load balancer, and the dispatch of workers' heartbeats.
 
 use super::transactions::Ended;
 use super::*;
@@ -10,39 +11,41 @@
 use crate::requests::{Answer, Event, KnownStatus, Request, RequestKind, Stage, WriteOutcome};
 use crate::retry::Side;
 
-/// Requests of users that are under way, and what clients are told to do.
+/// The open requests of users, and the retry times that refused clients are given.
 #[derive(Debug, Default)]
 pub(super) struct Api {
-    /// Requests that were not answered yet.
+    /// Requests that have not been answered yet.
     requests: Requests,
-    /// Spreads the times at which refused clients come back.
+    /// Spreads the times at which refused clients retry.
     retry_after: RetryAfter,
-    /// The last answer to a health check.
+    /// The result of the last health check.
     was_healthy: Option<bool>,
 }
 
 impl Api {
-    /// Whether requests wait for a fresh read of the store.
+    /// Whether requests wait for a read of the store to be sent.
     pub(super) fn awaits_read(&self) -> bool {
         self.requests.queued()
     }
 }
 
-/// Seconds after which a client is told to come back.
-const COME_BACK: u32 = 1;
-/// Users wait so long for an answer about a job (PROTOCOL). What cannot be given in
-/// this part of it is refused, so that they ask again rather than in vain.
-const USERS_WAIT_S: f64 = 2.0;
-const ANSWERED_WITHIN: f64 = 0.75;
+/// Seconds after which a client may retry, unless the answer depends on the write rate.
+const RETRY_AFTER_S: u32 = 1;
+/// The time that users wait for an answer about a job (PROTOCOL).
+const USER_TIMEOUT_S: f64 = 2.0;
+/// The part of [`USER_TIMEOUT_S`] after which an open request is refused, so that users
+/// repeat it instead of waiting in vain.
+const DEADLINE_FRACTION: f64 = 0.75;
 
 impl Controller {
-    pub(super) fn request(&mut self, conn: ConnId, method: &str, path: &str, body: &[u8]) {
+    /// Handles a request of a user, a worker or the load balancer.
+    pub(super) fn handle_request(&mut self, conn: ConnId, method: &str, path: &str, body: &[u8]) {
         match route(method, path.split('?').next().unwrap_or("")) {
             Route::Health => {
                 let ok = self.healthy();
                 if self.api.was_healthy.replace(ok) != Some(ok) {
                     let stale_ms = self.store.session.staleness(self.now).map(|s| s.as_millis() as u64);
-                    tracing::info!(ok, loaded = self.store.session.following(), stale_ms, "health as users see it");
+                    tracing::info!(ok, loaded = self.store.session.following(), stale_ms, "health status changed");
                 }
                 self.respond(conn, if ok { 200 } else { 503 }, Vec::new());
             }
@@ -50,7 +53,7 @@
             Route::Poll(uid) => self.poll(conn, uid),
             Route::Cancel(uid) => self.cancel(conn, uid),
             Route::Heartbeat => match decode::<Heartbeat>(body) {
-                Ok(report) => self.receive_heartbeat(conn, report),
+                Ok(heartbeat) => self.receive_heartbeat(conn, heartbeat),
                 Err(_) => self.refuse(conn, 400, "not a report"),
             },
             Route::WrongMethod => self.refuse(conn, 405, "wrong method"),
@@ -58,14 +61,16 @@
         }
     }
 
+    /// Responds to a request; statuses 429 and 503 come with the default retry time.
     pub(super) fn respond(&mut self, conn: ConnId, status: u16, body: Vec<u8>) {
-        let retry_after = matches!(status, 429 | 503).then_some(COME_BACK);
+        let retry_after = matches!(status, 429 | 503).then_some(RETRY_AFTER_S);
         self.outbox.push(Action::Respond { conn, status, body, retry_after });
     }
 
-    /// Refuses a change that may not be written now: the store is away, or writes are
-    /// wanting, and then with a place in what can be written.
-    fn not_now(&mut self, conn: ConnId, error: &str) {
+    /// Refuses a change that may not be written now. While the store is unavailable the status
+    /// is 503; otherwise the write rate is exhausted, and the retry time is when the rate
+    /// allows this write.
+    fn refuse_write(&mut self, conn: ConnId, error: &str) {
         if self.retry.is_open(Side::Store) {
             return self.refuse(conn, 503, "the state service does not answer");
         }
@@ -74,30 +79,32 @@
         self.outbox.push(Action::Respond { conn, status: 429, body, retry_after });
     }
 
+    /// Responds with an error message.
     pub(super) fn refuse(&mut self, conn: ConnId, status: u16, error: &str) {
         self.respond(conn, status, encode(&ErrorBody { error: error.into() }));
     }
 
-    /// Whether the load balancer should send users here.
+    /// Whether the load balancer should send users to this controller.
     fn healthy(&self) -> bool {
         let margin = self.heartbeat_intervals(1.0);
-        let since = |p: &Peer| self.now.saturating_sub(p.at);
-        let recent = self.connectivity.peers().peers().map(|(_, p)| p).filter(|p| since(p) < margin);
+        let since = |peer: &Peer| self.now.saturating_sub(peer.at);
+        let recent = self.connectivity.peers().peers().map(|(_, peer)| peer).filter(|peer| since(peer) < margin);
         healthy(&Facts {
             age: self.now,
             loaded: self.store.session.following(),
             stale: self.store.session.staleness(self.now),
             has_others: !self.config.others.is_empty(),
-            others: recent.map(|p| p.stale.saturating_add(since(p))).collect(),
+            others: recent.map(|peer| peer.stale.saturating_add(since(peer))).collect(),
             entitled: self.entitled(),
             store_away: self.retry.is_open(Side::Store),
             margin,
         })
     }
 
+    /// Accepts a job, or refuses it; a job that is known already is answered with its status.
     fn submit(&mut self, conn: ConnId, body: &[u8]) {
         let spec = match decode::<JobSpec>(body) {
-            Ok(s) if s.well_formed() => s,
+            Ok(spec) if spec.well_formed() => spec,
             _ => return self.refuse(conn, 400, "malformed submission"),
         };
         if self.state.ended.contains_key(spec.uid.as_str()) || self.state.jobs.contains_key(&spec.uid) {
@@ -109,26 +116,26 @@
         }
         let key = records::job_key(&spec.uid);
         if self.transactions.is_locked(&key) {
-            // Ours is under way; its user may have been told more elsewhere than that
-            // it is accepted.
-            return self.ask(conn, &spec.uid, RequestKind::Submitted);
+            // Our write of the job is in flight. Another controller may have told the user
+            // already that the job runs, so a read decides the answer.
+            return self.queue_request(conn, &spec.uid, RequestKind::Submitted);
         }
-        // Without the store nothing can be accepted: say so rather than wait.
+        // Without the store nothing can be accepted, so the request is refused at once.
         if !self.fresh() {
             return self.refuse(conn, 503, "the state service does not answer");
         }
-        if self.never_runs(&spec) {
-            return self.ask(conn, &spec.uid, RequestKind::Impossible);
+        if self.can_never_run(&spec) {
+            return self.queue_request(conn, &spec.uid, RequestKind::Impossible);
         }
         if !self.may_write_as(WritePriority::Responses) {
-            return self.not_now(conn, "too many submissions");
+            return self.refuse_write(conn, "too many submissions");
         }
         let uid = spec.uid.clone();
-        let waits: Vec<u32> = (0..spec.task_count).collect();
+        let waiting: Vec<u32> = (0..spec.task_count).collect();
         let counted = self.counted(&spec);
         let (capacities, queues) = (self.capacities_counting(true, counted), self.queues(counted, spec.priority));
-        let task_ranges = self.task_ranges_for(&spec, &waits, &capacities, &queues, &BTreeMap::new());
-        let rec = records::JobRecord {
+        let task_ranges = self.task_ranges_for(&spec, &waiting, &capacities, &queues, &BTreeMap::new());
+        let record = records::JobRecord {
             task_count: spec.task_count,
             spec: Some(spec),
             end: None,
@@ -137,61 +144,66 @@
         };
         let txn = Txn {
             conditions: vec![Condition { key: key.clone(), version: 0 }],
-            ops: vec![Op::Put { key, data: records::to_value(&rec), lease: None }],
+            ops: vec![Op::Put { key, data: records::to_value(&record), lease: None }],
         };
-        let until = self.now + self.answered_within();
-        self.api.requests.came(conn, &uid, RequestKind::Submitted, Stage::Writing, until);
-        self.txn_within(txn, Why::Accept(uid), self.answered_within());
+        let deadline = self.now + self.request_timeout();
+        self.api.requests.came(conn, &uid, RequestKind::Submitted, Stage::Writing, deadline);
+        self.transact_within(txn, Why::Accept(uid), self.request_timeout());
     }
 
-    /// Unknown team, no machine type for a task, or more than the team's limit.
-    fn never_runs(&self, spec: &JobSpec) -> bool {
-        let Some(team) = self.config.settings.teams.iter().find(|t| t.name == spec.team) else {
+    /// Whether the job can never run: its team is unknown, the tasks that must run at once
+    /// exceed the team's limit, its zone constraints contradict each other, or no machine type
+    /// fits a task.
+    fn can_never_run(&self, spec: &JobSpec) -> bool {
+        let Some(team) = self.config.settings.teams.iter().find(|team| team.name == spec.team) else {
             return true;
         };
-        let at_once = if spec.kind == JobKind::Array { 1 } else { spec.task_count };
-        let over = |each: f64, max: f64| max > 0.0 && each * f64::from(at_once) > max + 1e-9;
-        if over(spec.cores, team.cpus_max) || over(spec.gpus, team.gpus_max) {
+        let simultaneous = if spec.kind == JobKind::Array { 1 } else { spec.task_count };
+        let exceeds = |each: f64, max: f64| max > 0.0 && each * f64::from(simultaneous) > max + 1e-9;
+        if exceeds(spec.cores, team.cpus_max) || exceeds(spec.gpus, team.gpus_max) {
             return true;
         }
-        // All in one zone, and no more than half of them in any.
+        // All tasks in one zone, but no more than half of them in any zone.
         if spec.zone_affinity && spec.zone_anti_affinity && spec.task_count > 1 {
             return true;
         }
-        !self.cloud.catalog().iter().any(|t| {
-            spec.machine_types.as_ref().is_none_or(|b| b.contains(&t.label))
-                && spec.zone.as_ref().is_none_or(|s| t.zones.contains(s))
-                && t.cores >= spec.cores
-                && t.gpus >= spec.gpus
-                && t.mem_gb >= spec.mem_gb
+        !self.cloud.catalog().iter().any(|offered| {
+            spec.machine_types.as_ref().is_none_or(|allowed| allowed.contains(&offered.label))
+                && spec.zone.as_ref().is_none_or(|zone| offered.zones.contains(zone))
+                && offered.cores >= spec.cores
+                && offered.gpus >= spec.gpus
+                && offered.mem_gb >= spec.mem_gb
         })
     }
 
+    /// Answers a status query: at once if the job has ended, otherwise after a read.
     fn poll(&mut self, conn: ConnId, uid: &str) {
         if !valid_uid(uid) {
             return self.refuse(conn, 404, "no such job");
         }
-        let over = matches!(self.state.status(uid), Some((Status::Done | Status::Cancelled, ..)));
-        if over {
-            return self.tell(conn, uid);
+        let has_ended = matches!(self.state.status(uid), Some((Status::Done | Status::Cancelled, ..)));
+        if has_ended {
+            return self.respond_with_status(conn, uid);
         }
         if !self.store.session.following() {
             return self.refuse(conn, 503, "not ready");
         }
-        self.ask(conn, uid, RequestKind::State);
+        self.queue_request(conn, uid, RequestKind::State);
     }
 
-    /// So long a user's request is worked on.
-    fn answered_within(&self) -> Duration {
-        self.heartbeat_intervals(0.75).min(self.secs(USERS_WAIT_S * ANSWERED_WITHIN))
+    /// The time after which an open request is refused.
+    fn request_timeout(&self) -> Duration {
+        self.heartbeat_intervals(0.75).min(self.secs(USER_TIMEOUT_S * DEADLINE_FRACTION))
     }
 
-    fn ask(&mut self, conn: ConnId, uid: &str, asked: RequestKind) {
-        let until = self.now + self.answered_within();
-        self.api.requests.came(conn, uid, asked, Stage::Queued, until);
+    /// Adds a request that is answered after the next read of the store.
+    fn queue_request(&mut self, conn: ConnId, uid: &str, asked: RequestKind) {
+        let deadline = self.now + self.request_timeout();
+        self.api.requests.came(conn, uid, asked, Stage::Queued, deadline);
     }
 
-    fn tell(&mut self, conn: ConnId, uid: &str) {
+    /// Responds with the job's status in the replica, or with 404 if the replica lacks it.
+    fn respond_with_status(&mut self, conn: ConnId, uid: &str) {
         match self.state.status(uid) {
             Some((status, done, running)) => {
                 let body = encode(&JobState { uid: uid.into(), status, done, running });
@@ -201,62 +213,66 @@
         }
     }
 
-    /// Something happened that requests may wait for.
+    /// Applies an event to the open requests, and answers those that waited for it.
     pub(super) fn answer_requests(&mut self, event: Event) {
-        let view = &self.state;
-        let answered = self.api.requests.event(event, |uid| known(view, uid));
+        let replica = &self.state;
+        let answered = self.api.requests.event(event, |uid| known_status(replica, uid));
         self.answer_and_cancel(answered);
     }
 
-    /// A write ended that was made because users asked this about the job.
+    /// Answers the requests that asked this about the job, now that the write for them has
+    /// ended.
     pub(super) fn request_written(&mut self, uid: &str, asked: RequestKind, ended: &Ended) {
-        let how = match ended {
+        let write_outcome = match ended {
             Ended::Done(_) => WriteOutcome::Done,
             Ended::Void { .. } => WriteOutcome::Void,
             Ended::Refused(429) => WriteOutcome::Limited,
             Ended::Refused(_) | Ended::Unknown => WriteOutcome::Failed,
         };
-        let view = &self.state;
-        let answered = self.api.requests.written(uid, asked, how, |uid| known(view, uid));
-        self.answer_with(answered);
-        let accepted = asked == RequestKind::Submitted && how == WriteOutcome::Done;
-        if let Some(j) = self.state.jobs.get(uid).filter(|_| accepted) {
-            let to: Vec<&str> = j.rec.rec.task_ranges.iter().map(|s| s.member.as_str()).collect();
-            tracing::debug!(job = %uid, class = %j.spec.class, tasks = j.spec.task_count, ?to, "accepted");
+        let replica = &self.state;
+        let answered = self.api.requests.written(uid, asked, write_outcome, |uid| known_status(replica, uid));
+        self.send_answers(answered);
+        let accepted = asked == RequestKind::Submitted && write_outcome == WriteOutcome::Done;
+        if let Some(job) = self.state.jobs.get(uid).filter(|_| accepted) {
+            let to: Vec<&str> = job.rec.rec.task_ranges.iter().map(|range| range.member.as_str()).collect();
+            tracing::debug!(job = %uid, class = %job.spec.class, tasks = job.spec.task_count, ?to, "job accepted");
         }
     }
 
-    fn answer_with(&mut self, answered: Vec<(Request, Answer)>) {
-        for (r, answer) in answered {
+    /// Sends the answers to requests.
+    fn send_answers(&mut self, answered: Vec<(Request, Answer)>) {
+        for (request, answer) in answered {
             match answer {
                 Answer::Accepted => {
-                    let state = JobState { uid: r.uid.into(), status: Status::Queued, done: 0, running: 0 };
-                    self.respond(r.conn, 201, encode(&state));
+                    let state = JobState { uid: request.uid.into(), status: Status::Queued, done: 0, running: 0 };
+                    self.respond(request.conn, 201, encode(&state));
                 }
-                Answer::Tell => self.tell(r.conn, &r.uid),
-                Answer::Unknown => self.refuse(r.conn, 404, "no such job"),
-                Answer::NeverRuns => self.refuse(r.conn, 422, "can never run"),
-                Answer::Limited => self.not_now(r.conn, "not stored"),
-                // It may have been stored all the same; a repeat will find out.
-                Answer::Later => self.refuse(r.conn, 503, "not known yet"),
+                Answer::Tell => self.respond_with_status(request.conn, &request.uid),
+                Answer::Unknown => self.refuse(request.conn, 404, "no such job"),
+                Answer::NeverRuns => self.refuse(request.conn, 422, "can never run"),
+                Answer::Limited => self.refuse_write(request.conn, "not stored"),
+                // The change may have been stored all the same; a repeated request shows it.
+                Answer::Later => self.refuse(request.conn, 503, "not known yet"),
             }
         }
     }
 
-    pub(super) fn requests_tick(&mut self) {
-        let view = &self.state;
-        let answered = self.api.requests.due(self.now, |uid| known(view, uid));
+    /// Answers the requests whose deadline has passed, and retries pending cancellations.
+    pub(super) fn answer_due_requests(&mut self) {
+        let replica = &self.state;
+        let answered = self.api.requests.due(self.now, |uid| known_status(replica, uid));
         self.answer_and_cancel(answered);
     }
 
-    /// Answers, and takes up cancellations that may be written now.
+    /// Sends the answers to requests, and then the cancellations that are to be written.
     fn answer_and_cancel(&mut self, answered: Vec<(Request, Answer)>) {
-        self.answer_with(answered);
+        self.send_answers(answered);
         for uid in self.api.requests.cancelling() {
             self.send_cancel(&uid);
         }
     }
 
+    /// Cancels a job; one that has ended is answered with its status.
     fn cancel(&mut self, conn: ConnId, uid: &str) {
         if !valid_uid(uid) {
             return self.refuse(conn, 404, "no such job");
@@ -264,46 +280,48 @@
         if !self.store.session.following() {
             return self.refuse(conn, 503, "not ready");
         }
-        let over = matches!(self.state.status(uid), Some((Status::Done | Status::Cancelled, ..)));
-        if over {
-            return self.tell(conn, uid);
+        let has_ended = matches!(self.state.status(uid), Some((Status::Done | Status::Cancelled, ..)));
+        if has_ended {
+            return self.respond_with_status(conn, uid);
         }
         if self.retry.is_open(Side::Store) {
-            return self.not_now(conn, "not stored");
+            return self.refuse_write(conn, "not stored");
         }
         if !self.state.jobs.contains_key(uid) {
-            // Accepted elsewhere a moment ago, perhaps: a fresh read decides.
-            return self.ask(conn, uid, RequestKind::Cancelled);
+            // Another controller may just have accepted the job: a new read decides.
+            return self.queue_request(conn, uid, RequestKind::Cancelled);
         }
-        let until = self.now + self.answered_within();
-        self.api.requests.came(conn, uid, RequestKind::Cancelled, Stage::Writing, until);
+        let deadline = self.now + self.request_timeout();
+        self.api.requests.came(conn, uid, RequestKind::Cancelled, Stage::Writing, deadline);
         self.send_cancel(uid);
     }
 
+    /// Writes the cancellation of a job, unless a write of its record is in flight. If the
+    /// write rate does not allow it, the requests for it are refused.
     fn send_cancel(&mut self, uid: &str) {
         let key = records::job_key(uid);
         if self.transactions.is_locked(&key) {
-            return; // taken up again by the next tick
+            return; // the next tick tries again
         }
         if !self.may_write_as(WritePriority::Critical) {
-            let view = &self.state;
-            let answered =
-                self.api.requests.written(uid, RequestKind::Cancelled, WriteOutcome::Limited, |uid| known(view, uid));
-            return self.answer_with(answered);
+            let (asked, outcome) = (RequestKind::Cancelled, WriteOutcome::Limited);
+            let replica = &self.state;
+            let answered = self.api.requests.written(uid, asked, outcome, |uid| known_status(replica, uid));
+            return self.send_answers(answered);
         }
         let Some(job) = self.state.jobs.get(uid) else { return };
-        let rec = records::JobRecord { end: Some(Status::Cancelled), ..job.rec.rec.clone() };
+        let record = records::JobRecord { end: Some(Status::Cancelled), ..job.rec.rec.clone() };
         let txn = Txn {
             conditions: vec![Condition { key: key.clone(), version: job.rec.version }],
-            ops: vec![Op::Put { key, data: records::to_value(&rec), lease: None }],
+            ops: vec![Op::Put { key, data: records::to_value(&record), lease: None }],
         };
-        self.txn_within(txn, Why::Cancel(uid.to_string()), self.answered_within());
+        self.transact_within(txn, Why::Cancel(uid.to_string()), self.request_timeout());
     }
 }
 
-/// What the view has of a job, for the table.
-fn known(view: &ClusterState, uid: &str) -> KnownStatus {
-    match view.status(uid).map(|s| s.0) {
+/// What the replica knows of a job, as the state machine of requests distinguishes it.
+fn known_status(replica: &ClusterState, uid: &str) -> KnownStatus {
+    match replica.status(uid).map(|(status, ..)| status) {
         None => KnownStatus::Nothing,
         Some(Status::Queued) => KnownStatus::Queued,
         Some(Status::Running) => KnownStatus::Running,
--- a/src/controller/leadership.rs
+++ b/src/controller/leadership.rs
@@ -1,32 +1,39 @@
-//! Winning and keeping the leadership. What the leader does then has files of its own:
-//! registration, sharding, task ranges, autoscaler. Every write of a leader is
-//! conditional on the leadership still being its own.
+//! Leader election: how a controller becomes the leader, and what it does as the leader.
+//!
+//! The leader's duties are implemented in the modules `registration`, `sharding`,
+//! `task_ranges` and `autoscaler`. Every write of the leader is conditional on the
+//! leadership still being its own.
 
 use super::process::Process;
 use super::*;
 use crate::protocol::store::{Condition, Op};
 use records::{LeaderRecord, TermRecord};
 
-/// The election as this process sees it, and the counters of its own term.
+/// Heartbeat intervals between two checks of the election.
+const CHECK_INTERVALS: f64 = 0.1;
+/// Heartbeat intervals between two reassignments of waiting tasks.
+const REASSIGN_INTERVALS: f64 = 0.25;
+
+/// What this process knows of the election, and the counters of its own term.
 #[derive(Debug, Default)]
 pub(super) struct Leadership {
-    /// When a leader was first seen.
+    /// When this process first saw a leader.
     first_leader_at: Option<Instant>,
-    /// The last term in which this process led.
+    /// The last term in which this process was the leader.
     own_term: u64,
-    /// When the election is looked at next.
+    /// When the election is checked next.
     next_check: Instant,
-    /// The state of the replica's members at the last look.
+    /// The replica's count of member changes at the last check.
     members_seen: u64,
-    /// Grants made in this term.
+    /// The epoch of the last grant of this term.
     epoch: u64,
-    /// Provisioning requests made in this term.
+    /// The number of provisioning requests made in this term.
     request_count: u64,
 }
 
 impl Leadership {
-    /// Whether the election is to be looked at now: after `interval`, or at once where
-    /// members came or went, so that a vacant leadership waits for no interval.
+    /// Whether the election is to be checked now: `interval` after the last check, or at once
+    /// if members have changed, so that a vacant leadership is noticed without delay.
     fn check_due(&mut self, now: Instant, members_changed: u64, interval: Duration) -> bool {
         if now < self.next_check && self.members_seen == members_changed {
             return false;
@@ -36,12 +43,12 @@
         true
     }
 
-    /// The next tick looks at the election, however soon it comes.
+    /// Makes the next tick check the election, however soon it comes.
     pub(super) fn check_at_next_tick(&mut self, now: Instant) {
         self.next_check = now;
     }
 
-    /// Starts the counters of a term; false where this process led it already.
+    /// Resets the counters for a new term; returns false if the term has begun before.
     fn begin_term(&mut self, term: u64) -> bool {
         if self.own_term == term {
             return false;
@@ -52,42 +59,43 @@
         true
     }
 
-    /// The replica shows a leader.
+    /// Notes that the replica shows a leader.
     pub(super) fn observe_leader(&mut self, now: Instant) {
         self.first_leader_at.get_or_insert(now);
     }
 
-    /// How long ago this process first saw a leader.
+    /// Time since this process first saw a leader; `None` if it has seen none.
     pub(super) fn since_first_leader(&self, now: Instant) -> Option<Duration> {
         self.first_leader_at.map(|at| now.saturating_sub(at))
     }
 
-    /// The epoch of the next grant: within a term, each is higher than those before.
+    /// Returns the epoch for a new grant: within a term, each is higher than all before it.
     pub(super) fn next_epoch(&mut self) -> u64 {
         self.epoch += 1;
         self.epoch
     }
 
-    /// The number of the next provisioning request of this term.
+    /// Returns the number for a new provisioning request of this term.
     pub(super) fn next_request(&mut self) -> u64 {
         self.request_count += 1;
         self.request_count
     }
 
-    /// Provisioning requests made in this term.
+    /// The number of provisioning requests made in this term.
     pub(super) fn request_count(&self) -> u64 {
         self.request_count
     }
 }
 
-/// The condition that the leader is still the one that `state` shows.
+/// The condition that the leader record is still the one that `state` shows.
 fn leader_condition(state: &ClusterState) -> Condition {
     let version = state.leader.as_ref().map_or(0, |leader| leader.version);
     Condition { key: records::LEADER_KEY.into(), version }
 }
 
-/// The transaction that makes this process the leader, where nobody alive is.
-fn election(state: &ClusterState, process: &Process, lease: u64) -> Option<Txn> {
+/// The transaction that makes this process the leader; `None` if a live controller is the
+/// leader.
+fn election_txn(state: &ClusterState, process: &Process, lease: u64) -> Option<Txn> {
     let leader = state.leader.as_ref();
     if leader.is_some_and(|leader| state.is_live(&leader.rec.member, leader.rec.incarnation)) {
         return None;
@@ -106,10 +114,10 @@
 }
 
 impl Controller {
-    /// Stands for election where the leadership is vacant, and does the leader's
-    /// work where it is our own.
-    pub(super) fn lead(&mut self) {
-        let interval = self.heartbeat_intervals(CHECK_INTERVAL);
+    /// Does the leader's work if this process is the leader; otherwise stands for election
+    /// if the leadership is vacant.
+    pub(super) fn update_leadership(&mut self) {
+        let interval = self.heartbeat_intervals(CHECK_INTERVALS);
         if !self.leadership.check_due(self.now, self.state.members_changed, interval) {
             return;
         }
@@ -123,25 +131,26 @@
         }
         self.grant_shards();
         self.enrol_rentals();
-        if self.sharding.reassignment_due(self.now, self.heartbeat_intervals(REASSIGN_INTERVAL)) {
+        if self.sharding.reassignment_due(self.now, self.heartbeat_intervals(REASSIGN_INTERVALS)) {
             self.reassign_tasks();
             self.advance_maintenance();
         }
         self.scale_fleet();
     }
 
-    /// What the first moment of a term brings, whether the election was answered or only
-    /// the watch shows that it was carried out.
+    /// Begins this process's term when the replica first shows it, be it because the election
+    /// was answered or because the watch has shown that it was carried out.
     fn begin_term(&mut self) {
         let term = self.term();
         if self.leadership.begin_term(term) {
             self.cloud.require_new_list();
-            tracing::info!(term, member = %self.process.member, "leader_elected");
+            tracing::info!(term, member = %self.process.member, "leader elected");
         }
     }
 
-    /// No limit holds this back but the pause after a refusal: without a leader
-    /// nothing is granted, rented or reassigned.
+    /// Sends the election's transaction if the leadership is vacant. Only the retry policy
+    /// limits this write: without a leader, machines are neither granted nor provisioned, and
+    /// no tasks are reassigned.
     fn stand_for_election(&mut self) {
         let Some(lease) = self.store.session.lease else { return };
         if !self.state.is_live(&self.process.member, self.process.incarnation)
@@ -150,31 +159,26 @@
         {
             return;
         }
-        if let Some(txn) = election(&self.state, &self.process, lease) {
-            self.txn(txn, Why::Lead);
+        if let Some(txn) = election_txn(&self.state, &self.process, lease) {
+            self.txn(txn, Why::Election);
         }
     }
 
-    /// Whether this process is the leader, by what the replica shows.
+    /// Whether the replica shows this process as the leader.
     pub(super) fn am_leader(&self) -> bool {
         self.state.leader.as_ref().is_some_and(|leader| self.process.is(&leader.rec.member, leader.rec.incarnation))
     }
 
-    /// The condition that the leader has not changed.
+    /// The condition that the leader record is still the one that the replica shows.
     pub(super) fn leader_condition(&self) -> Condition {
         leader_condition(&self.state)
     }
 
-    /// The term of the leader that the replica shows; 0 without one.
+    /// The term of the leader that the replica shows; 0 if it shows none.
     pub(super) fn term(&self) -> u64 {
         self.state.leader.as_ref().map_or(0, |leader| leader.rec.term)
     }
 }
 
-/// Heartbeat intervals between two looks at the election.
-const CHECK_INTERVAL: f64 = 0.1;
-/// Heartbeat intervals between two reassignments of waiting tasks.
-const REASSIGN_INTERVAL: f64 = 0.25;
-
 #[cfg(test)]
 mod tests;
--- a/src/controller/leadership/tests.rs
+++ b/src/controller/leadership/tests.rs
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn the_election_is_checked_at_intervals_and_when_members_change() {
+fn the_election_is_checked_at_intervals_and_on_member_changes() {
     let mut leadership = Leadership::default();
     assert!(leadership.check_due(seconds(5), 1, INTERVAL));
     assert!(!leadership.check_due(seconds(5), 1, INTERVAL));
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn a_new_term_restarts_the_counters() {
+fn a_new_term_resets_the_counters() {
     let mut leadership = Leadership::default();
     assert!(leadership.begin_term(1));
     assert_eq!((leadership.next_epoch(), leadership.next_epoch()), (1, 2));
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn only_the_first_leader_is_dated() {
+fn the_time_is_counted_from_the_first_leader() {
     let mut leadership = Leadership::default();
     assert_eq!(leadership.since_first_leader(seconds(9)), None);
     leadership.observe_leader(seconds(2));
@@ -37,12 +37,12 @@
 }
 
 #[test]
-fn an_election_follows_the_last_term_and_needs_it_unchanged() {
+fn an_election_starts_the_next_term_if_the_last_one_is_unchanged() {
     let process = Process::new("a".into(), 7, Duration::ZERO);
     let mut state = ClusterState::new(1);
     let term = TermRecord { term: 4, format_version: records::FORMAT_VERSION };
     state.put(records::TERM_KEY, &records::to_value(&term), 11);
-    let txn = election(&state, &process, 3).expect("nobody leads");
+    let txn = election_txn(&state, &process, 3).expect("there is no leader");
     assert!(txn.conditions.contains(&Condition { key: records::LEADER_KEY.into(), version: 0 }));
     assert!(txn.conditions.contains(&Condition { key: records::TERM_KEY.into(), version: 11 }));
     assert!(txn.puts(records::LEADER_KEY) && txn.puts(records::TERM_KEY));
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -1,6 +1,9 @@
-//! One controller: takes events, keeps the view and the wanted state, and runs
-//! the loops that work out what to do. No sockets, no clock; `now` comes in
-//! with every event.
+//! The logic of one controller: handles events, keeps a replica of the stored state, and
+//! decides which actions the event loop carries out.
+//!
+//! The controller uses no sockets and no clock; every event comes with the time `now`.
+
+#![warn(missing_docs)]
 
 mod agents;
 mod api;
@@ -50,7 +53,7 @@
 use journal::Journal;
 use leadership::Leadership;
 use maintenance::Maintenance;
-use outbox::{Outbox, Purpose, outcome};
+use outbox::{Outbox, Purpose, retry_outcome};
 use process::Process;
 use quota::QuotaReservations;
 use releases::Releases;
@@ -62,31 +65,60 @@
 use store_sync::StoreAccess;
 use transactions::{Transactions, Why};
 
-/// The shortest pauses after a failure, as ratios to the settings.
-fn pauses(set: &Settings, ttl: Duration, gap: Duration) -> Vec<(Retry, Duration)> {
-    let report = Duration::from_secs_f64(set.settings.workers.heartbeat_interval_s);
-    let lag = Duration::from_secs_f64(set.settings.cloud.list_lag_s);
+/// Transactions that take longer than this count as taking this long in the summary.
+const MAX_TXN_DURATION_MS: u64 = 60_000;
+/// The part of the store's write limit that controllers use. The rest is left for renewals
+/// of leases and for repeated writes.
+const USABLE_WRITE_FRACTION: f64 = 0.9;
+/// Heartbeat intervals after an outage of the store during which all controllers have
+/// equal shares of the writes, because users crowd to all of them alike.
+const EQUAL_SHARES_INTERVALS: f64 = 2.0;
+/// The part of the cloud's request limit that the leader may use.
+const LEADER_CLOUD_FRACTION: f64 = 0.7;
+/// Seconds' worth of the store's requests that all starting controllers together may use
+/// at once. The store allows bursts of one second's worth, and a controller that starts has
+/// no better use for them.
+const SCAN_BURST_S: f64 = 0.5;
+/// The part of one second's writes that is kept free for submissions.
+const ACCEPT_RESERVE: f64 = 0.25;
+/// Writes that lose nothing by waiting are made only while this part of one second's writes
+/// is unspent: the longer they wait, the more changes go into each transaction.
+const SPARE_WRITES: f64 = 0.5;
+
+/// The largest ratio between the rates of the monotonic clocks of two machines. Each clock
+/// may run 0.05% fast, which is doubled to allow for rounding.
+const DRIFT: f64 = 1.001;
+
+/// The shortest pause after a failed call, by the purpose of the call. Pauses are fractions
+/// of the intervals in the settings, of the lease's `ttl` and of the `gap` between reads.
+fn base_pauses(config: &Settings, ttl: Duration, gap: Duration) -> Vec<(Retry, Duration)> {
+    let heartbeat_interval = Duration::from_secs_f64(config.settings.workers.heartbeat_interval_s);
+    let list_lag = Duration::from_secs_f64(config.settings.cloud.list_lag_s);
     vec![
         (Retry::Lease, gap * 2),
         (Retry::Renew, ttl / 16),
         (Retry::Scan, gap),
         (Retry::Watch, gap * 2),
         (Retry::Barrier, gap * 2),
-        (Retry::Write, report / 10),
-        (Retry::Catalog, report / 4),
-        (Retry::List, lag / 8),
-        (Retry::Rent, report / 4),
-        (Retry::Release, report / 4),
+        (Retry::Write, heartbeat_interval / 10),
+        (Retry::Catalog, heartbeat_interval / 4),
+        (Retry::List, list_lag / 8),
+        (Retry::Rent, heartbeat_interval / 4),
+        (Retry::Release, heartbeat_interval / 4),
     ]
 }
 
+/// A machine that was provisioned and is not known to be up.
 #[derive(Debug)]
 struct Rented {
+    /// The offer of the cloud that the machine belongs to.
     offer: crate::scaling::Offer,
+    /// When the machine was provisioned.
     at: Instant,
 }
 
-/// One controller: a component for each duty, and what they share.
+/// One controller of the cluster: a component for each of its duties, and the state that
+/// they share.
 pub struct Controller {
     config: Settings,
     process: Process,
@@ -113,57 +145,59 @@
 }
 
 impl Controller {
-    /// `incarnation` tells this process from earlier ones of the same name;
-    /// `wall` is the time of day at the start.
-    pub fn new(set: Settings, incarnation: u64, wall: Duration) -> Controller {
-        let p = &set.settings;
-        let n = set.controllers() as f64;
-        // A quarter of the store's requests goes to each kind of steady read.
-        let gap = Duration::from_secs_f64(n / (p.state.rps * 0.25));
-        let ttl = Duration::from_secs_f64((p.workers.heartbeat_interval_s * 2.0).min(p.workers.lease_s / 3.0));
-        let heartbeat_interval = Self::heartbeat_interval(Duration::from_secs_f64(p.workers.heartbeat_interval_s));
-        let chunk = records::checkpoint_size(p.state.value_kb, p.state.write_rps / n);
+    /// A controller whose process has just started. `incarnation` distinguishes the process
+    /// from earlier ones of the same name; `wall_clock` is the time of day at the start.
+    pub fn new(config: Settings, incarnation: u64, wall_clock: Duration) -> Controller {
+        let platform = &config.settings;
+        let controllers = config.controllers() as f64;
+        // Each kind of steady read may use a quarter of the store's request limit.
+        let gap = Duration::from_secs_f64(controllers / (platform.state.rps * 0.25));
+        let workers = &platform.workers;
+        let ttl = Duration::from_secs_f64((workers.heartbeat_interval_s * 2.0).min(workers.lease_s / 3.0));
+        let heartbeat_interval = Self::heartbeat_interval(Duration::from_secs_f64(workers.heartbeat_interval_s));
+        let checkpoint_size = records::checkpoint_size(platform.state.value_kb, platform.state.write_rps / controllers);
         Controller {
-            process: Process::new(set.member.clone(), incarnation >> 1, wall),
+            process: Process::new(config.member.clone(), incarnation >> 1, wall_clock),
             now: Duration::ZERO,
             outbox: Outbox::new(),
-            retry: RetryPolicy::new(incarnation, pauses(&set, ttl, gap)),
-            state: ClusterState::new(chunk),
+            retry: RetryPolicy::new(incarnation, base_pauses(&config, ttl, gap)),
+            state: ClusterState::new(checkpoint_size),
             store: StoreAccess::new(
-                StoreSession::new(ttl, gap, p.state.rps * LOAD_BURST / n),
-                ClusterState::new(chunk),
+                StoreSession::new(ttl, gap, platform.state.rps * SCAN_BURST_S / controllers),
+                ClusterState::new(checkpoint_size),
             ),
-            transactions: Transactions::new(p.state.write_rps / n * WRITE_SHARE),
+            transactions: Transactions::new(platform.state.write_rps / controllers * USABLE_WRITE_FRACTION),
             startup: Start::new(
-                Duration::from_secs_f64(p.workers.lease_s),
+                Duration::from_secs_f64(workers.lease_s),
                 Duration::from_secs_f64(
-                    p.workers.heartbeat_interval_s * startup::LONGEST_REPORT + agents::CONTROLLER_SWITCH_S,
+                    workers.heartbeat_interval_s * startup::MAX_HEARTBEAT_INTERVALS + agents::CONTROLLER_SWITCH_S,
                 ),
             ),
             leadership: Leadership::default(),
             sharding: Sharding::default(),
-            connectivity: Connectivity::new(PeerTable::new(&set.member, incarnation >> 1, heartbeat_interval)),
+            connectivity: Connectivity::new(PeerTable::new(&config.member, incarnation >> 1, heartbeat_interval)),
             agents: Agents::default(),
             scheduler: Scheduler::default(),
             quota: QuotaReservations::default(),
             journal: Journal::default(),
-            cloud: CloudAccess::new(p.cloud.rps / n),
+            cloud: CloudAccess::new(platform.cloud.rps / controllers),
             autoscaler: Autoscaler::default(),
             releases: Releases::new(),
             maintenance: Maintenance::default(),
-            service_levels: ServiceLevels::new(Objectives::new(p.objectives.clone())),
+            service_levels: ServiceLevels::new(Objectives::new(platform.objectives.clone())),
             api: Api::default(),
-            config: set,
+            config,
         }
     }
 
+    /// Handles one event at the time `now`, and appends the actions that follow from it.
     pub fn handle(&mut self, now: Instant, event: Event, actions: &mut Vec<Action>) {
         self.now = now;
         match event {
-            Event::Request { conn, method, path, body } => self.request(conn, &method, &path, &body),
+            Event::Request { conn, method, path, body } => self.handle_request(conn, &method, &path, &body),
             Event::Answer { id, result } => {
                 if let Some(purpose) = self.outbox.end_call(id) {
-                    self.answer(id, purpose, result);
+                    self.handle_result(id, purpose, result);
                 }
             }
             Event::Peer { member, frame: Frame::PeerHeartbeat(heartbeat) } => {
@@ -171,13 +205,13 @@
                 self.update_newly_provisioned(&heartbeat.provisioned);
                 self.agents.mark_unlisted(&heartbeat.unlisted);
                 self.connectivity.receive(&member, &heartbeat, now);
-                // True whenever it was said, and however late it comes.
+                // Revocations hold no matter when they were sent and how late they arrive.
                 if let Some(revocations) = &heartbeat.revocations {
                     self.apply_revocations(revocations);
                 }
-                for h in &heartbeat.recent_machines {
-                    let when = now.saturating_sub(Duration::from_millis(h.ago_ms));
-                    self.agents.heard_elsewhere(&h.machine, (h.agent_epoch, h.heartbeat_seq), when);
+                for heard in &heartbeat.recent_machines {
+                    let heard_at = now.saturating_sub(Duration::from_millis(heard.ago_ms));
+                    self.agents.heard_elsewhere(&heard.machine, (heard.agent_epoch, heard.heartbeat_seq), heard_at);
                 }
                 self.probe(&heartbeat.unresponsive);
             }
@@ -186,7 +220,7 @@
                 tracing::info!(
                     budgets = operator.budget.len(),
                     campaigns = operator.campaign.len(),
-                    "operator's file is taken over"
+                    "operator settings reloaded"
                 );
                 self.config.operator = *operator;
             }
@@ -198,10 +232,11 @@
         self.outbox.drain_into(actions);
     }
 
+    /// Does everything that is due with the passage of time.
     fn tick(&mut self) {
-        self.pause_tick();
+        self.detect_pause();
         self.synchronize();
-        self.requests_tick();
+        self.answer_due_requests();
         self.read_catalog();
         let heartbeat_interval = Self::heartbeat_interval(self.heartbeat_intervals(1.0));
         if self.connectivity.begin_heartbeat(self.now, heartbeat_interval) {
@@ -210,76 +245,88 @@
         if !self.store.session.following() {
             return;
         }
-        self.share_limits();
+        self.update_rate_limits();
         if self.agents.begin_check(self.now, self.heartbeat_intervals(0.1)) {
-            self.start_tick();
+            self.update_startup();
             self.diagnose_partitions();
             self.check_agents();
             self.check_jobs();
             self.record_overdue();
         }
         self.close_tick();
-        self.lead();
+        self.update_leadership();
         if self.service_levels.summary_due(self.now, self.heartbeat_intervals(4.0)) {
             self.log_summary();
         }
     }
 
-    /// The limits of the store and the cloud hold for all controllers
-    /// together: those that live share the first, the leader counts twice but for
-    /// the time after an outage, when users crowd at all alike; it alone rents, and so
-    /// has most of the second.
-    fn share_limits(&mut self) {
-        let p = &self.config.settings;
+    /// Sets this controller's shares of the store's write limit and of the cloud's request
+    /// limit, which hold for all controllers together.
+    ///
+    /// The live controllers share the writes. The leader has two shares, except shortly
+    /// after an outage, when users crowd to all controllers alike. The leader alone
+    /// provisions machines, so it has most of the requests to the cloud.
+    fn update_rate_limits(&mut self) {
+        let platform = &self.config.settings;
         let others = (self.config.controllers() as f64 - 1.0).max(1.0);
         let live = (self.state.members.len() as f64).max(1.0);
-        let (parts, cloud) = if self.am_leader() { (2.0, RENTER_SHARE) } else { (1.0, (1.0 - RENTER_SHARE) / others) };
-        let alike = self
+        let (write_shares, cloud_fraction) =
+            if self.am_leader() { (2.0, LEADER_CLOUD_FRACTION) } else { (1.0, (1.0 - LEADER_CLOUD_FRACTION) / others) };
+        let equal_shares = self
             .transactions
             .since_store_recovered(self.now)
-            .is_some_and(|since| since < self.heartbeat_intervals(CROWD_REPORTS));
-        let (parts, of) = if alike { (1.0, live) } else { (parts, live + 1.0) };
-        self.transactions.set_write_rate(p.state.write_rps * WRITE_SHARE * parts / of);
-        self.cloud.set_request_rate(p.cloud.rps * cloud);
+            .is_some_and(|since| since < self.heartbeat_intervals(EQUAL_SHARES_INTERVALS));
+        let (write_shares, all_shares) = if equal_shares { (1.0, live) } else { (write_shares, live + 1.0) };
+        let write_rate = platform.state.write_rps * USABLE_WRITE_FRACTION * write_shares / all_shares;
+        self.transactions.set_write_rate(write_rate);
+        self.cloud.set_request_rate(platform.cloud.rps * cloud_fraction);
     }
 
-    fn secs(&self, s: f64) -> Duration {
-        Duration::from_secs_f64(s.max(0.0))
+    /// A duration in seconds; negative values count as zero.
+    fn secs(&self, seconds: f64) -> Duration {
+        Duration::from_secs_f64(seconds.max(0.0))
     }
 
-    fn heartbeat_intervals(&self, times: f64) -> Duration {
-        self.secs(self.config.settings.workers.heartbeat_interval_s * times)
+    /// The duration of this many heartbeat intervals of the workers.
+    fn heartbeat_intervals(&self, count: f64) -> Duration {
+        self.secs(self.config.settings.workers.heartbeat_interval_s * count)
     }
 
+    /// The time of day in milliseconds.
     fn wall_ms(&self) -> u64 {
         self.process.wall_ms(self.now)
     }
 
-    /// Whether this controller may act for all of them: its view is so recent
-    /// that a cancellation it has not seen still meets its deadline. A worker
-    /// that is answered now loses its tasks `lease_s` later at the latest.
+    /// Whether this controller may act for the whole cluster: its replica is recent enough
+    /// that a cancellation it has not seen yet still meets its deadline. A worker that is
+    /// answered now stops its tasks at most `lease_s` later.
     fn entitled(&self) -> bool {
-        let w = &self.config.settings.workers;
-        let margin = w.heartbeat_interval_s;
-        let limit = self.secs((w.cancel_s - w.lease_s - margin) / DRIFT);
-        let known = |at: Instant| self.now.saturating_sub(at) < limit;
-        // A view read anew may lack what was told by the one before.
-        let whole = self.store.session.following() && self.state.has_applied_all_known();
-        whole && (self.store.session.fresh_at.is_some_and(known) || self.surely_fresh_at().is_some_and(known))
+        let workers = &self.config.settings.workers;
+        let margin_s = workers.heartbeat_interval_s;
+        let max_age = self.secs((workers.cancel_s - workers.lease_s - margin_s) / DRIFT);
+        let is_recent = |at: Instant| self.now.saturating_sub(at) < max_age;
+        // A replica that was read again may lack changes that its predecessor answered with.
+        let complete = self.store.session.following() && self.state.has_applied_all_known();
+        complete
+            && (self.store.session.fresh_at.is_some_and(is_recent) || self.surely_fresh_at().is_some_and(is_recent))
     }
 
+    /// Whether the replica is known to be less than one heartbeat interval old.
     fn fresh(&self) -> bool {
-        self.store.session.staleness(self.now).is_some_and(|s| s < self.heartbeat_intervals(1.0))
+        self.store.session.staleness(self.now).is_some_and(|staleness| staleness < self.heartbeat_intervals(1.0))
     }
 
-    fn owns(&self, host: &Versioned<records::MachineRecord>) -> bool {
-        self.process.owns(&host.rec)
+    /// Whether the machine is granted to this process.
+    fn owns(&self, machine: &Versioned<records::MachineRecord>) -> bool {
+        self.process.owns(&machine.rec)
     }
 
+    /// The machine type of this name, if the cloud offers it.
     fn machine_type(&self, machine_type: &str) -> Option<&MachineType> {
         self.cloud.machine_type(machine_type)
     }
 
+    /// Starts a call; its result is handled according to `purpose`.
     fn call(
         &mut self,
         target: Target,
@@ -292,17 +339,18 @@
         self.outbox.call(target, method, path, body, timeout, purpose)
     }
 
-    fn answer(&mut self, id: CallId, purpose: Purpose, result: Result<Reply, NoAnswer>) {
-        if let Some(retry) = purpose.retry() {
-            let was_away = self.retry.is_open(Side::Store);
-            self.retry.ended(retry, outcome(retry, &result), self.now);
-            if was_away && !self.retry.is_open(Side::Store) {
+    /// Handles the result of a call, after the retry policy has taken note of it.
+    fn handle_result(&mut self, id: CallId, purpose: Purpose, result: Result<Reply, NoAnswer>) {
+        if let Some(retry) = purpose.retry_purpose() {
+            let was_unavailable = self.retry.is_open(Side::Store);
+            self.retry.ended(retry, retry_outcome(retry, &result), self.now);
+            if was_unavailable && !self.retry.is_open(Side::Store) {
                 self.transactions.store_recovered(self.now);
             }
         }
         match purpose {
             Purpose::Lease | Purpose::Renew | Purpose::Scan | Purpose::Watch | Purpose::Barrier => {
-                self.sync_answer(&purpose, result);
+                self.handle_store_result(&purpose, result);
             }
             Purpose::Catalog | Purpose::List | Purpose::Rent { .. } => {
                 self.cloud_answer(purpose, result);
@@ -310,16 +358,17 @@
             Purpose::Release { machines } => self.release_answer(machines, result),
             Purpose::Push { machine, grant } => self.push_answer(id, &machine, grant, result),
             Purpose::Probe { machine, known } => self.probe_answer(machine, known, result),
-            Purpose::Txn(pending) => self.txn_answer(id, pending, &result),
+            Purpose::Txn(pending) => self.handle_txn_result(id, pending, &result),
         }
     }
 
-    /// What waits for the view to move is looked at again.
-    fn view_changed(&mut self) {
+    /// Reacts to changes of the replica: ends and stops jobs, and evaluates again the
+    /// heartbeats and requests that wait for a change.
+    fn replica_changed(&mut self) {
         if self.state.leader.is_some() {
             self.leadership.observe_leader(self.now);
         }
-        if !self.service_levels.has_seen_machines() && self.state.machines.keys().any(|h| self.is_up(h)) {
+        if !self.service_levels.has_seen_machines() && self.state.machines.keys().any(|name| self.is_up(name)) {
             let (wall_ms, startup_s) = (self.wall_ms(), self.cloud.shortest_startup_s());
             self.service_levels.record_first_machine(self.now, wall_ms, startup_s);
         }
@@ -328,8 +377,8 @@
                 self.journal.end_jobs([uid]);
             }
         }
-        for (spec, at_ms) in std::mem::take(&mut self.state.finished) {
-            self.record_finished(&spec, at_ms);
+        for (spec, submitted_ms) in std::mem::take(&mut self.state.finished) {
+            self.record_finished(&spec, submitted_ms);
         }
         for uid in std::mem::take(&mut self.state.let_go) {
             self.stop_job(&uid);
@@ -338,25 +387,3 @@
         self.answer_requests(RequestEvent::ClusterState(self.state.revision));
     }
 }
-
-/// Longer transactions count as this long in the summary.
-const LONGEST_TXN_MS: u64 = 60_000;
-/// Part of the store's writes that is used: renewals and repeats need some.
-const WRITE_SHARE: f64 = 0.9;
-/// Users crowd for so many report intervals after an outage.
-const CROWD_REPORTS: f64 = 2.0;
-/// Part of the cloud's requests that the leader may use.
-const RENTER_SHARE: f64 = 0.7;
-/// Part of a second's worth of the store's requests that a start may use at once, over
-/// all controllers: the store allows bursts of a second's worth, and one that starts
-/// has nothing better to use them for.
-const LOAD_BURST: f64 = 0.5;
-/// Part of a second's writes that stays free for submissions.
-const ACCEPT_RESERVE: f64 = 0.25;
-/// Writes that lose nothing by waiting are made while this part of a second's
-/// worth is free: the fuller the queue, the more goes into each.
-const SPARE_WRITES: f64 = 0.5;
-
-/// Steady clocks of two machines may differ by this factor at most: each may
-/// run 0.05% fast, doubled for rounding.
-const DRIFT: f64 = 1.001;
--- a/src/controller/outbox.rs
+++ b/src/controller/outbox.rs
@@ -1,4 +1,4 @@
-//! Actions that wait to be carried out, and calls that wait for their answer.
+//! Actions for the event loop, and calls in flight.
 
 use crate::connectivity::heartbeat_tracking::At;
 use crate::controller::transactions::PendingTransaction;
@@ -8,42 +8,61 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// What the cloud says where it has no more machines of an offer.
+/// The cloud's error message when it has no more machines of an offer.
 const NO_CAPACITY: &str = "no capacity";
 
-/// Why a call was made; decides what its answer means.
+/// The purpose of a call, which decides how its result is handled.
 #[derive(Debug)]
 pub(super) enum Purpose {
-    /// A new lease at the store.
+    /// Requests a lease from the store.
     Lease,
-    /// The renewal of that lease.
+    /// Renews the lease.
     Renew,
-    /// A page of the snapshot read.
+    /// Reads a page of the scan.
     Scan,
-    /// The next changes of the store.
+    /// Watches the store for its next changes.
     Watch,
-    /// A read that proves the replica fresh.
+    /// Reads the key that proves the replica fresh.
     Barrier,
-    /// The machine types that the cloud offers.
+    /// Reads the cloud's machine types.
     Catalog,
-    /// The machines that the cloud runs for us.
+    /// Reads the cloud's list of this cluster's machines.
     List,
-    /// A provisioning request.
-    Rent { offer: crate::scaling::Offer, number: u32 },
-    /// The return of machines to the cloud.
-    Release { machines: Vec<String> },
-    /// Commands for a worker, under the grant that allows them.
-    Push { machine: String, grant: u64 },
-    /// Whether a machine answers, and what: silent ones, unknown ones, and those that
-    /// say less than was known when they were called.
-    Probe { machine: String, known: At },
-    /// A compare-and-swap of the store.
+    /// Provisions machines.
+    Rent {
+        /// What is requested of the cloud.
+        offer: crate::scaling::Offer,
+        /// The number of machines.
+        number: u32,
+    },
+    /// Returns machines to the cloud.
+    Release {
+        /// The names of the machines.
+        machines: Vec<String>,
+    },
+    /// Sends commands to a worker.
+    Push {
+        /// The machine of the worker.
+        machine: String,
+        /// The epoch of the grant that permits the commands.
+        grant: u64,
+    },
+    /// Asks a machine for its status: one that is silent, that has no record, or whose
+    /// heartbeat says less than was known before.
+    Probe {
+        /// The machine's name.
+        machine: String,
+        /// The newest counters of the machine that were known when the probe was sent.
+        known: At,
+    },
+    /// Sends a transaction to the store.
     Txn(PendingTransaction),
 }
 
 impl Purpose {
-    /// What the retry policy knows it as; pushes to workers are voided, not repeated.
-    pub(super) fn retry(&self) -> Option<Retry> {
+    /// The purpose under which the retry policy counts the call. `None` for calls to workers:
+    /// if they fail, they are discarded rather than repeated.
+    pub(super) fn retry_purpose(&self) -> Option<Retry> {
         Some(match self {
             Purpose::Lease => Retry::Lease,
             Purpose::Renew => Retry::Renew,
@@ -60,45 +79,46 @@
     }
 }
 
-/// How a call ended, for the retry policy.
-pub(super) fn outcome(purpose: Retry, result: &Result<Reply, NoAnswer>) -> Outcome {
+/// How a call ended, as the retry policy counts it.
+pub(super) fn retry_outcome(purpose: Retry, result: &Result<Reply, NoAnswer>) -> Outcome {
     match result {
         Err(NoAnswer) => Outcome::Failed,
         Ok(reply) if reply.status == 429 => Outcome::Limited,
-        // A cloud that has no more of one offer is healthy.
+        // A cloud that has no more machines of one offer is available.
         Ok(reply) if reply.status == 503 && purpose == Retry::Rent && has_no_capacity(reply) => Outcome::Answered,
         Ok(reply) if reply.status == 503 => Outcome::Failed,
         Ok(_) => Outcome::Answered,
     }
 }
 
+/// Whether the cloud refused the request because it has no more machines of the offer.
 fn has_no_capacity(reply: &Reply) -> bool {
     crate::protocol::decode::<ErrorBody>(&reply.body).is_ok_and(|error| error.error == NO_CAPACITY)
 }
 
-/// What the event loop is to do, and why each open call was made.
+/// Collects the actions for the event loop, and keeps the purpose of each call in flight.
 #[derive(Debug)]
 pub(super) struct Outbox {
     /// Actions since the last event.
     actions: Vec<Action>,
-    /// Id of the next call; ids are never reused.
+    /// The id of the next call; ids are never reused.
     next_call: CallId,
-    /// Calls without an answer, and what their answer means.
+    /// The purposes of the calls in flight.
     calls: HashMap<CallId, Purpose>,
 }
 
 impl Outbox {
-    /// Nothing to do and nothing under way.
+    /// An outbox without actions and without calls in flight.
     pub(super) fn new() -> Outbox {
         Outbox { actions: Vec::new(), next_call: 1, calls: HashMap::new() }
     }
 
-    /// Appends an action that nobody answers.
+    /// Appends an action that has no result.
     pub(super) fn push(&mut self, action: Action) {
         self.actions.push(action);
     }
 
-    /// Starts a call, and remembers what its answer means.
+    /// Starts a call and remembers its purpose; returns its id.
     pub(super) fn call(
         &mut self,
         target: Target,
@@ -115,17 +135,17 @@
         id
     }
 
-    /// The id that the next call will have: a number that no earlier call had.
+    /// The id of the next call, which differs from the ids of all earlier calls.
     pub(super) fn next_call_id(&self) -> CallId {
         self.next_call
     }
 
-    /// Ends a call; `None` where it has ended before.
+    /// Ends a call and returns its purpose; `None` if the call has ended before.
     pub(super) fn end_call(&mut self, id: CallId) -> Option<Purpose> {
         self.calls.remove(&id)
     }
 
-    /// Hands the actions over, in the order in which they were decided.
+    /// Moves the collected actions to `actions`, in the order in which they were added.
     pub(super) fn drain_into(&mut self, actions: &mut Vec<Action>) {
         actions.append(&mut self.actions);
     }
--- a/src/controller/outbox/tests.rs
+++ b/src/controller/outbox/tests.rs
@@ -1,6 +1,7 @@
 use super::*;
 
-fn barrier(outbox: &mut Outbox) -> CallId {
+/// Starts a call with the purpose `Barrier`.
+fn start_call(outbox: &mut Outbox) -> CallId {
     outbox.call(Target::State, "GET", "/key".into(), None, Duration::from_secs(1), Purpose::Barrier)
 }
 
@@ -11,7 +12,7 @@
 #[test]
 fn a_call_ends_once() {
     let mut outbox = Outbox::new();
-    let id = barrier(&mut outbox);
+    let id = start_call(&mut outbox);
     assert!(outbox.end_call(id).is_some());
     assert!(outbox.end_call(id).is_none());
 }
@@ -19,36 +20,38 @@
 #[test]
 fn ids_are_not_reused() {
     let mut outbox = Outbox::new();
-    let first = barrier(&mut outbox);
+    let first = start_call(&mut outbox);
     outbox.end_call(first);
     assert_eq!(outbox.next_call_id(), first + 1);
-    assert_ne!(barrier(&mut outbox), first);
+    assert_ne!(start_call(&mut outbox), first);
 }
 
 #[test]
-fn actions_are_handed_over_once_and_in_order() {
+fn actions_are_drained_once_and_in_order() {
     let mut outbox = Outbox::new();
-    let ids = [barrier(&mut outbox), barrier(&mut outbox)];
+    let ids = [start_call(&mut outbox), start_call(&mut outbox)];
     let mut actions = Vec::new();
     outbox.drain_into(&mut actions);
     outbox.drain_into(&mut actions);
-    let called: Vec<CallId> =
-        actions.iter().filter_map(|a| if let Action::Call { id, .. } = a { Some(*id) } else { None }).collect();
+    let called: Vec<CallId> = actions
+        .iter()
+        .filter_map(|action| if let Action::Call { id, .. } = action { Some(*id) } else { None })
+        .collect();
     assert_eq!(called, ids);
 }
 
 #[test]
 fn only_missing_answers_and_503_count_as_failures() {
-    assert_eq!(outcome(Retry::Write, &Err(NoAnswer)), Outcome::Failed);
-    assert_eq!(outcome(Retry::Write, &reply(503)), Outcome::Failed);
-    assert_eq!(outcome(Retry::Write, &reply(429)), Outcome::Limited);
-    assert_eq!(outcome(Retry::Write, &reply(409)), Outcome::Answered);
+    assert_eq!(retry_outcome(Retry::Write, &Err(NoAnswer)), Outcome::Failed);
+    assert_eq!(retry_outcome(Retry::Write, &reply(503)), Outcome::Failed);
+    assert_eq!(retry_outcome(Retry::Write, &reply(429)), Outcome::Limited);
+    assert_eq!(retry_outcome(Retry::Write, &reply(409)), Outcome::Answered);
 }
 
 #[test]
-fn a_cloud_without_capacity_is_healthy() {
+fn a_cloud_without_capacity_counts_as_available() {
     let body = crate::protocol::encode(&ErrorBody { error: NO_CAPACITY.into() });
     let result = Ok(Reply { status: 503, body });
-    assert_eq!(outcome(Retry::Rent, &result), Outcome::Answered);
-    assert_eq!(outcome(Retry::List, &result), Outcome::Failed);
+    assert_eq!(retry_outcome(Retry::Rent, &result), Outcome::Answered);
+    assert_eq!(retry_outcome(Retry::List, &result), Outcome::Failed);
 }
--- a/src/controller/process.rs
+++ b/src/controller/process.rs
@@ -1,15 +1,15 @@
-//! This process: its name, its incarnation and its clocks.
+//! The identity of this controller process, and its clocks.
 
 use crate::effects::Instant;
 use crate::state::records::MachineRecord;
 use std::time::Duration;
 
-/// Who this controller is, and how its steady clock relates to the time of day.
+/// The identity of this process, and how its monotonic clock relates to the time of day.
 #[derive(Debug)]
 pub(super) struct Process {
-    /// The controller's name in the settings. Never changes.
+    /// The controller's name in the settings; constant.
     pub(super) member: String,
-    /// Distinguishes this process from earlier ones of the same name. Never changes.
+    /// Distinguishes this process from earlier ones of the same name; constant.
     pub(super) incarnation: u64,
     /// The time of day at which the process started.
     started_at: Duration,
@@ -23,7 +23,7 @@
         Process { member, incarnation, started_at, last_tick: Duration::ZERO }
     }
 
-    /// Whether a record that names this controller and incarnation means this process.
+    /// Whether a record with this member name and incarnation refers to this process.
     pub(super) fn is(&self, member: &str, incarnation: u64) -> bool {
         self.member == member && self.incarnation == incarnation
     }
@@ -33,8 +33,8 @@
         (self.started_at + now).as_millis() as u64
     }
 
-    /// Records a tick and returns the time since the one before: much more than the
-    /// usual interval means that the process was suspended.
+    /// Records a tick and returns the time since the previous one. If that is much more than
+    /// the usual interval, the process was suspended.
     pub(super) fn record_tick(&mut self, now: Instant) -> Duration {
         let since = now.saturating_sub(self.last_tick);
         self.last_tick = now;
--- a/src/controller/process/tests.rs
+++ b/src/controller/process/tests.rs
@@ -12,12 +12,12 @@
 }
 
 #[test]
-fn the_time_of_day_goes_on_from_the_start() {
+fn the_time_of_day_counts_from_the_start() {
     assert_eq!(process().wall_ms(Duration::from_millis(50)), 100_050);
 }
 
 #[test]
-fn a_tick_reports_the_time_since_the_last_one() {
+fn a_tick_returns_the_time_since_the_previous_one() {
     let mut process = process();
     assert_eq!(process.record_tick(Duration::from_secs(3)), Duration::from_secs(3));
     assert_eq!(process.record_tick(Duration::from_secs(4)), Duration::from_secs(1));
--- a/src/controller/registration.rs
+++ b/src/controller/registration.rs
@@ -1,46 +1,50 @@
-//! Recording machines: those that report and those that were rented.
+//! Registration of machines: of those that send heartbeats and have no record, and of those
+//! that were provisioned.
 
 use super::*;
 use crate::coordination::shards::{self};
 use crate::protocol::store::{Condition, Op};
 use records::MachineGroupRecord;
 
-/// Rentals whose machines would take the leader's writes of this part of a
-/// second, one by one, are recorded together.
+/// The machines of a provisioning request are recorded together if recording them one by one
+/// would take at least this part of one second of the leader's writes.
 pub(super) const GROUP_FROM: f64 = 0.5;
 
 impl Controller {
-    /// A machine that reports and is not known joins the block of whoever it
-    /// reports to, under the leader's term and epoch 0, below any later grant:
-    /// no earlier owner can exist. The leader levels the blocks afterwards.
+    /// Records a machine that sends heartbeats and has no record. The machine joins the shard
+    /// of the controller that received the heartbeat, under the leader's term and epoch 0.
+    /// That is below any later grant, and no earlier owner can exist. The leader rebalances
+    /// the shards afterwards.
     ///
-    /// A copy of a report of long ago brought machines back that had been returned,
-    /// and places on them that nobody heard of: so it must answer a call first.
-    pub(super) fn enrol(&mut self, report: &Heartbeat) {
-        if self.agents.probed_at(&report.machine).is_none() {
-            return self.call_back(report);
+    /// The machine must have answered a probe first. Otherwise a delayed copy of an old
+    /// heartbeat would bring back a machine that was released, and tasks placed on it would
+    /// never reach a machine.
+    pub(super) fn enrol(&mut self, heartbeat: &Heartbeat) {
+        if self.agents.probed_at(&heartbeat.machine).is_none() {
+            return self.call_back(heartbeat);
         }
-        let key = records::machine_group_key(&report.machine);
-        let led = self.leader_name().is_some() && self.state.is_live(&self.process.member, self.process.incarnation);
-        // What can be started on machines that are known already comes first.
-        let need = 1.0 + self.transactions.write_rate() * ACCEPT_RESERVE;
-        if !led
+        let key = records::machine_group_key(&heartbeat.machine);
+        let has_leader =
+            self.leader_name().is_some() && self.state.is_live(&self.process.member, self.process.incarnation);
+        // Starts on machines that are already recorded go first.
+        let required_writes = 1.0 + self.transactions.write_rate() * ACCEPT_RESERVE;
+        if !has_leader
             || self.transactions.is_locked(&key)
-            || self.releases.is_released(&report.machine)
-            || !self.may_write(need)
+            || self.releases.is_released(&heartbeat.machine)
+            || !self.may_write(required_writes)
         {
             return;
         }
-        let rec = MachineGroupRecord {
-            machine_type: report.machine_type.clone(),
-            zone: report.zone.clone(),
-            spot: report.spot,
+        let record = MachineGroupRecord {
+            machine_type: heartbeat.machine_type.clone(),
+            zone: heartbeat.zone.clone(),
+            spot: heartbeat.spot,
             owner: self.process.member.clone(),
             incarnation: self.process.incarnation,
             term: self.term(),
             epoch: 0,
-            base: self.beginning() && !self.autoscaler.newly_provisioned().contains(&report.machine),
-            machines: vec![report.machine.clone()],
+            base: self.beginning() && !self.autoscaler.newly_provisioned().contains(&heartbeat.machine),
+            machines: vec![heartbeat.machine.clone()],
             drain: Vec::new(),
         };
         let txn = Txn {
@@ -49,21 +53,24 @@
                 self.machine_groups_condition(),
                 Condition { key: key.clone(), version: 0 },
             ],
-            ops: vec![Op::Put { key, data: records::to_value(&rec), lease: None }],
+            ops: vec![Op::Put { key, data: records::to_value(&record), lease: None }],
         };
-        self.txn_keyed(txn, Why::Enrol);
+        self.txn_keyed(txn, Why::RegisterMachines);
     }
 
-    /// Holds while no pack was written that this view does not know.
+    /// The condition that the replica shows every group of several machines that has been
+    /// recorded.
     fn machine_groups_condition(&self) -> Condition {
         Condition { key: records::MACHINE_GROUPS_KEY.into(), version: self.state.machine_groups_version }
     }
 
-    /// Records the machines of a large rental before they are up, in packs for
-    /// the lightest blocks. Those of a small one are recorded as they report,
-    /// by whoever they report to. No machine may be in two packs: this is
-    /// conditional on none having a record of its own, and such records on no
-    /// pack having been written meanwhile.
+    /// Records the machines of a large provisioning request before they are up, in groups for
+    /// the smallest shards. The machines of a small request are recorded when they send
+    /// heartbeats, by the controllers that receive them.
+    ///
+    /// No machine may be in two groups. So this write is conditional on none of the machines
+    /// having a record of its own, and the record of a single machine is conditional on no
+    /// larger group having been written meanwhile.
     pub(super) fn enrol_rentals(&mut self) {
         if self.transactions.is_locked(records::MACHINE_GROUPS_KEY)
             || !self.am_leader()
@@ -75,30 +82,30 @@
             return;
         }
         let Some((offer, mut names)) = self.autoscaler.pop_unrecorded() else { return };
-        let st = &self.config.settings.state;
+        let limits = &self.config.settings.state;
         let members = self.state.members.len().max(1);
-        // Records and conditions of one transaction are limited.
-        names.truncate((st.txn_ops * 4).saturating_sub(2));
-        names.retain(|n| !self.state.machines.contains_key(n));
+        // The numbers of records and of conditions in one transaction are limited.
+        names.truncate((limits.txn_ops * 4).saturating_sub(2));
+        names.retain(|name| !self.state.machines.contains_key(name));
         if names.is_empty() {
             return;
         }
-        let size = names.len().div_ceil(members.min(st.txn_ops.saturating_sub(1).max(1)));
-        let deaf = self.connectivity.unhearing_members(self.now).collect();
-        let owners = shards::spread(&self.state, &deaf, &offer.machine_type, names.len(), size);
+        let group_size = names.len().div_ceil(members.min(limits.txn_ops.saturating_sub(1).max(1)));
+        let unhearing = self.connectivity.unhearing_members(self.now).collect();
+        let owners = shards::spread(&self.state, &unhearing, &offer.machine_type, names.len(), group_size);
         let mut txn =
             Txn { conditions: vec![self.leader_condition(), self.machine_groups_condition()], ops: Vec::new() };
-        txn.conditions.extend(names.iter().map(|n| Condition { key: records::machine_group_key(n), version: 0 }));
-        let count = records::to_value(&self.leadership.request_count());
-        txn.ops.push(Op::Put { key: records::MACHINE_GROUPS_KEY.into(), data: count, lease: None });
-        for (machines, owner) in names.chunks(size).zip(owners) {
-            let Some(to) = self.state.members.get(owner) else { continue };
-            let rec = MachineGroupRecord {
+        txn.conditions.extend(names.iter().map(|name| Condition { key: records::machine_group_key(name), version: 0 }));
+        let request_count = records::to_value(&self.leadership.request_count());
+        txn.ops.push(Op::Put { key: records::MACHINE_GROUPS_KEY.into(), data: request_count, lease: None });
+        for (machines, owner) in names.chunks(group_size).zip(owners) {
+            let Some(member) = self.state.members.get(owner) else { continue };
+            let record = MachineGroupRecord {
                 machine_type: offer.machine_type.clone(),
                 zone: offer.zone.clone(),
                 spot: offer.spot,
                 owner: owner.to_string(),
-                incarnation: to.rec.incarnation,
+                incarnation: member.rec.incarnation,
                 term: self.term(),
                 epoch: 0,
                 base: false,
@@ -106,13 +113,14 @@
                 drain: Vec::new(),
             };
             let key = records::machine_group_key(&machines[0]);
-            txn.ops.push(Op::Put { key, data: records::to_value(&rec), lease: None });
+            txn.ops.push(Op::Put { key, data: records::to_value(&record), lease: None });
         }
-        self.txn_keyed(txn, Why::Enrol);
+        self.txn_keyed(txn, Why::RegisterMachines);
     }
 
-    /// Machines that were rented while the cluster begins: they may be up before it has
-    /// begun, and are not of those that stood there.
+    /// Notes machines that were provisioned while the cluster is being set up. They may send
+    /// heartbeats before the setup has ended, and do not belong to the machines that were
+    /// running before.
     pub(super) fn update_newly_provisioned(&mut self, names: &[String]) {
         if self.beginning() {
             self.autoscaler.add_newly_provisioned(names);
@@ -121,10 +129,11 @@
         }
     }
 
-    /// Whether this is the first report interval of the cluster's first term: what
-    /// reports and was not rented by us stood there before.
+    /// Whether the cluster is being set up: less than 1.5 heartbeat intervals of its first term
+    /// have passed. A machine that sends heartbeats then, and was not provisioned by the
+    /// controllers, was running before.
     pub(super) fn beginning(&self) -> bool {
         let since = self.leadership.since_first_leader(self.now);
-        self.term() == 1 && since.is_some_and(|s| s < self.heartbeat_intervals(1.5))
+        self.term() == 1 && since.is_some_and(|since| since < self.heartbeat_intervals(1.5))
     }
 }
--- a/src/controller/startup.rs
+++ b/src/controller/startup.rs
@@ -1,5 +1,6 @@
-//! A start of this process: how far it has come, and what was found on the way.
-//! What waits for its phases asks `self.startup` where it decides.
+//! The startup of this controller: advances its phases, and counts the differences that the
+//! first heartbeats of machines show. Decisions that wait for a phase check `self.startup`
+//! themselves.
 
 use super::*;
 use crate::protocol::cloud::Phase as Listing;
@@ -7,32 +8,39 @@
 use crate::reconciliation::phase::{Facts, Heard, Phase};
 use crate::state::PlacedTasks;
 
-/// A report comes at an interval, give or take a quarter; a worker that is not
-/// answered tries the next controller once before that counts.
-pub(super) const LONGEST_REPORT: f64 = 1.25;
-/// A process that stood still for so many report intervals has heard nobody.
-const PAUSE_REPORTS: f64 = 2.0;
+/// The longest time between two heartbeats of a worker, in heartbeat intervals: they vary by
+/// a quarter. A worker that is not answered tries the next controller once before that counts
+/// as silence.
+pub(super) const MAX_HEARTBEAT_INTERVALS: f64 = 1.25;
+/// A process that was suspended for more than this many heartbeat intervals has missed
+/// heartbeats of all machines.
+const PAUSE_INTERVALS: f64 = 2.0;
 
 impl Controller {
-    /// Notices that the process stood still while its clocks ran on.
-    pub(super) fn pause_tick(&mut self) {
-        let since = self.process.record_tick(self.now);
-        if since > self.heartbeat_intervals(PAUSE_REPORTS) && self.startup.phase() > Phase::Gathering {
-            tracing::info!(stood_ms = since.as_millis() as u64, "process stood still, gathers again");
+    /// Detects that the process was suspended while its clocks went on, and returns to
+    /// gathering heartbeats.
+    pub(super) fn detect_pause(&mut self) {
+        let since_last_tick = self.process.record_tick(self.now);
+        if since_last_tick > self.heartbeat_intervals(PAUSE_INTERVALS) && self.startup.phase() > Phase::Gathering {
+            tracing::info!(
+                stood_ms = since_last_tick.as_millis() as u64,
+                "process was suspended, gathering heartbeats again"
+            );
             self.startup.paused(self.now);
         }
     }
 
-    pub(super) fn start_tick(&mut self) {
+    /// Advances the startup phase according to what is observed now.
+    pub(super) fn update_startup(&mut self) {
         if self.startup.phase() == Phase::Settled && self.startup.all_came() {
             return;
         }
         let facts = if self.startup.phase() == Phase::Settled {
-            // Only time matters any more.
-            let none = Heard::default();
-            Facts { fresh: self.fresh(), members: none, shard: none, fleet: none }
+            // The phase is final; only the elapsed time still counts.
+            let unused = Heard::default();
+            Facts { fresh: self.fresh(), members: unused, shard: unused, fleet: unused }
         } else {
-            self.start_facts()
+            self.observe_startup()
         };
         let Some(phase) = self.startup.look(self.now, &facts) else { return };
         let ms = self.now.as_millis() as u64;
@@ -46,45 +54,47 @@
             of_fleet = fleet.all,
             shard = shard.heard,
             of_shard = shard.all,
-            "start"
+            "startup phase reached"
         );
         if phase == Phase::Settled {
-            tracing::info!(cases = ?self.startup.cases, "machines squared with the stored state");
+            tracing::info!(cases = ?self.startup.cases, "machines reconciled with the stored state");
         }
     }
 
-    fn start_facts(&self) -> Facts {
+    /// Counts the machines and controllers that have been heard so far.
+    fn observe_startup(&self) -> Facts {
         let (mut shard, mut fleet) = (Heard::default(), Heard::default());
-        let listed = self.cloud.has_list();
-        for (name, h) in &self.state.machines {
+        let has_list = self.cloud.has_list();
+        for (name, machine) in &self.state.machines {
             let heard = self.heard_by_any(name);
-            // What the cloud lists as booting, or not at all, is not waited for.
-            let running = |l: &ListedMachine| l.phase == Listing::Running;
-            if !heard && listed && !self.cloud.machines().get(name).is_some_and(running) {
+            // Machines that the cloud does not list as running are not expected.
+            let is_running = |listed: &ListedMachine| listed.phase == Listing::Running;
+            if !heard && has_list && !self.cloud.machines().get(name).is_some_and(is_running) {
                 continue;
             }
             fleet.all += 1;
             fleet.heard += usize::from(heard);
-            if self.owns(h) {
+            if self.owns(machine) {
                 shard.all += 1;
-                shard.heard += usize::from(self.agents.machine(name).is_some_and(|m| m.heard_at.is_some()));
+                shard.heard += usize::from(self.agents.machine(name).is_some_and(|agent| agent.heard_at.is_some()));
             }
         }
         let members = Heard { heard: self.state.members.len(), all: self.config.controllers() };
         Facts { fresh: self.fresh(), members, shard, fleet }
     }
 
-    /// Counts what the first report under our grant differs in.
+    /// Counts the differences between the stored state and a machine's first heartbeat to this
+    /// controller as its owner.
     pub(super) fn count_differences(&mut self, name: &str, wanted: &PlacedTasks, kept: &PlacedTasks) {
-        let Some(m) = self.agents.machine(name).filter(|m| m.answered_at.is_none()) else { return };
+        let Some(machine) = self.agents.machine(name).filter(|machine| machine.answered_at.is_none()) else { return };
         let cases = &mut self.startup.cases;
-        for s in &m.tasks {
-            let key = (s.task.job.clone(), s.task.index);
-            let stored = RecordedState::of(wanted, kept, &key, s.attempt);
-            *cases.entry(compare(stored, ObservedState::of(s.state, s.cause), true)).or_default() += 1;
+        for task in &machine.tasks {
+            let key = (task.task.job.clone(), task.task.index);
+            let stored = RecordedState::of(wanted, kept, &key, task.attempt);
+            *cases.entry(compare(stored, ObservedState::of(task.state, task.cause), true)).or_default() += 1;
         }
         for ((job, index), attempt) in wanted {
-            if m.find(job, *index, *attempt).is_none() {
+            if machine.find(job, *index, *attempt).is_none() {
                 *cases.entry(compare(RecordedState::Wanted, ObservedState::Absent, false)).or_default() += 1;
             }
         }
--- a/src/controller/store_sync.rs
+++ b/src/controller/store_sync.rs
@@ -1,57 +1,58 @@
-//! Keeping in step with the store: the lease, the snapshot read, the watch, and the
-//! read barriers that prove the replica fresh.
+//! Synchronization with the store: the lease, the initial scan, the watch, and the read
+//! barriers that prove the replica fresh.
 
 use super::*;
 use crate::coordination::store_session::SyncState;
 use crate::protocol::decode;
 use crate::protocol::store::{Condition, Lease, LeaseRequest, Op, Rows, TxnResponse, WatchResponse};
 
-/// The session with the store, and the snapshot that is being read from it.
+/// The session with the store, and the replica that a scan is reading from it.
 #[derive(Debug)]
 pub(super) struct StoreAccess {
-    /// Lease, watch, snapshot read and read barrier.
+    /// The state of the lease, the scan, the watch and the read barriers.
     pub(super) session: StoreSession,
-    /// The replica that is read page by page, until it takes the place of the current one.
+    /// The replica that a scan fills page by page, before it replaces the current one.
     snapshot: ClusterState,
 }
 
-/// Renewals of a lease go so often within its time.
+/// How often a lease is renewed within its time to live.
 const RENEWALS_PER_LEASE: u32 = 4;
-/// Heartbeat intervals after which the replica's freshness is proved again.
-const BARRIER_INTERVAL: f64 = 0.25;
-/// Heartbeat intervals within which a read barrier is answered.
-const BARRIER_TIMEOUT: f64 = 0.5;
-/// Heartbeat intervals for which the store holds a watch without changes open.
-const WATCH_HOLD: f64 = 2.0;
+/// Heartbeat intervals after which the replica has to be proved fresh again.
+const BARRIER_INTERVALS: f64 = 0.25;
+/// Heartbeat intervals after which a read barrier times out.
+const BARRIER_TIMEOUT_INTERVALS: f64 = 0.5;
+/// Heartbeat intervals for which the store holds a watch call open while nothing changes.
+const WATCH_HOLD_INTERVALS: f64 = 2.0;
 
 impl StoreAccess {
-    /// A session that has not begun, and an empty replica to read into.
+    /// A session that has not begun, and an empty replica to scan into.
     pub(super) fn new(session: StoreSession, snapshot: ClusterState) -> StoreAccess {
         StoreAccess { session, snapshot }
     }
 
-    /// Renewals that get through without their answers would keep a member alive
-    /// that sees nothing: it gives its lease up, and the others take over.
+    /// Drops a lease whose renewals have had no answer for its time to live. If the renewals
+    /// arrive and only their answers are lost, the store keeps a member alive that sees
+    /// nothing; without renewals the lease expires and the other controllers take over.
     fn drop_unrenewed_lease(&mut self, now: Instant) {
         let session = &mut self.session;
         if session.lease.is_some() && now.saturating_sub(session.lease_from) > session.ttl {
-            tracing::info!("lease_dropped_without_renewal");
+            tracing::info!("lease dropped, renewals got no answer");
             session.lease = None;
         }
     }
 
-    /// Whether a call about the lease is to go now.
+    /// Whether the lease is to be requested or renewed now.
     fn lease_call_due(&self, now: Instant) -> bool {
         !self.session.lease_call_in_flight && now >= self.session.lease_renewal_at
     }
 
-    /// A call about the lease goes out.
+    /// Notes that a request for a lease, or its renewal, is sent.
     fn begin_lease_call(&mut self, now: Instant) {
         self.session.lease_call_in_flight = true;
         self.session.lease_renewal_at = now + self.session.ttl / RENEWALS_PER_LEASE;
     }
 
-    /// The request for a lease has ended; true where there is one now.
+    /// Handles the result of a request for a lease; returns whether it was granted.
     fn end_lease_request(&mut self, now: Instant, result: Result<Reply, NoAnswer>) -> bool {
         self.session.lease_call_in_flight = false;
         match result.ok().filter(|reply| reply.status == 200).and_then(|reply| decode::<Lease>(&reply.body).ok()) {
@@ -67,67 +68,68 @@
         }
     }
 
-    /// The renewal of the lease has ended.
+    /// Handles the result of a renewal.
     fn end_renewal(&mut self, now: Instant, result: &Result<Reply, NoAnswer>) {
         self.session.lease_call_in_flight = false;
         let status = result.as_ref().ok().map(|reply| reply.status);
         if status.is_some() {
-            // A refusal is an answer: it was not carried out.
+            // A refusal counts as an answer: the renewal was not carried out.
             self.session.lease_from = now;
         }
         if status != Some(200) {
             self.session.lease_renewal_at = now; // as soon as the retry policy allows
         }
         if status == Some(404) {
-            tracing::info!("lease_lost");
+            tracing::info!("lease lost");
             self.session.lease = None;
         }
     }
 
-    /// Whether the next page of the snapshot may be read now.
+    /// Whether the next page of the scan may be read now.
     fn page_due(&self, now: Instant) -> bool {
         !self.session.scan_in_flight && now >= self.session.scan_not_before && self.session.scan_bucket.may(now)
     }
 
-    /// The read of a page goes out.
+    /// Notes that the read of a page is sent.
     fn begin_page(&mut self, now: Instant) {
         self.session.scan_in_flight = true;
         self.session.scan_bucket.take(now);
     }
 
-    /// Whether the next changes may be asked for now.
+    /// Whether the next watch call may be made now.
     fn watch_due(&self, now: Instant) -> bool {
         !self.session.watch_in_flight && self.session.watch_bucket.may(now)
     }
 
-    /// The watch goes out.
+    /// Notes that a watch call is sent.
     fn begin_watch(&mut self, now: Instant) {
         self.session.watch_in_flight = true;
         self.session.watch_bucket.take(now);
     }
 
-    /// Whether a read barrier may go out now.
-    fn barrier_may_go(&self, now: Instant) -> bool {
+    /// Whether a read barrier may be sent now.
+    fn barrier_allowed(&self, now: Instant) -> bool {
         !self.session.barrier_in_flight && self.session.barrier_bucket.may(now)
     }
 
-    /// A read barrier goes out.
+    /// Notes that a read barrier is sent.
     fn begin_barrier(&mut self, now: Instant) {
         self.session.barrier_in_flight = true;
         self.session.barrier_bucket.take(now);
         self.session.barrier_sent_at = now;
     }
 
-    /// The store was at `revision` after the barrier was sent: once the replica has
-    /// come as far, it is as fresh as that.
-    fn pass_barrier(&mut self, revision: u64, replica: u64) {
+    /// Handles the answer of a read barrier: the store was at `revision` at some time after
+    /// the barrier was sent. So once the replica has applied that revision, it contains
+    /// everything that the store held when the barrier was sent.
+    fn barrier_answered(&mut self, revision: u64, replica_revision: u64) {
         self.session.barriers.push((revision, self.session.barrier_sent_at));
-        self.session.reached(replica);
+        self.session.reached(replica_revision);
     }
 }
 
 impl Controller {
-    /// Keeps the lease and the replica current: every call to the store that is due goes.
+    /// Keeps the lease and the replica current: makes every call to the store that is due.
     pub(super) fn synchronize(&mut self) {
         self.store.drop_unrenewed_lease(self.now);
         self.renew_lease();
@@ -137,14 +139,14 @@
         }
     }
 
-    /// What is due of a replica that is loaded.
+    /// Makes the calls that are due once the replica is loaded.
     fn follow_store(&mut self) {
         self.watch_store();
         self.register_member();
         self.prove_freshness();
     }
 
-    /// Renews the lease, or asks for one where there is none.
+    /// Renews the lease, or requests one if there is none.
     fn renew_lease(&mut self) {
         let lease = self.store.session.lease;
         let purpose = if lease.is_some() { Retry::Renew } else { Retry::Lease };
@@ -165,7 +167,7 @@
         }
     }
 
-    /// Reads the next page of the stored state.
+    /// Reads the next page of the scan, if it is due.
     fn read_next_page(&mut self) {
         if !self.store.page_due(self.now) || !self.retry.may(Retry::Scan, self.now) {
             return;
@@ -175,35 +177,37 @@
         self.call(Target::State, "GET", path, None, self.store.session.ttl, Purpose::Scan);
     }
 
-    /// Reads what proves the replica fresh, where somebody waits for it or it is time.
+    /// Sends a read barrier if requests wait for one, or if the last proof that the replica
+    /// is fresh is too old.
     fn prove_freshness(&mut self) {
         let now = self.now;
-        let tolerated = self.heartbeat_intervals(BARRIER_INTERVAL);
-        let stale = self.store.session.staleness(now).is_none_or(|staleness| staleness > tolerated);
+        let max_staleness = self.heartbeat_intervals(BARRIER_INTERVALS);
+        let stale = self.store.session.staleness(now).is_none_or(|staleness| staleness > max_staleness);
         let due = self.api.awaits_read() || stale;
-        if !due || !self.store.barrier_may_go(now) || !self.retry.may(Retry::Barrier, now) {
+        if !due || !self.store.barrier_allowed(now) || !self.retry.may(Retry::Barrier, now) {
             return;
         }
         self.store.begin_barrier(now);
         self.answer_requests(RequestEvent::ReadSent);
         let path = store::key_path(records::BARRIER_KEY);
-        let timeout = self.heartbeat_intervals(BARRIER_TIMEOUT);
+        let timeout = self.heartbeat_intervals(BARRIER_TIMEOUT_INTERVALS);
         self.call(Target::State, "GET", path, None, timeout, Purpose::Barrier);
     }
 
-    /// Asks for the changes after those that the replica shows.
+    /// Requests the changes after the replica's revision.
     fn watch_store(&mut self) {
         if !self.store.watch_due(self.now) || !self.retry.may(Retry::Watch, self.now) {
             return;
         }
         self.store.begin_watch(self.now);
-        let hold = self.heartbeat_intervals(WATCH_HOLD);
+        let hold = self.heartbeat_intervals(WATCH_HOLD_INTERVALS);
         let path = store::watch_path(records::PREFIX, self.state.revision, hold.as_millis() as u64);
         self.call(Target::State, "GET", path, None, hold * 2, Purpose::Watch);
     }
 
-    /// Keeps this incarnation's member record on the lease. No limit holds it back but
-    /// the retry policy: who is no member can do nothing else.
+    /// Writes the member record of this incarnation, attached to the lease, if the replica
+    /// does not show it. Only the retry policy limits this write: a controller that is no
+    /// member can do nothing else.
     fn register_member(&mut self) {
         let Some(lease) = self.store.session.lease else { return };
         let key = records::member_key(&self.process.member);
@@ -214,74 +218,77 @@
             return;
         }
         let version = self.state.members.get(&self.process.member).map_or(0, |m| m.version);
-        let rec = records::MemberRecord { incarnation: self.process.incarnation };
+        let record = records::MemberRecord { incarnation: self.process.incarnation };
         let txn = Txn {
             conditions: vec![Condition { key: key.clone(), version }],
-            ops: vec![Op::Put { key, data: records::to_value(&rec), lease: Some(lease) }],
+            ops: vec![Op::Put { key, data: records::to_value(&record), lease: Some(lease) }],
         };
-        self.txn(txn, Why::Member);
+        self.txn(txn, Why::RegisterMember);
     }
 
-    /// A call that keeps this process in step with the store has ended.
-    pub(super) fn sync_answer(&mut self, purpose: &Purpose, result: Result<Reply, NoAnswer>) {
+    /// Handles the result of a call that synchronizes this controller with the store.
+    pub(super) fn handle_store_result(&mut self, purpose: &Purpose, result: Result<Reply, NoAnswer>) {
         match purpose {
-            Purpose::Lease => self.lease_answer(result),
+            Purpose::Lease => self.handle_lease_result(result),
             Purpose::Renew => self.store.end_renewal(self.now, &result),
-            Purpose::Scan => self.page_answer(result),
-            Purpose::Watch => self.watch_answer(result),
-            Purpose::Barrier => self.barrier_answer(&result),
+            Purpose::Scan => self.handle_page_result(result),
+            Purpose::Watch => self.handle_watch_result(result),
+            Purpose::Barrier => self.handle_barrier_result(&result),
             _ => {}
         }
     }
 
-    fn lease_answer(&mut self, result: Result<Reply, NoAnswer>) {
+    fn handle_lease_result(&mut self, result: Result<Reply, NoAnswer>) {
         if self.store.end_lease_request(self.now, result) && self.store.session.following() {
             self.register_member();
         }
     }
 
-    fn page_answer(&mut self, result: Result<Reply, NoAnswer>) {
+    fn handle_page_result(&mut self, result: Result<Reply, NoAnswer>) {
         self.store.session.scan_in_flight = false;
         if let Ok(reply) = result
             && reply.status == 200
             && let Ok(rows) = decode::<Rows>(&reply.body)
         {
-            self.scanned(rows);
+            self.apply_page(rows);
         }
     }
 
-    fn watch_answer(&mut self, result: Result<Reply, NoAnswer>) {
+    fn handle_watch_result(&mut self, result: Result<Reply, NoAnswer>) {
         self.store.session.watch_in_flight = false;
         match result {
             Ok(reply) if reply.status == 200 => match decode::<WatchResponse>(&reply.body) {
-                Ok(changes) => self.watched(changes),
-                Err(_) => self.reload(),
+                Ok(changes) => self.apply_changes(changes),
+                Err(_) => self.restart_scan(),
             },
-            Ok(reply) if reply.status == 410 => self.reload(),
+            Ok(reply) if reply.status == 410 => self.restart_scan(),
             Ok(_) | Err(NoAnswer) => {}
         }
     }
 
-    /// The key of the barrier never exists: the answer that counts is that it is absent,
-    /// and as of which revision.
-    fn barrier_answer(&mut self, result: &Result<Reply, NoAnswer>) {
+    /// Handles the result of a read barrier. The barrier's key never exists: the valid
+    /// answer says that it is absent, and at which revision of the store.
+    fn handle_barrier_result(&mut self, result: &Result<Reply, NoAnswer>) {
         self.store.session.barrier_in_flight = false;
         let absent = result.as_ref().ok().filter(|reply| reply.status == 404);
         let revision = absent.and_then(|reply| decode::<TxnResponse>(&reply.body).ok()).map(|answer| answer.revision);
         self.answer_requests(revision.map_or(RequestEvent::ReadFailed, RequestEvent::Read));
         if let Some(revision) = revision {
-            self.store.pass_barrier(revision, self.state.revision);
+            self.store.barrier_answered(revision, self.state.revision);
         }
         self.answer_requests(RequestEvent::ClusterState(self.state.revision));
     }
 
-    fn reload(&mut self) {
-        tracing::info!("watch_fell_behind");
+    /// Scans the store again, because the watch cannot continue from the replica's revision.
+    fn restart_scan(&mut self) {
+        tracing::info!("watch fell behind, reading the state again");
         self.transactions.observe_gap();
         self.store.session.restart_scan(self.now);
     }
 
-    fn scanned(&mut self, rows: Rows) {
+    /// Adds a page of the scan to the snapshot; after the last page the snapshot becomes the
+    /// replica.
+    fn apply_page(&mut self, rows: Rows) {
         if self.store.session.scan_revision.is_none() {
             self.store.snapshot = ClusterState::loading(self.state.checkpoint_size, rows.revision);
             self.store.session.scan_revision = Some(rows.revision);
@@ -296,60 +303,61 @@
             self.store.session.scan_cursor = last.key.clone();
             return self.read_next_page();
         }
-        // Changes during the paging come again from the watch.
-        let mut view = std::mem::take(&mut self.store.snapshot);
-        view.loaded();
-        if view.format_version() > records::FORMAT_VERSION {
+        // The watch repeats the changes that were made during the scan.
+        let mut replica = std::mem::take(&mut self.store.snapshot);
+        replica.loaded();
+        if replica.format_version() > records::FORMAT_VERSION {
             tracing::error!(
-                format_version = view.format_version(),
+                format_version = replica.format_version(),
                 known = records::FORMAT_VERSION,
-                "the stored state is of a later form than this program knows; nothing is started"
+                "stored state has a later format than this program supports, starting nothing"
             );
             self.store.session.restart_scan(self.now + self.secs(self.config.settings.workers.lease_s));
             return;
         }
-        view.follows(&self.state);
-        self.state = view;
+        replica.follows(&self.state);
+        self.state = replica;
         self.agents.forget_followed_records();
         self.store.session.load = SyncState::Following;
         self.startup.loaded(self.now);
-        if let Some(c) = self.state.catalog.as_ref().filter(|_| self.cloud.catalog().is_empty()) {
-            // Until the cloud answers; it is asked all the same.
-            self.cloud.load_stored_catalog(&c.rec.types);
+        if let Some(catalog) = self.state.catalog.as_ref().filter(|_| self.cloud.catalog().is_empty()) {
+            // Used until the cloud answers; the cloud is asked all the same.
+            self.cloud.load_stored_catalog(&catalog.rec.types);
         }
         self.scheduler.request_round();
         tracing::info!(
             revision = self.state.revision,
             jobs = self.state.jobs.len(),
             machines = self.state.machines.len(),
-            "state_loaded"
+            "state loaded"
         );
-        self.settle(true);
-        self.view_changed();
-        // What workers wait for begins with these; none of them waits for a tick.
+        self.resolve_transactions(true);
+        self.replica_changed();
+        // Workers wait for what these calls lead to, so the calls do not wait for a tick.
         self.follow_store();
     }
 
-    fn watched(&mut self, f: WatchResponse) {
+    /// Applies the changes that the watch has returned to the replica.
+    fn apply_changes(&mut self, changes: WatchResponse) {
         if !self.store.session.following() {
             return;
         }
-        for n in &f.events {
-            // All before this change is in the view by now.
-            self.state.reached(n.version.saturating_sub(1));
-            if let (Some(key), Some(data)) = (&n.put, &n.data) {
-                self.state.put(key, data, n.version);
-                self.transactions.observe_change(key, Some(data), n.version);
+        for change in &changes.events {
+            // Every earlier change has been applied by now.
+            self.state.reached(change.version.saturating_sub(1));
+            if let (Some(key), Some(data)) = (&change.put, &change.data) {
+                self.state.put(key, data, change.version);
+                self.transactions.observe_change(key, Some(data), change.version);
             }
-            if let Some(key) = &n.delete {
-                self.state.delete(key, n.version);
-                self.transactions.observe_change(key, None, n.version);
+            if let Some(key) = &change.delete {
+                self.state.delete(key, change.version);
+                self.transactions.observe_change(key, None, change.version);
             }
         }
-        self.scheduler.request_round_if(!f.events.is_empty());
-        self.state.reached(f.revision);
+        self.scheduler.request_round_if(!changes.events.is_empty());
+        self.state.reached(changes.revision);
         self.store.session.reached(self.state.revision);
-        self.settle(false);
-        self.view_changed();
+        self.resolve_transactions(false);
+        self.replica_changed();
     }
 }
--- a/src/controller/transactions.rs
+++ b/src/controller/transactions.rs
@@ -1,5 +1,5 @@
-//! Transactions: what each is for, how many may go, and what follows from their
-//! answers. The one place that writes to the state service.
+//! Transactions: the purpose of each, the rate at which they may be sent, and what follows
+//! from their outcome. All transactions with the state service are sent from this module.
 
 use super::*;
 use crate::coordination::in_flight_writes::Proof;
@@ -7,28 +7,29 @@
 use crate::state::log_segment::Facts;
 use ciborium::Value;
 
-/// Transactions under way, the records that they lock, and their rate.
+/// The transactions in flight, the keys that they lock, and the limit of their rate.
 #[derive(Debug)]
 pub(super) struct Transactions {
-    /// Transactions without a result, and what settles them.
+    /// Transactions without an outcome, and the evidence that resolves them.
     in_flight: InFlightWrites,
-    /// Keys that a transaction under way writes or rests on.
+    /// Keys that a transaction in flight writes or is conditional on.
     locked_keys: BTreeSet<String>,
-    /// Records that a refused write had outdated: it would be refused again until
-    /// the replica has come to this revision.
+    /// Keys whose record in the replica is outdated, as a failed condition has shown. A
+    /// write would fail again until the replica has applied this revision.
     outdated: BTreeMap<String, u64>,
-    /// This controller's part of the store's write limit.
+    /// Limits writes to this controller's share of the store's write limit.
     rate: RateLimiter,
     /// When the store answered again after the last outage.
     store_recovered_at: Option<Instant>,
-    /// What was written since the last summary, by kind.
-    written: BTreeMap<&'static str, Writes>,
-    /// How long the store took over transactions, in milliseconds.
+    /// Counts of transactions since the last summary, by kind.
+    written: BTreeMap<&'static str, WriteCounts>,
+    /// How long transactions took, in milliseconds.
     durations_ms: Histogram<u64>,
 }
 
 impl Transactions {
-    /// Nothing under way; `rate` is this controller's part of the changes a second.
+    /// No transactions in flight; `rate` is this controller's share of the store's write
+    /// limit, in changes per second.
     pub(super) fn new(rate: f64) -> Transactions {
         Transactions {
             in_flight: InFlightWrites::default(),
@@ -37,73 +38,76 @@
             rate: RateLimiter::new(rate),
             store_recovered_at: None,
             written: BTreeMap::new(),
-            durations_ms: Histogram::new_with_max(LONGEST_TXN_MS, 2).expect("bounds are good"),
+            durations_ms: Histogram::new_with_max(MAX_TXN_DURATION_MS, 2).expect("histogram bounds are valid"),
         }
     }
 
-    /// Whether a transaction under way writes or rests on this key.
+    /// Whether a transaction in flight writes this key or is conditional on it.
     pub(super) fn is_locked(&self, key: &str) -> bool {
         self.locked_keys.contains(key)
     }
 
-    /// Whether a write of this key was refused for a change that the replica lacks yet.
+    /// Whether a write of this key failed because of a change that the replica has not
+    /// applied yet.
     pub(super) fn is_outdated(&self, key: &str) -> bool {
         self.outdated.contains_key(key)
     }
 
-    /// The replica's record of this key is older than `revision`.
+    /// Notes that the replica's record of this key is outdated until the replica has applied
+    /// `revision`.
     pub(super) fn mark_outdated(&mut self, key: &str, revision: u64) {
         self.outdated.insert(key.to_string(), revision);
     }
 
-    /// The replica has come to `revision`: what was outdated up to it may be written again.
+    /// Notes that the replica has applied `revision`: records that were outdated until then may
+    /// be written again.
     pub(super) fn forget_outdated(&mut self, revision: u64) {
-        self.outdated.retain(|_, needed| *needed > revision);
+        self.outdated.retain(|_, required| *required > revision);
     }
 
-    /// This controller's part of the store's write limit, in changes a second.
+    /// This controller's share of the store's write limit, in changes per second.
     pub(super) fn write_rate(&self) -> f64 {
         self.rate.rate
     }
 
-    /// Sets this controller's part of the store's write limit.
+    /// Sets this controller's share of the store's write limit, in changes per second.
     pub(super) fn set_write_rate(&mut self, rate: f64) {
         self.rate.rate = rate;
     }
 
-    /// Changes that may be written now without borrowing.
+    /// Changes that may be written now without borrowing; negative if in debt.
     pub(super) fn unspent_writes(&self, now: Instant) -> f64 {
         self.rate.level(now)
     }
 
-    /// The store answers again after an outage, for all controllers at once.
+    /// Notes that the store answers again after an outage, for all controllers at once.
     pub(super) fn store_recovered(&mut self, now: Instant) {
         self.rate.store_is_back(now);
         self.store_recovered_at = Some(now);
     }
 
-    /// How long ago the last outage of the store ended.
+    /// Time since the last outage of the store ended; `None` if there was none.
     pub(super) fn since_store_recovered(&self, now: Instant) -> Option<Duration> {
         self.store_recovered_at.map(|at| now.saturating_sub(at))
     }
 
-    /// The watch shows a change of a key, after all changes before it.
+    /// Notes a change of a key that the watch shows, after all changes before it.
     pub(super) fn observe_change(&mut self, key: &str, data: Option<&Value>, revision: u64) {
         self.in_flight.changed(key, data, revision);
     }
 
-    /// A read shows what a key holds, whatever it held before.
+    /// Notes the value of a key that a scan shows; earlier changes of it may be missed.
     pub(super) fn observe_row(&mut self, key: &str, data: &Value, revision: u64) {
         self.in_flight.shows(key, Some(data), revision);
     }
 
-    /// Changes may be missed from here on: only answers, or what a transaction put, settle
-    /// those under way.
+    /// Notes that changes may have been missed. From then on a transaction in flight is
+    /// resolved only by its answer, or by the store holding what it puts.
     pub(super) fn observe_gap(&mut self) {
         self.in_flight.gap();
     }
 
-    /// A transaction goes out under this call: it is charged and its keys are locked.
+    /// Notes that a transaction is sent with this call: charges it and locks its keys.
     fn begin(
         &mut self,
         id: CallId,
@@ -114,16 +118,17 @@
         now: Instant,
     ) -> PendingTransaction {
         let charge = self.rate.charge(now, txn.ops.len() as f64);
-        let written = self.written.entry(why.name()).or_default();
-        written.sent += 1;
-        written.changes += txn.ops.len();
+        let counts = self.written.entry(why.name()).or_default();
+        counts.sent += 1;
+        counts.changes += txn.ops.len();
         self.locked_keys.extend(keys.iter().cloned());
         self.in_flight.sent(id, &txn, known_revision);
         PendingTransaction { txn, why, keys, charge, sent_at: now }
     }
 
-    /// The call of a transaction has ended: nothing that the store shows settles it any
-    /// more. What the store refused for now was not written, and is not charged.
+    /// Handles the end of a transaction's call: what the store shows no longer resolves the
+    /// transaction. If the store refused it with status 503, it was not written, and its
+    /// charge is refunded.
     fn end_call(&mut self, id: CallId, charge: Charge, result: &Result<Reply, NoAnswer>, now: Instant) {
         self.in_flight.ended(id);
         if result.as_ref().is_ok_and(|reply| reply.status == 503) {
@@ -131,10 +136,10 @@
         }
     }
 
-    /// A transaction has ended: its keys are free, and its duration is counted.
+    /// Unlocks the keys of a transaction that has ended, and counts its duration.
     fn finish(&mut self, pending: &PendingTransaction, ended: &Ended, now: Instant) {
-        let took = now.saturating_sub(pending.sent_at).as_millis() as u64;
-        self.durations_ms.saturating_record(took);
+        let duration_ms = now.saturating_sub(pending.sent_at).as_millis() as u64;
+        self.durations_ms.saturating_record(duration_ms);
         for key in &pending.keys {
             self.locked_keys.remove(key);
         }
@@ -143,78 +148,87 @@
         }
     }
 
-    /// Logs what was written since the last summary, and starts to count anew.
+    /// Logs the counts and durations since the last summary, and resets them.
     pub(super) fn log_summary(&mut self) {
-        for (kind, writes) in std::mem::take(&mut self.written) {
+        for (kind, counts) in std::mem::take(&mut self.written) {
             tracing::debug!(
                 kind,
-                sent = writes.sent,
-                changes = writes.changes,
-                failed = writes.failed,
-                "transactions_by_kind"
+                sent = counts.sent,
+                changes = counts.changes,
+                failed = counts.failed,
+                "transactions by kind"
             );
         }
         let p50_ms = self.durations_ms.value_at_quantile(0.5);
         let p99_ms = self.durations_ms.value_at_quantile(0.99);
-        tracing::debug!(count = self.durations_ms.len(), p50_ms, p99_ms, "transaction_durations");
+        tracing::debug!(count = self.durations_ms.len(), p50_ms, p99_ms, "transaction durations");
         self.durations_ms.reset();
     }
 }
 
-/// A transaction that was sent, and what its end needs to know of it.
+/// A transaction in flight, with what is needed when it ends.
 #[derive(Debug)]
 pub(super) struct PendingTransaction {
     txn: Txn,
     why: Why,
-    /// Keys that are locked until it ends.
+    /// Keys that are locked until the transaction ends.
     keys: Vec<String>,
-    /// What it took of the write rate; given back if it was refused.
+    /// What it took from the write rate; refunded if the store refuses it with status 503.
     charge: Charge,
     sent_at: Instant,
 }
 
-/// What a transaction was for.
+/// The purpose of a transaction.
 #[derive(Debug)]
 pub(super) enum Why {
+    /// Accepts the submission of this job.
     Accept(String),
+    /// Cancels this job.
     Cancel(String),
-    /// Starts and exits, and the parts of limits that starts took without
-    /// changing the teams' records.
+    /// Appends a segment to this controller's log of starts and exits.
     Segment {
+        /// What the segment says of each job.
         facts: BTreeMap<String, Facts>,
+        /// Parts of team limits that its starts reserve without changing the teams' records.
         reservations: Vec<super::quota::Reservation>,
     },
-    /// Checkpoints.
+    /// Compacts log segments into checkpoints.
     Fold,
-    Lead,
-    Member,
-    Enrol,
+    /// Makes this controller the leader.
+    Election,
+    /// Writes this controller's member record.
+    RegisterMember,
+    /// Records new machines.
+    RegisterMachines,
+    /// Grants machine groups or a whole shard to a controller.
     Grant,
-    /// The end of a job whose last task is gone.
+    /// Ends a job whose last task is gone.
     Close,
+    /// Moves waiting tasks between controllers.
     ReassignTasks,
-    /// A machine is to be drained, or not any more.
+    /// Marks machines for draining, or removes the mark.
     Mark,
-    /// A machine that was released leaves the records.
+    /// Removes machines that were released from the records.
     Forget,
-    /// A team comes near its limit.
+    /// Makes a team's limit strict, because the team has come near it.
     Limit,
-    /// What the cloud offers.
+    /// Stores the cloud's machine types.
     Catalog,
-    /// A campaign goes on.
+    /// Advances a maintenance campaign.
     Maintenance,
 }
 
 impl Why {
+    /// The name of this kind of transaction in log fields.
     pub(super) fn name(&self) -> &'static str {
         match self {
             Why::Accept(_) => "accept",
             Why::Cancel(_) => "withdraw",
             Why::Segment { .. } => "segment",
             Why::Fold => "fold",
-            Why::Lead => "lead",
-            Why::Member => "member",
-            Why::Enrol => "enrol",
+            Why::Election => "lead",
+            Why::RegisterMember => "member",
+            Why::RegisterMachines => "enrol",
             Why::Grant => "grant",
             Why::Close => "close",
             Why::ReassignTasks => "relet",
@@ -227,86 +241,104 @@
     }
 }
 
-/// How a transaction ended, by whatever proof came first.
+/// The outcome of a transaction, by the first proof of any kind.
 #[derive(Debug)]
 pub(super) enum Ended {
-    /// Carried out, by the change of this revision.
+    /// Carried out at this revision.
     Done(u64),
-    /// Never carried out: these keys had changed, as of a revision; all of them may have
-    /// where none is named.
-    Void { failed: Vec<String>, revision: u64 },
-    /// Not carried out: the store said no.
+    /// Not carried out and never will be, because records that it is conditional on have
+    /// changed.
+    Void {
+        /// Keys whose conditions failed. If empty, any of the conditions may have failed.
+        failed: Vec<String>,
+        /// The store's revision at which they had changed.
+        revision: u64,
+    },
+    /// Not carried out: the store refused it with this status.
     Refused(u16),
-    /// It may be carried out yet.
+    /// No usable answer: it may have been carried out, or may still be.
     Unknown,
 }
 
 impl Ended {
+    /// The outcome that the result of the call proves.
     fn of(result: &Result<Reply, NoAnswer>) -> Ended {
-        let Ok(r) = result else { return Ended::Unknown };
-        let ledger = crate::protocol::decode::<store::TxnResponse>(&r.body);
-        match (r.status, ledger) {
-            (200, Ok(l)) => Ended::Done(l.revision),
-            (409, Ok(l)) => Ended::Void { failed: l.failed, revision: l.revision },
+        let Ok(reply) = result else { return Ended::Unknown };
+        let response = crate::protocol::decode::<store::TxnResponse>(&reply.body);
+        match (reply.status, response) {
+            (200, Ok(response)) => Ended::Done(response.revision),
+            (409, Ok(response)) => Ended::Void { failed: response.failed, revision: response.revision },
             (200, Err(_)) => Ended::Unknown,
             (status, _) => Ended::Refused(status),
         }
     }
 }
 
-/// Transactions of one kind since the last summary.
+/// Counts of transactions of one kind since the last summary.
 #[derive(Debug, Default)]
-struct Writes {
+struct WriteCounts {
     sent: u32,
+    /// Changes in all transactions that were sent.
     changes: usize,
-    /// Carried out nothing: a record had changed, or the store said no.
+    /// Transactions that are not known to have been carried out.
     failed: u32,
 }
 
 impl Controller {
-    /// Whether `n` changes may be written now that could also wait.
-    pub(super) fn may_write(&self, n: f64) -> bool {
-        self.retry.may(Retry::Write, self.now) && self.transactions.rate.has(self.now, n)
+    /// Whether this many changes that can also wait may be written now.
+    pub(super) fn may_write(&self, changes: f64) -> bool {
+        self.retry.may(Retry::Write, self.now) && self.transactions.rate.has(self.now, changes)
     }
 
-    /// Whether a change of this order may be written now, though others wait.
-    pub(super) fn may_write_as(&mut self, order: WritePriority) -> bool {
-        self.retry.may(Retry::Write, self.now) && self.transactions.rate.admits(order, self.now)
+    /// Whether a change of this priority may be written now. One that may not is remembered
+    /// as waiting.
+    pub(super) fn may_write_as(&mut self, priority: WritePriority) -> bool {
+        self.retry.may(Retry::Write, self.now) && self.transactions.rate.admits(priority, self.now)
     }
 
-    /// Sends a transaction; its keys are left alone until it is answered.
+    /// Sends a transaction with the timeout of one heartbeat interval. See
+    /// [`Controller::transact_within`] for the keys that it locks.
     pub(super) fn txn(&mut self, txn: Txn, why: Why) {
-        self.txn_within(txn, why, self.heartbeat_intervals(1.0));
+        self.transact_within(txn, why, self.heartbeat_intervals(1.0));
     }
 
-    /// The same, given up after `timeout`.
-    pub(super) fn txn_within(&mut self, txn: Txn, why: Why, timeout: Duration) {
+    /// Sends a transaction that times out after `timeout`. It locks the keys of its
+    /// conditions, except those of machine groups, shard grants and the leader, and of teams
+    /// whose record it does not write.
+    pub(super) fn transact_within(&mut self, txn: Txn, why: Why, timeout: Duration) {
         let mut keys: Vec<String> = txn.conditions.iter().map(|c| c.key.clone()).collect();
-        keys.retain(|k| {
-            !k.starts_with("fq/h/") && !k.starts_with(records::SHARD_GRANTS_PREFIX) && k != records::LEADER_KEY
+        keys.retain(|key| {
+            !key.starts_with("fq/h/") && !key.starts_with(records::SHARD_GRANTS_PREFIX) && key != records::LEADER_KEY
         });
-        // A team's record that is only looked at keeps nobody else from it.
-        keys.retain(|k| !k.starts_with(records::TEAMS_PREFIX) || txn.puts(k));
+        // A condition on a team's record alone does not keep others from writing the record.
+        keys.retain(|key| !key.starts_with(records::TEAMS_PREFIX) || txn.puts(key));
         self.send_txn_within(txn, why, keys, timeout);
     }
 
-    /// Sends a transaction that keeps `keys` busy until it is answered.
+    /// Sends a transaction that locks `keys` until it ends, with the timeout of one
+    /// heartbeat interval.
     pub(super) fn send_txn(&mut self, txn: Txn, why: Why, keys: Vec<String>) {
         self.send_txn_within(txn, why, keys, self.heartbeat_intervals(1.0));
     }
 
-    /// The same, given up after `timeout`. The one place from which any goes out.
+    /// Sends a transaction that locks `keys` until it ends, and times out after `timeout`.
+    /// Every transaction is sent from here.
     pub(super) fn send_txn_within(&mut self, txn: Txn, why: Why, keys: Vec<String>, timeout: Duration) {
-        debug_assert!(self.retry.may(Retry::Write, self.now), "{} goes past the retry policy", why.name());
+        debug_assert!(
+            self.retry.may(Retry::Write, self.now),
+            "transaction \"{}\" is sent against the retry policy",
+            why.name()
+        );
         let body = crate::protocol::encode(&txn);
         let id = self.outbox.next_call_id();
         let pending = self.transactions.begin(id, txn, why, keys, self.state.known_revision(), self.now);
         self.call(Target::State, "POST", store::TXN.into(), Some(body), timeout, Purpose::Txn(pending));
     }
 
-    /// What the store has shown settles what is under way; a later answer finds nothing.
-    /// The watch has brought what was put; of a read's rows the view may lack some.
-    pub(super) fn settle(&mut self, by_read: bool) {
+    /// Ends the transactions in flight whose outcome the store has shown; a later answer to
+    /// them is ignored. `after_scan` says that a scan has shown it: unlike after the watch,
+    /// the replica may then lack some of what they put.
+    pub(super) fn resolve_transactions(&mut self, after_scan: bool) {
         for (id, proof) in self.transactions.in_flight.settled() {
             let Some(Purpose::Txn(pending)) = self.outbox.end_call(id) else { continue };
             let ended = match proof {
@@ -315,44 +347,51 @@
             };
             if let Ended::Done(revision) = ended {
                 self.retry.ended(Retry::Write, Outcome::Answered, self.now);
-                if by_read {
-                    self.view_puts(&pending.txn, revision);
+                if after_scan {
+                    self.apply_puts(&pending.txn, revision);
                 }
             }
-            tracing::debug!(kind = pending.why.name(), ?ended, "transaction_settled_by_store");
-            self.txn_ended(pending, ended);
+            tracing::debug!(kind = pending.why.name(), ?ended, "transaction resolved by watch or scan");
+            self.end_txn(pending, ended);
         }
     }
 
-    /// Its answer came, or nothing within its time.
-    pub(super) fn txn_answer(&mut self, id: CallId, pending: PendingTransaction, result: &Result<Reply, NoAnswer>) {
+    /// Handles the result of a transaction's call.
+    pub(super) fn handle_txn_result(
+        &mut self,
+        id: CallId,
+        pending: PendingTransaction,
+        result: &Result<Reply, NoAnswer>,
+    ) {
         self.transactions.end_call(id, pending.charge, result, self.now);
         let ended = Ended::of(result);
         if let Ended::Done(revision) = ended {
-            self.view_puts(&pending.txn, revision);
+            self.apply_puts(&pending.txn, revision);
         }
-        self.txn_ended(pending, ended);
+        self.end_txn(pending, ended);
     }
 
-    fn view_puts(&mut self, txn: &Txn, revision: u64) {
+    /// Applies what a transaction has put to the replica.
+    fn apply_puts(&mut self, txn: &Txn, revision: u64) {
         self.state.observe_revision(revision);
         for op in &txn.ops {
-            // Deletes wait for the watch: it could still bring an older put.
+            // Deletions are left to the watch, which may still show an older put.
             if let store::Op::Put { key, data, .. } = op {
                 self.state.put(key, data, revision);
             }
         }
     }
 
-    /// What follows from the end of a transaction. What it put is in the view.
-    fn txn_ended(&mut self, pending: PendingTransaction, ended: Ended) {
+    /// Does what follows from the outcome of a transaction. If it was carried out, the
+    /// replica shows what it put.
+    fn end_txn(&mut self, pending: PendingTransaction, ended: Ended) {
         self.transactions.finish(&pending, &ended, self.now);
         let PendingTransaction { txn, why, .. } = pending;
         if matches!(ended, Ended::Done(_)) {
             self.scheduler.request_round();
             self.quota.records_changed(&txn);
         } else {
-            tracing::debug!(?ended, ?why, "transaction_not_applied");
+            tracing::debug!(?ended, ?why, "transaction not applied");
         }
         match why {
             Why::Accept(uid) => self.request_written(&uid, RequestKind::Submitted, &ended),
@@ -366,16 +405,19 @@
             Why::Close => {
                 self.mark_outdated_records(&txn, &ended);
             }
-            Why::Enrol => self.enrol_rentals(),
+            Why::RegisterMachines => self.enrol_rentals(),
             _ => {}
         }
-        self.view_changed();
+        self.replica_changed();
     }
 
-    /// A transaction whose host keys count as busy as well, and blocks that it grants.
+    /// Sends a transaction that also locks the machine groups that it is conditional on, and
+    /// the shard grants that it writes.
     pub(super) fn txn_keyed(&mut self, txn: Txn, why: Why) {
         let mut keys: Vec<String> = txn.conditions.iter().map(|c| c.key.clone()).collect();
-        keys.retain(|k| k != records::LEADER_KEY && (!k.starts_with(records::SHARD_GRANTS_PREFIX) || txn.puts(k)));
+        keys.retain(|key| {
+            key != records::LEADER_KEY && (!key.starts_with(records::SHARD_GRANTS_PREFIX) || txn.puts(key))
+        });
         self.send_txn(txn, why, keys);
     }
 }
--- a/src/effects.rs
+++ b/src/effects.rs
@@ -1,35 +1,37 @@
-//! Messages between the event loop and the controller's logic: events in, actions out.
-//! The logic never touches a socket or a clock.
+//! The interface between the event loop and the controller's logic: events go in, actions
+//! come out. The logic itself uses no sockets and no clock.
+
+#![warn(missing_docs)]
 
 use crate::config::Operator;
 use crate::protocol::peer::Frame;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Id of a connection on which a user, worker or load balancer waits for a response.
+/// The id of a connection on which a user, a worker or the load balancer waits for a response.
 pub type ConnId = u64;
-/// Id of a call to the store, the cloud or a worker.
+/// The id of a call to the store, the cloud or a worker.
 pub type CallId = u64;
-/// Time since the process started, by the monotonic clock.
+/// A time, given as the monotonic time since the process started.
 pub type Instant = Duration;
 
-/// What a call goes to.
+/// The service to which a call is sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Target {
-    /// The store.
+    /// The state service, which is also called the store.
     State,
-    /// The cloud.
+    /// The cloud provider's interface.
     Cloud,
     /// The worker at this address.
     Worker(SocketAddr),
 }
 
-/// What the controller has the event loop do.
+/// What the event loop is to do for the controller.
 #[derive(Debug)]
 pub enum Action {
-    /// Answer a request.
+    /// Respond to a request.
     Respond {
-        /// Connection of the request.
+        /// The connection of the request.
         conn: ConnId,
         /// Status code.
         status: u16,
@@ -38,31 +40,31 @@
         /// Seconds after which the client may retry.
         retry_after: Option<u32>,
     },
-    /// Send a request; its result comes back as [`Event::Answer`].
+    /// Send a request; its result is returned as [`Event::Answer`].
     Call {
-        /// Id that the result has.
+        /// The id that its result will have.
         id: CallId,
-        /// Where it goes.
+        /// The service to which it is sent.
         target: Target,
         /// HTTP method.
         method: &'static str,
         /// Path and query.
         path: String,
-        /// Body, if it has one.
+        /// Body, if the request has one.
         body: Option<Vec<u8>>,
-        /// Time after which it counts as not answered, from now on.
+        /// Time from now on after which the call ends without an answer.
         timeout: Duration,
     },
-    /// Send a frame to another controller; it is dropped if that is not connected.
+    /// Send a frame to another controller. It is dropped if there is no connection.
     Send {
-        /// Name of the controller.
+        /// The name of the other controller.
         member: String,
         /// The frame.
         frame: Frame,
     },
 }
 
-/// Response to a call.
+/// The response to a call.
 #[derive(Debug)]
 pub struct Reply {
     /// Status code.
@@ -71,17 +73,18 @@
     pub body: Vec<u8>,
 }
 
-/// A call got no response: it may have been carried out, or may still be.
+/// The error of a call that got no response in time. The request may have been carried out,
+/// or may still be.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("no answer")]
 pub struct NoAnswer;
 
-/// What the controller is told of.
+/// What the event loop tells the controller.
 #[derive(Debug)]
 pub enum Event {
-    /// A request of a user, worker or load balancer.
+    /// A request of a user, a worker or the load balancer.
     Request {
-        /// Connection to respond on.
+        /// The connection to respond on.
         conn: ConnId,
         /// HTTP method.
         method: String,
@@ -90,22 +93,22 @@
         /// Body, empty for none.
         body: Vec<u8>,
     },
-    /// A call ended.
+    /// The end of a call.
     Answer {
-        /// Id of the call.
+        /// The id of the call.
         id: CallId,
-        /// The response, if there was one in time.
+        /// The response, or an error if none came in time.
         result: Result<Reply, NoAnswer>,
     },
-    /// A frame of another controller.
+    /// A frame from another controller.
     Peer {
-        /// Name of the controller.
+        /// The name of the other controller.
         member: String,
         /// The frame.
         frame: Frame,
     },
-    /// The operator's file has changed, and is valid.
+    /// A new version of the operator's file, which has been validated.
     Operator(Box<Operator>),
-    /// Time has passed.
+    /// The passage of time, sent at short intervals.
     Tick,
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,5 +1,5 @@
-//! finchquay: a cluster scheduler whose controllers keep jobs running on
-//! rented machines. `docs/design.md` says how, and why it is safe.
+//! finchquay is a cluster scheduler: its controllers run jobs on machines that they provision
+//! from a cloud. `docs/design.md` describes the design, and why it is safe.
 
 #![cfg_attr(not(test), warn(clippy::unwrap_used))]
 
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,12 +1,12 @@
-//! Command line of finchquay: reads the configuration, sets up logging, runs a controller.
+//! The command line of finchquay: reads the settings, sets up logging, and runs a controller.
 
 use clap::Parser;
 use finchquay::config::Settings;
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// Exit code when the settings are refused.
-const EXIT_BAD_SETTINGS: u8 = 2;
+/// The exit code if the settings are invalid.
+const EXIT_INVALID_SETTINGS: u8 = 2;
 
 /// A controller of the finchquay cluster scheduler.
 #[derive(Parser)]
@@ -29,25 +29,26 @@
         Ok(settings) => settings,
         Err(error) => {
             eprintln!("finchquay: {error}");
-            return ExitCode::from(EXIT_BAD_SETTINGS);
+            return ExitCode::from(EXIT_INVALID_SETTINGS);
         }
     };
     if args.check {
         println!("{}: settings are good", args.config.display());
         return ExitCode::SUCCESS;
     }
-    set_up_logging();
+    init_logging();
     match finchquay::transport::run(settings, args.operator) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            tracing::error!(%error, "controller ends");
+            tracing::error!(%error, "controller failed");
             ExitCode::FAILURE
         }
     }
 }
 
-/// Logs to standard error, from the level in the environment variable `LOG_LEVEL` on.
-fn set_up_logging() {
+/// Sets up logging to standard error, at the level that the environment variable `LOG_LEVEL`
+/// names, or at the level `info`.
+fn init_logging() {
     let level = std::env::var("LOG_LEVEL").ok().and_then(|level| level.parse().ok());
     tracing_subscriber::fmt()
         .with_max_level(level.unwrap_or(tracing::Level::INFO))
