--- a/src/controller/scheduler/preemption.rs
+++ b/src/controller/scheduler/preemption.rs
@@ -190,7 +190,7 @@
                 attempt: *attempt,
                 spec: &job.spec,
                 cost: lost_s * job.spec.cores,
-                keeps: round.would_miss_deadline_if_restarted(job, ran_s),
+                would_miss_objective: round.would_miss_deadline_if_restarted(job, ran_s),
             });
         }
     }
--- a/src/placement/capacity.rs
+++ b/src/placement/capacity.rs
@@ -1,104 +1,119 @@
-//! The free capacity of a machine, and which jobs it suits.
+//! The free capacity of a machine, and which jobs may run on it.
 
-use super::SLACK;
+#![warn(missing_docs)]
+
+use super::ROUNDING_TOLERANCE;
 use crate::protocol::cloud::MachineType;
 use crate::protocol::user::{JobSpec, TASKS_LIMIT};
 use crate::state::{Images, Resources};
 
-/// The part of a time within which a fetch is expected to end: fetch rates vary by a third,
-/// and fetches share them.
-const FETCH_MARGIN: f64 = 0.7;
+/// The share of a time limit within which an image fetch must be expected to end for the limit
+/// to count as met: fetch rates vary by a third, and concurrent fetches share the rate.
+const FETCH_TIME_SHARE: f64 = 0.7;
 
-/// The free capacity of one machine, in a plan that counts what it starts.
+/// The free capacity of one machine. A plan reduces it by every task that it starts there.
 #[derive(Debug, Clone)]
 pub struct MachineCapacity {
+    /// Name of the machine.
     pub machine: String,
+    /// Label of the machine's type.
     pub machine_type: String,
+    /// Zone that the machine is in.
     pub zone: String,
+    /// Whether it is a spot machine, which the cloud may reclaim.
     pub spot: bool,
+    /// Free cores.
     pub cores: f64,
+    /// Free GPUs.
     pub gpus: f64,
+    /// Free memory, in GB.
     pub mem_gb: f64,
+    /// Cores of the empty machine.
     pub total_cores: f64,
+    /// GPUs of the empty machine.
     pub total_gpus: f64,
+    /// Memory of the empty machine, in GB.
     pub total_mem_gb: f64,
+    /// Rate at which the machine fetches images, in GB per second, shared by all its fetches.
     pub pull_gb_per_s: f64,
-    /// Images of the tasks placed there, and those that the machine is known to hold.
+    /// Two sets of images: those of the tasks placed on the machine, which it holds or
+    /// fetches, and those that it is known to hold.
     pub images: [Images; 2],
-    /// What arrays use there, which can be preempted for services.
+    /// Resources used by array tasks, which can be preempted for services.
     pub arrays: Resources,
-    /// What is still to be fetched of the images that it is fetching, in GB.
+    /// Amount still to be fetched of the images that the machine is fetching, in GB.
     pub fetching_gb: f64,
 }
 
 impl MachineCapacity {
-    /// An empty machine of this type, without images.
-    pub fn empty(name: &str, t: &MachineType, zone: &str, spot: bool) -> MachineCapacity {
+    /// The capacity of an empty machine of this type that holds no images.
+    pub fn empty(name: &str, machine_type: &MachineType, zone: &str, spot: bool) -> MachineCapacity {
         MachineCapacity {
             machine: name.to_string(),
-            machine_type: t.label.clone(),
+            machine_type: machine_type.label.clone(),
             zone: zone.to_string(),
             spot,
-            cores: t.cores,
-            gpus: t.gpus,
-            mem_gb: t.mem_gb,
-            total_cores: t.cores,
-            total_gpus: t.gpus,
-            total_mem_gb: t.mem_gb,
-            pull_gb_per_s: t.pull_gb_per_s,
+            cores: machine_type.cores,
+            gpus: machine_type.gpus,
+            mem_gb: machine_type.mem_gb,
+            total_cores: machine_type.cores,
+            total_gpus: machine_type.gpus,
+            total_mem_gb: machine_type.mem_gb,
+            pull_gb_per_s: machine_type.pull_gb_per_s,
             images: Default::default(),
             arrays: Resources::default(),
             fetching_gb: 0.0,
         }
     }
 
-    /// Whether the job allows the machine's type, its zone, and spot machines if it is one.
+    /// Whether the job may run on the machine's type, in its zone and, if it is a spot machine,
+    /// on spot machines.
     pub fn allowed(&self, spec: &JobSpec) -> bool {
-        spec.machine_types.as_ref().is_none_or(|b| b.contains(&self.machine_type))
-            && spec.zone.as_ref().is_none_or(|s| *s == self.zone)
+        spec.machine_types.as_ref().is_none_or(|types| types.contains(&self.machine_type))
+            && spec.zone.as_ref().is_none_or(|zone| *zone == self.zone)
             && (spec.spot_allowed || !self.spot)
     }
 
-    /// How many tasks like the job's there is room for, however many tasks the job has.
+    /// The number of tasks of the job's size that fit, regardless of how many tasks the job has.
     pub fn fits(&self, spec: &JobSpec) -> u32 {
         self.fits_beside(spec, &Resources::default())
     }
 
-    /// The same if what `preempted` takes were free as well.
+    /// Like [`fits`](Self::fits), as if the resources in `preempted` were free as well.
     pub(super) fn fits_beside(&self, spec: &JobSpec, preempted: &Resources) -> u32 {
-        if self.cores + preempted.cores + SLACK < spec.cores || !self.allowed(spec) {
+        if self.cores + preempted.cores + ROUNDING_TOLERANCE < spec.cores || !self.allowed(spec) {
             return 0;
         }
-        let times = |free: f64, need: f64| {
-            if need > 0.0 { ((free + SLACK) / need).floor().max(0.0) } else { f64::INFINITY }
+        let quotient = |free: f64, need: f64| {
+            if need > 0.0 { ((free + ROUNDING_TOLERANCE) / need).floor().max(0.0) } else { f64::INFINITY }
         };
-        let count = times(self.cores + preempted.cores, spec.cores)
-            .min(times(self.gpus + preempted.gpus, spec.gpus))
-            .min(times(self.mem_gb + preempted.mem_gb, spec.mem_gb));
+        let count = quotient(self.cores + preempted.cores, spec.cores)
+            .min(quotient(self.gpus + preempted.gpus, spec.gpus))
+            .min(quotient(self.mem_gb + preempted.mem_gb, spec.mem_gb));
         count.min(f64::from(TASKS_LIMIT)) as u32
     }
 
-    /// The part of the machine that is free, by its scarcest resource: on a machine whose GPUs
-    /// are in use, free cores are not usable.
+    /// The free share of the machine's scarcest resource: free cores are not usable on a machine
+    /// whose GPUs are all in use.
     pub fn free_share(&self) -> f64 {
-        let part = |free: f64, total: f64| if total > 0.0 { (free / total).max(0.0) } else { 1.0 };
-        part(self.cores, self.total_cores)
-            .min(part(self.gpus, self.total_gpus))
-            .min(part(self.mem_gb, self.total_mem_gb))
+        let share = |free: f64, total: f64| if total > 0.0 { (free / total).max(0.0) } else { 1.0 };
+        share(self.cores, self.total_cores)
+            .min(share(self.gpus, self.total_gpus))
+            .min(share(self.mem_gb, self.total_mem_gb))
     }
 
-    /// The same, as a number of its cores.
+    /// The free share ([`free_share`](Self::free_share)) as a number of cores.
     pub fn free_cores(&self) -> f64 {
         self.free_share() * self.total_cores
     }
 
-    /// Whether the machine holds the job's image, or will have fetched it.
+    /// Whether the machine holds the job's image or fetches it for a task placed there.
     pub fn has_image(&self, spec: &JobSpec) -> bool {
-        self.images.iter().any(|i| i.contains(&spec.image))
+        self.images.iter().any(|images| images.contains(&spec.image))
     }
 
-    /// Seconds until the machine holds the job's image. Fetches share the machine's rate, so
-    /// all fetches in progress count.
+    /// Seconds until the machine holds the job's image. Fetches share the machine's rate, so all
+    /// fetches in progress are included.
     pub fn image_s(&self, spec: &JobSpec) -> f64 {
         let gb = match () {
             _ if self.images[1].contains(&spec.image) => 0.0,
@@ -108,19 +123,20 @@
         if gb > 0.0 { gb / self.pull_gb_per_s } else { 0.0 }
     }
 
-    /// Whether the machine holds the job's image, or will within that time.
+    /// Whether the machine holds the job's image, or is expected to within `seconds` with a
+    /// margin for slow fetches.
     pub fn starts_within(&self, spec: &JobSpec, seconds: f64) -> bool {
-        self.image_s(spec) <= seconds * FETCH_MARGIN
+        self.image_s(spec) <= seconds * FETCH_TIME_SHARE
     }
 
-    /// A task that was counted has preempted.
+    /// Adds the resources of one task of the job back to the free capacity.
     pub fn put_back(&mut self, spec: &JobSpec) {
         self.cores += spec.cores;
         self.gpus += spec.gpus;
         self.mem_gb += spec.mem_gb;
     }
 
-    /// Takes what `count` tasks of the job need.
+    /// Removes the resources of `count` tasks of the job from the free capacity.
     pub fn take(&mut self, spec: &JobSpec, count: u32) {
         self.cores -= spec.cores * f64::from(count);
         self.gpus -= spec.gpus * f64::from(count);
--- a/src/placement/gang.rs
+++ b/src/placement/gang.rs
@@ -1,33 +1,37 @@
-//! Gangs: all tasks of one are placed together, or none.
+//! Placement of gangs: either all tasks of a gang are placed, or none.
 
-use super::{MachineCapacity, Start, Waiting, able, start, zone_capacity};
+#![warn(missing_docs)]
+
+use super::{MachineCapacity, Start, Waiting, placeable_tasks, start_tasks, zone_capacity};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Waiting gangs reserve at most this part of the machines.
-const MAX_RESERVED: f64 = 0.25;
+/// The share of the machines that may be reserved for waiting gangs.
+const MAX_RESERVED_SHARE: f64 = 0.25;
 
 /// A machine on which tasks of the gang could be placed.
 struct Candidate<'a> {
-    /// Its index among all machines.
+    /// Index of the machine in the list of all capacities.
     machine: usize,
+    /// Zone of the machine.
     zone: &'a str,
-    /// Tasks that it has room for.
+    /// Number of the gang's tasks that fit there.
     tasks: u32,
-    /// Seconds until it holds the gang's image.
+    /// Seconds until the machine holds the gang's image.
     image_s: f64,
+    /// Free capacity of the machine, as a number of cores.
     free_cores: f64,
 }
 
 /// A placement of all tasks of the gang.
 struct GangPlacement {
-    /// Seconds until the last machine holds the image: the whole gang waits for it.
+    /// Seconds until the last machine holds the image, which the whole gang waits for.
     image_s: f64,
-    /// Index of each machine, and the number of tasks there.
+    /// Machines, by index, with the number of tasks placed on each.
     tasks_by_machine: Vec<(usize, u32)>,
 }
 
-/// Places all tasks of a gang, or none: first where the image is, as the whole gang waits for
-/// the last fetch; else on the fullest machines.
+/// Places all tasks of a gang, or none. Machines that hold the image soonest come first, since
+/// the whole gang waits for its last fetch; among equal ones, the fullest.
 pub(super) fn place_gang(
     capacities: &mut [MachineCapacity],
     gang: &mut Waiting,
@@ -36,12 +40,12 @@
 ) {
     let best = best_placement(capacities, gang, reserved);
     for (machine, tasks) in best.map_or(Vec::new(), |placement| placement.tasks_by_machine) {
-        start(&mut capacities[machine], gang, tasks, starts);
+        start_tasks(&mut capacities[machine], gang, tasks, starts);
     }
 }
 
-/// The placement in which the gang starts first. A gang with zone affinity is tried in each
-/// zone by itself; of equal ones the first zone by name counts.
+/// The placement that lets the gang start soonest. A gang with zone affinity is tried in each
+/// zone separately; of equally good zones the first by name is chosen.
 fn best_placement(
     capacities: &[MachineCapacity],
     gang: &Waiting,
@@ -63,7 +67,7 @@
     best
 }
 
-/// The machines with room for tasks of the gang, in the order in which they are used.
+/// The unreserved machines with room for tasks of the gang, in order of preference.
 fn candidates<'a>(
     capacities: &'a [MachineCapacity],
     gang: &Waiting,
@@ -74,18 +78,19 @@
         .map(|(machine, capacity)| Candidate {
             machine,
             zone: &capacity.zone,
-            tasks: able(capacity, gang),
+            tasks: placeable_tasks(capacity, gang),
             image_s: capacity.image_s(gang.spec),
             free_cores: capacity.free_cores(),
         })
         .filter(|candidate| candidate.tasks > 0)
         .collect();
-    // A stable sort: equal machines stay in their order.
+    // The sort is stable: equal machines keep their order.
     candidates.sort_by(|a, b| a.image_s.total_cmp(&b.image_s).then(a.free_cores.total_cmp(&b.free_cores)));
     candidates
 }
 
-/// All tasks of the gang on these machines, in this order, or `None` if they do not fit.
+/// Places all tasks of the gang on these machines, in this order. `None` if they do not all
+/// fit.
 fn place_on<'a>(candidates: impl Iterator<Item = &'a Candidate<'a>>, gang: &Waiting) -> Option<GangPlacement> {
     let mut left = gang.tasks.len() as u32;
     let mut zones = gang.zones.clone();
@@ -106,17 +111,18 @@
     (left == 0).then_some(placement)
 }
 
-/// Reserves the machines that a waiting gang found, in the zone where it found most, until
-/// the others come free or up. Otherwise other tasks take them one by one, and the gang waits
-/// for several machines to be free at the same moment. Only so many machines are reserved at a
-/// time (see [`MAX_RESERVED`]), so that gangs do not leave a fleet idle.
+/// Reserves machines that have room for tasks of a gang that still waits, until enough others
+/// come free or boot. For a gang with zone affinity they are those of the zone with the most
+/// such machines. Without a reservation other tasks would take them one by one, and the gang
+/// would need several machines to come free at the same moment. The reserved share of the
+/// fleet is limited ([`MAX_RESERVED_SHARE`]), so that gangs do not leave it idle.
 pub(super) fn reserve_for_gang(capacities: &[MachineCapacity], gang: &Waiting, reserved: &mut BTreeSet<String>) {
     if gang.tasks.is_empty() {
         return;
     }
-    let limit = ((capacities.len() as f64 * MAX_RESERVED) as usize).saturating_sub(reserved.len());
+    let limit = ((capacities.len() as f64 * MAX_RESERVED_SHARE) as usize).saturating_sub(reserved.len());
     let mut by_zone: BTreeMap<&str, Vec<&MachineCapacity>> = BTreeMap::new();
-    for capacity in capacities.iter().filter(|c| able(c, gang) > 0 && !reserved.contains(&c.machine)) {
+    for capacity in capacities.iter().filter(|c| placeable_tasks(c, gang) > 0 && !reserved.contains(&c.machine)) {
         let zone = if gang.spec.zone_affinity { capacity.zone.as_str() } else { "" };
         by_zone.entry(zone).or_default().push(capacity);
     }
--- a/src/placement/knapsack.rs
+++ b/src/placement/knapsack.rs
@@ -1,148 +1,174 @@
-//! The 0-1 knapsack over one machine's free memory (PAPER IV-C), with CPUs and
-//! GPUs as further table dimensions. Value of a task: 1 − (c / C)².
+//! A 0-1 knapsack solver that chooses tasks for one machine, by dynamic programming over the
+//! machine's free memory, CPUs and GPUs.
+//!
+//! The knapsack over memory is that of section IV-C of PAPER; CPUs and GPUs are further
+//! dimensions of the table. A task that takes c of the machine's C CPUs has the value
+//! 1 − (c / C)².
 
-/// Equal waiting tasks that one machine could take.
+#![warn(missing_docs)]
+
+/// Identical waiting tasks that one machine could take.
 #[derive(Debug, Clone)]
 pub struct Group {
-    /// Free-to-choose name that the result refers to.
+    /// Identifier chosen by the caller, by which the result refers to the group.
     pub id: usize,
+    /// Number of tasks.
     pub count: u32,
-    /// Memory, in steps, rounded up.
+    /// Memory of one task, in steps, rounded up.
     pub mem: u32,
-    /// CPUs, in steps, rounded up.
+    /// CPUs of one task, in steps, rounded up.
     pub cpu: u32,
-    /// GPUs, in steps, rounded up.
+    /// GPUs of one task, in steps, rounded up.
     pub gpu: u32,
+    /// Value of one task (see [`value`]).
     pub value: f32,
 }
 
-/// Steps per CPU core and per GPU in the table: shares are rounded up to this.
+/// Steps per CPU core in the table: fractions of a core are rounded up to a step.
 pub const CPU_STEPS: f64 = 4.0;
+/// Steps per GPU in the table: fractions of a GPU are rounded up to a step.
 pub const GPU_STEPS: f64 = 4.0;
 
-/// What a machine has free, or a task takes, in steps: memory, CPUs, GPUs.
+/// Amounts of memory, CPUs and GPUs, in this order and in steps.
 pub type Steps = [u32; 3];
 
 impl Group {
+    /// What one task takes.
     fn steps(&self) -> Steps {
         [self.mem, self.cpu, self.gpu]
     }
 }
 
-/// Value of a task that takes `c` of the machine's `total` CPUs.
-pub fn value(c: f64, total: f64) -> f32 {
+/// The value of a task that takes `cpus` of the machine's `total` CPUs.
+pub fn value(cpus: f64, total: f64) -> f32 {
     if total <= 0.0 {
         return 0.0;
     }
-    (1.0 - (c / total).powi(2)) as f32
+    (1.0 - (cpus / total).powi(2)) as f32
 }
 
-/// Buffers that are kept from one knapsack to the next.
+/// The solver, with buffers that are reused from one knapsack to the next.
 #[derive(Debug, Default)]
 pub struct Knapsack {
+    /// Greatest value for every free amount of memory, CPUs and GPUs.
     best: Vec<f32>,
+    /// By item and free amount, whether the item is part of the best set.
     taken: Vec<bool>,
 }
 
-/// An item of the table: `times` equal tasks taken or left as one.
+/// An item of the table: `count` tasks of one group that are taken together or not at all.
 struct Item {
+    /// Index of the group in the list of groups that can be taken.
     group: usize,
-    times: u32,
-    takes: [usize; 3],
+    count: u32,
+    /// Table steps that the item takes in each dimension.
+    weight: [usize; 3],
     value: f32,
 }
 
 impl Knapsack {
-    /// How many tasks of each group to take so that the value is greatest.
+    /// Chooses how many tasks of each group to take so that their total value is greatest and
+    /// they fit into `free`. Returns group identifiers with counts above zero.
     pub fn fill(&mut self, groups: &[Group], free: Steps) -> Vec<(usize, u32)> {
-        let usable = |g: &&Group| g.count > 0 && g.steps().iter().zip(free).all(|(need, free)| *need <= free);
+        let usable =
+            |group: &&Group| group.count > 0 && group.steps().iter().zip(free).all(|(need, free)| *need <= free);
         let groups: Vec<&Group> = groups.iter().filter(usable).collect();
-        let binds = binding(&groups, free);
+        let binds = binding_dimensions(&groups, free);
         if binds == [false; 3] {
-            return groups.iter().map(|g| (g.id, g.count)).collect();
+            return groups.iter().map(|group| (group.id, group.count)).collect();
         }
-        // A common divisor of all weights makes the table smaller, and loses
-        // nothing; nor does leaving out what cannot bind.
-        let divisor = |d: usize| groups.iter().fold(0, |n, g| gcd(n, g.steps()[d])).max(1);
+        // Neither dividing all weights by a common divisor nor leaving out dimensions that
+        // cannot bind changes the result; both make the table smaller.
+        let divisor = |d: usize| groups.iter().fold(0, |common, group| gcd(common, group.steps()[d])).max(1);
         let divisors = [0, 1, 2].map(divisor);
         let sizes = [0, 1, 2].map(|d| if binds[d] { (free[d] / divisors[d]) as usize + 1 } else { 1 });
-        let weigh = |g: &Group| [0, 1, 2].map(|d| if binds[d] { (g.steps()[d] / divisors[d]) as usize } else { 0 });
-        let [w, h, l] = sizes;
-        let cells = w * h * l;
-        let items = split(&groups, weigh, sizes);
+        let weight_of =
+            |group: &Group| [0, 1, 2].map(|d| if binds[d] { (group.steps()[d] / divisors[d]) as usize } else { 0 });
+        let [mem_size, cpu_size, gpu_size] = sizes;
+        let cells = mem_size * cpu_size * gpu_size;
+        let items = split_into_items(&groups, weight_of, sizes);
         self.best.clear();
         self.best.resize(cells, 0.0);
         self.taken.clear();
         self.taken.resize(items.len() * cells, false);
-        for (k, it) in items.iter().enumerate() {
-            let taken = &mut self.taken[k * cells..(k + 1) * cells];
-            let [mem, cpu, gpu] = it.takes;
-            for g in (gpu..l).rev() {
-                for c in (cpu..h).rev() {
-                    let (row, from) = ((g * h + c) * w, ((g - gpu) * h + c - cpu) * w);
-                    for m in (mem..w).rev() {
-                        let with = self.best[from + m - mem] + it.value;
-                        if with > self.best[row + m] {
-                            self.best[row + m] = with;
+        // Amounts are visited in descending order, so that each item is taken once at most.
+        for (i, item) in items.iter().enumerate() {
+            let taken = &mut self.taken[i * cells..(i + 1) * cells];
+            let [mem, cpu, gpu] = item.weight;
+            for g in (gpu..gpu_size).rev() {
+                for c in (cpu..cpu_size).rev() {
+                    let row = (g * cpu_size + c) * mem_size;
+                    let row_without = ((g - gpu) * cpu_size + c - cpu) * mem_size;
+                    for m in (mem..mem_size).rev() {
+                        let value_with = self.best[row_without + m - mem] + item.value;
+                        if value_with > self.best[row + m] {
+                            self.best[row + m] = value_with;
                             taken[row + m] = true;
                         }
                     }
                 }
             }
         }
-        let mut out: Vec<(usize, u32)> = Vec::new();
-        let mut at = cells - 1;
-        for (k, it) in items.iter().enumerate().rev() {
-            if self.taken[k * cells + at] {
-                let [mem, cpu, gpu] = it.takes;
-                at -= (gpu * h + cpu) * w + mem;
-                let id = groups[it.group].id;
-                match out.iter_mut().find(|o| o.0 == id) {
-                    Some(o) => o.1 += it.times,
-                    None => out.push((id, it.times)),
+        // Walk back from the cell with everything free through the items of the best set.
+        let mut chosen: Vec<(usize, u32)> = Vec::new();
+        let mut cell = cells - 1;
+        for (i, item) in items.iter().enumerate().rev() {
+            if self.taken[i * cells + cell] {
+                let [mem, cpu, gpu] = item.weight;
+                cell -= (gpu * cpu_size + cpu) * mem_size + mem;
+                let id = groups[item.group].id;
+                match chosen.iter_mut().find(|entry| entry.0 == id) {
+                    Some(entry) => entry.1 += item.count,
+                    None => chosen.push((id, item.count)),
                 }
             }
         }
-        out
+        chosen
     }
 }
 
-/// Which of memory, CPUs and GPUs can keep a set from fitting. One cannot if all
-/// tasks fit, or if every set that another one allows leaves enough of it.
-fn binding(groups: &[&Group], free: Steps) -> [bool; 3] {
-    let sum = |d: usize| -> u64 { groups.iter().map(|g| u64::from(g.steps()[d]) * u64::from(g.count)).sum() };
+/// For memory, CPUs and GPUs, whether that dimension can keep a set of tasks from fitting. It
+/// cannot if there is enough of it for all tasks, or if every set that fits in another
+/// dimension that binds fits in this one as well.
+fn binding_dimensions(groups: &[&Group], free: Steps) -> [bool; 3] {
+    let sum =
+        |d: usize| -> u64 { groups.iter().map(|group| u64::from(group.steps()[d]) * u64::from(group.count)).sum() };
     let mut binds = [0, 1, 2].map(|d| sum(d) > u64::from(free[d]));
     for d in 0..3 {
-        let implied = |by: usize| {
-            let within = |g: &&Group| {
-                let (x, y) = (u64::from(g.steps()[d]), u64::from(g.steps()[by]));
-                x * u64::from(free[by]) <= y * u64::from(free[d])
+        let is_implied_by = |other: usize| {
+            // Every task takes no larger share of this dimension than of the other one.
+            let takes_no_larger_share = |group: &&Group| {
+                let (need, need_of_other) = (u64::from(group.steps()[d]), u64::from(group.steps()[other]));
+                need * u64::from(free[other]) <= need_of_other * u64::from(free[d])
             };
-            binds[by] && by != d && groups.iter().all(within)
+            binds[other] && other != d && groups.iter().all(takes_no_larger_share)
         };
-        binds[d] = binds[d] && !(0..3).any(implied);
+        binds[d] = binds[d] && !(0..3).any(is_implied_by);
     }
     binds
 }
 
-/// Binary splitting: n equal tasks become about log2(n) items.
-fn split(groups: &[&Group], weigh: impl Fn(&Group) -> [usize; 3], sizes: [usize; 3]) -> Vec<Item> {
+/// Binary splitting: n identical tasks become about log2(n) items, sums of which give every
+/// number of tasks up to n.
+fn split_into_items(groups: &[&Group], weight_of: impl Fn(&Group) -> [usize; 3], sizes: [usize; 3]) -> Vec<Item> {
     let mut items = Vec::new();
-    for (group, g) in groups.iter().enumerate() {
-        let takes = weigh(g);
-        let fits = |d: usize| (sizes[d] - 1).checked_div(takes[d]).unwrap_or(usize::MAX);
-        let most = fits(0).min(fits(1)).min(fits(2)).min(g.count as usize) as u32;
-        let (mut left, mut times) = (most, 1);
+    for (index, group) in groups.iter().enumerate() {
+        let weight = weight_of(group);
+        let fits = |d: usize| (sizes[d] - 1).checked_div(weight[d]).unwrap_or(usize::MAX);
+        let most = fits(0).min(fits(1)).min(fits(2)).min(group.count as usize) as u32;
+        let (mut left, mut size) = (most, 1);
         while left > 0 {
-            let n = times.min(left);
-            items.push(Item { group, times: n, takes: takes.map(|t| t * n as usize), value: g.value * n as f32 });
-            left -= n;
-            times *= 2;
+            let count = size.min(left);
+            let item_weight = weight.map(|steps| steps * count as usize);
+            items.push(Item { group: index, count, weight: item_weight, value: group.value * count as f32 });
+            left -= count;
+            size *= 2;
         }
     }
     items
 }
 
+/// The greatest common divisor.
 fn gcd(a: u32, b: u32) -> u32 {
     if b == 0 { a } else { gcd(b, a % b) }
 }
--- a/src/placement/knapsack/tests.rs
+++ b/src/placement/knapsack/tests.rs
@@ -1,26 +1,26 @@
-//! The knapsack against an exhaustive search.
+//! Compares the knapsack with an exhaustive search.
 
 use super::*;
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 
-/// The greatest value, found by trying every set.
+/// The greatest value of any set of tasks that fits, found by trying all sets.
 fn best_value(groups: &[Group], free: Steps) -> f32 {
-    let Some((g, rest)) = groups.split_first() else {
+    let Some((first, rest)) = groups.split_first() else {
         return 0.0;
     };
     let mut best: f32 = 0.0;
-    for n in 0..=g.count {
-        let left = [0, 1, 2].map(|d| free[d].checked_sub(n * g.steps()[d]));
+    for count in 0..=first.count {
+        let left = [0, 1, 2].map(|d| free[d].checked_sub(count * first.steps()[d]));
         let [Some(mem), Some(cpu), Some(gpu)] = left else { break };
-        best = best.max(n as f32 * g.value + best_value(rest, [mem, cpu, gpu]));
+        best = best.max(count as f32 * first.value + best_value(rest, [mem, cpu, gpu]));
     }
     best
 }
 
-/// In all dimensions; among the cases are many where some cannot bind, and
-/// leaving those out must not change the value.
+/// Covers all dimensions. Many of the cases have dimensions that cannot bind: leaving those out
+/// must not change the value.
 #[test]
-fn finds_the_value_of_an_exhaustive_search() {
+fn the_value_is_that_of_an_exhaustive_search() {
     let mut rng = StdRng::seed_from_u64(7);
     let mut knapsack = Knapsack::default();
     for round in 0..600 {
@@ -36,13 +36,15 @@
             })
             .collect();
         let free = [rng.random_range(0..30), rng.random_range(0..30), rng.random_range(0..12)];
-        let took = knapsack.fill(&groups, free);
-        let total = |f: &dyn Fn(&Group) -> f32| -> f32 { took.iter().map(|(id, n)| f(&groups[*id]) * *n as f32).sum() };
+        let chosen = knapsack.fill(&groups, free);
+        let total = |f: &dyn Fn(&Group) -> f32| -> f32 {
+            chosen.iter().map(|(id, count)| f(&groups[*id]) * *count as f32).sum()
+        };
         for (d, free) in free.iter().enumerate() {
             assert!(total(&|g| g.steps()[d] as f32) <= *free as f32, "round {round}");
         }
-        assert!(took.iter().all(|(id, n)| *n <= groups[*id].count));
-        let (got, want) = (total(&|g| g.value), best_value(&groups, free));
-        assert!((got - want).abs() < 1e-3, "round {round}: {got} {want}");
+        assert!(chosen.iter().all(|(id, count)| *count <= groups[*id].count));
+        let (found, expected) = (total(&|g| g.value), best_value(&groups, free));
+        assert!((found - expected).abs() < 1e-3, "round {round}: {found} {expected}");
     }
 }
--- a/src/placement/mod.rs
+++ b/src/placement/mod.rs
@@ -1,8 +1,12 @@
-//! Which waiting tasks start on which machines: pure functions of the free capacities and the
-//! queue.
+//! Placement: decides which waiting tasks start on which machines. All functions depend only on
+//! their arguments, chiefly the free capacities and the waiting jobs.
 //!
-//! Ordinarily a knapsack is solved per machine (`knapsack`). Beside it there are first-fit
-//! for tasks that waited too long, reservations, gangs (`gang`) and preemption (`preemption`).
+//! Most tasks are placed by solving one knapsack per machine ([`knapsack`]). Jobs that have
+//! waited too long are placed first-fit, and machines are reserved for those that still do not
+//! fit. Gangs are placed as a whole (`gang`). For urgent tasks without room, running tasks of
+//! lower priority are preempted (`preemption`).
+
+#![warn(missing_docs)]
 
 mod capacity;
 mod gang;
@@ -17,91 +21,114 @@
 use knapsack::{CPU_STEPS, GPU_STEPS, Group, Knapsack, value};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Weight of the order among tasks of equal value; too small to outweigh value.
-const TIE: f32 = 1e-3;
-/// A job with an objective counts as overdue only after this many times its objective.
-const AIMS_WAITED: f64 = 4.0;
-/// Rounding allowed when amounts are summed and compared.
-const SLACK: f64 = 1e-6;
+/// Weight of a job's position in the queue among tasks of equal value; too small to outweigh a
+/// difference in value.
+const TIE_BREAKER_WEIGHT: f32 = 1e-3;
+/// A job with an objective for its end counts as overdue only after it has waited this many
+/// times that objective.
+const OBJECTIVES_UNTIL_OVERDUE: f64 = 4.0;
+/// Tolerance for rounding errors when resource amounts are summed and compared.
+const ROUNDING_TOLERANCE: f64 = 1e-6;
 
-/// A job's tasks that wait here.
+/// A job with waiting tasks that this controller may start.
 #[derive(Debug)]
 pub struct Waiting<'a> {
+    /// Specification of the job.
     pub spec: &'a JobSpec,
-    /// In order; no longer than the window.
+    /// Indices of the waiting tasks, in the order in which they are started. [`plan`] cuts them
+    /// to the window.
     pub tasks: Vec<u32>,
+    /// How long the job has waited, in seconds.
     pub waited_s: f64,
-    /// Tasks of the job per zone that are, or may still be, on machines.
+    /// Number of the job's tasks by zone that are, or may still be, on machines.
     pub zones: BTreeMap<String, u32>,
-    /// The time left until the deadline after a run of the expected length, in seconds.
-    /// Negative if the deadline is missed already; infinite for jobs without one.
+    /// Seconds that would be left before the deadline if the tasks started now and ran as long
+    /// as expected. Negative if they would miss the deadline; infinite for jobs without one.
     pub slack_s: f64,
-    /// Work left, in CPU seconds.
+    /// Work that is left, in CPU seconds.
     pub work: f64,
-    /// The objective for the start, in seconds after the submission.
+    /// Objective for the start, in seconds after the submission.
     pub start_within_s: Option<f64>,
-    /// No machine of the shard would start it soon enough.
+    /// Whether no machine of the shard could start a task within the objective. Set by
+    /// [`plan`].
     pub hopeless: bool,
-    /// The objective for the end, in seconds after the submission.
+    /// Objective for the end, in seconds after the submission.
     pub aim_s: Option<f64>,
-    /// The number of its tasks that find room where the image is before it could be fetched
-    /// elsewhere.
+    /// Number of tasks that are kept waiting for machines that hold their image, since those
+    /// should have room for them before the image could be fetched elsewhere.
     pub stay: u32,
 }
 
 impl Waiting<'_> {
-    fn late(&self) -> bool {
+    /// Whether the job would miss its deadline even if its tasks started now.
+    fn misses_deadline(&self) -> bool {
         self.slack_s < 0.0
     }
 
-    fn starts_soon(&self, capacity: &MachineCapacity) -> bool {
-        self.start_within_s.is_none_or(|s| capacity.starts_within(self.spec, s))
+    /// Whether a task started on the machine would meet the objective for the start, if there
+    /// is one.
+    fn starts_in_time_on(&self, capacity: &MachineCapacity) -> bool {
+        self.start_within_s.is_none_or(|limit_s| capacity.starts_within(self.spec, limit_s))
     }
 
-    /// The objective for the start is missed, or there is none, or nothing can meet it.
+    /// Whether there is no objective for the start that can still be met: there is none at all,
+    /// it is missed already, or no machine can meet it.
     fn start_objective_missed(&self) -> bool {
         self.hopeless || self.start_within_s.is_none_or(|limit_s| self.waited_s > limit_s)
     }
 
+    /// The number of tasks that the job may still get in this zone.
     fn zone_capacity(&self, zone: &str) -> u32 {
         zone_capacity(self.spec, self.spec.task_count, &self.zones, zone)
     }
 }
 
-/// How many more tasks a job of `tasks` may have in this zone, given those
-/// that are, or may still be, on machines in each.
+/// The number of tasks that a job of `task_count` tasks may still get in `zone`. `zones` counts
+/// its tasks by zone that are, or may still be, on machines. A job with zone affinity may have
+/// tasks in one zone only; one with zone anti-affinity at most half of them, rounded up, in any
+/// zone.
 pub fn zone_capacity(spec: &JobSpec, task_count: u32, zones: &BTreeMap<String, u32>, zone: &str) -> u32 {
-    let here = zones.get(zone).copied().unwrap_or(0);
-    if spec.zone_affinity && zones.iter().any(|(z, n)| z != zone && *n > 0) {
+    let in_zone = zones.get(zone).copied().unwrap_or(0);
+    if spec.zone_affinity && zones.iter().any(|(other, tasks)| other != zone && *tasks > 0) {
         return 0;
     }
     if spec.zone_anti_affinity {
-        return task_count.div_ceil(2).saturating_sub(here);
+        return task_count.div_ceil(2).saturating_sub(in_zone);
     }
     u32::MAX
 }
 
-/// Settings of a round.
+/// Settings of a placement round.
 #[derive(Debug, Clone)]
 pub struct Rules {
+    /// Number of tasks of each priority that a round considers (see [`plan`]).
     pub window: usize,
+    /// Resolution of memory amounts in the knapsack, in GB.
     pub step_gb: f64,
+    /// Seconds after which a waiting job is overdue and placed first-fit. Jobs with an
+    /// objective for their end may wait longer.
     pub wait_limit_s: f64,
-    /// The number of empty ordinary machines that are kept from jobs that may use spot ones,
-    /// because gangs that may not use those wait in some shard.
+    /// Number of empty on-demand machines that are kept free of jobs that may run on spot
+    /// machines, because gangs that may not use spot machines wait in some shard.
     pub keep: usize,
 }
 
-/// One task to start.
+/// A task to start, and the machine that it starts on.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Start {
+    /// Identifier of the task's job.
     pub uid: String,
+    /// Index of the task in its job.
     pub index: u32,
+    /// Name of the machine.
     pub machine: String,
 }
 
 /// Plans one round: which waiting tasks start on which machines of this controller's shard.
-/// Jobs of higher priority come first; within a priority gangs and jobs that waited too long.
+/// Priorities are served from the highest to the lowest. Within a priority, gangs and overdue
+/// jobs come before all others. Of the other tasks of a priority only a window is considered:
+/// the longest-waiting ones, and the longest-waiting ones of jobs that can still meet their
+/// deadline. The jobs' tasks that start are removed from `waiting`.
 pub fn plan(
     capacities: &mut [MachineCapacity],
     waiting: &mut [Waiting],
@@ -110,18 +137,18 @@
 ) -> Vec<Start> {
     waiting.sort_by(|a, b| b.spec.priority.cmp(&a.spec.priority).then(b.waited_s.total_cmp(&a.waited_s)));
     mark_hopeless(waiting, capacities);
-    let least_cores = waiting.iter().map(|w| w.spec.cores).fold(f64::INFINITY, f64::min);
+    let least_cores = waiting.iter().map(|job| job.spec.cores).fold(f64::INFINITY, f64::min);
     let mut round = Round {
         capacities,
         rules,
         knapsack,
         least_cores,
         reserved: BTreeSet::new(),
-        kept: BTreeSet::new(),
+        kept_for_gangs: BTreeSet::new(),
         starts: Vec::new(),
     };
     for priority in [Priority::Production, Priority::High, Priority::Normal, Priority::Low] {
-        let mut jobs: Vec<&mut Waiting> = waiting.iter_mut().filter(|w| w.spec.priority == priority).collect();
+        let mut jobs: Vec<&mut Waiting> = waiting.iter_mut().filter(|job| job.spec.priority == priority).collect();
         limit_to_window(&mut jobs, rules.window);
         round.place_gangs_and_overdue(&mut jobs);
         round.fill_machines(&mut jobs);
@@ -129,124 +156,130 @@
     round.starts
 }
 
-/// Marks jobs that no machine of the shard would start soon enough: to wait pays only for
-/// capacity that is free, or that arrays can be preempted for.
+/// Marks jobs of which no machine of the shard could start a task within the objective. Waiting
+/// for a better machine pays only where capacity is free or arrays can be preempted for it.
 fn mark_hopeless(waiting: &mut [Waiting], capacities: &[MachineCapacity]) {
-    for w in waiting {
-        w.hopeless = !capacities.iter().any(|capacity| {
-            w.starts_soon(capacity)
-                && w.zone_capacity(&capacity.zone) > 0
-                && capacity.fits_beside(w.spec, &capacity.arrays) > 0
+    for job in waiting {
+        job.hopeless = !capacities.iter().any(|capacity| {
+            job.starts_in_time_on(capacity)
+                && job.zone_capacity(&capacity.zone) > 0
+                && capacity.fits_beside(job.spec, &capacity.arrays) > 0
         });
     }
 }
 
-/// Limits what is looked at to the oldest tasks, and to the oldest tasks of jobs that can
-/// still meet their deadline: a backlog of late jobs would hide those. Gangs stay whole.
+/// Limits the tasks considered to the longest-waiting ones, and to the longest-waiting ones of
+/// jobs that can still meet their deadline: otherwise a backlog of jobs that miss theirs would
+/// fill the window. Gangs stay whole.
 fn limit_to_window(jobs: &mut [&mut Waiting], window: usize) {
     let (mut left, mut left_in_time) = (window, window);
-    for w in jobs.iter_mut().filter(|w| w.spec.kind != JobKind::Gang) {
-        w.tasks.truncate(if w.late() { left } else { left.max(left_in_time) });
-        left = left.saturating_sub(w.tasks.len());
-        if !w.late() {
-            left_in_time = left_in_time.saturating_sub(w.tasks.len());
+    for job in jobs.iter_mut().filter(|job| job.spec.kind != JobKind::Gang) {
+        job.tasks.truncate(if job.misses_deadline() { left } else { left.max(left_in_time) });
+        left = left.saturating_sub(job.tasks.len());
+        if !job.misses_deadline() {
+            left_in_time = left_in_time.saturating_sub(job.tasks.len());
         }
     }
 }
 
-/// One round of placement, and what it has decided so far.
+/// A placement round with the decisions made so far.
 struct Round<'a> {
     capacities: &'a mut [MachineCapacity],
     rules: &'a Rules,
     knapsack: &'a mut Knapsack,
     /// The fewest cores that any waiting task needs.
     least_cores: f64,
-    /// Machines that are kept free for waiting gangs and for jobs that waited too long.
+    /// Machines reserved for waiting gangs and overdue jobs, which get no other tasks.
     reserved: BTreeSet<String>,
-    /// Machines that are kept from jobs that may use spot machines.
-    kept: BTreeSet<String>,
+    /// On-demand machines that take no tasks of jobs that may run on spot machines.
+    kept_for_gangs: BTreeSet<String>,
     starts: Vec<Start>,
 }
 
 impl Round<'_> {
-    /// Places gangs, and jobs that waited too long; reserves machines for those that do not fit.
+    /// Places gangs and overdue jobs, and reserves machines for those that do not fit.
     fn place_gangs_and_overdue(&mut self, jobs: &mut [&mut Waiting]) {
-        for w in jobs {
-            let overdue = w.waited_s >= self.rules.wait_limit(w);
-            if w.spec.kind == JobKind::Gang {
-                place_gang(self.capacities, w, &self.reserved, &mut self.starts);
-                reserve_for_gang(self.capacities, w, &mut self.reserved);
-            } else if overdue {
-                first_fit(self.capacities, w, &self.reserved, &mut self.starts);
+        for job in jobs {
+            let is_overdue = job.waited_s >= self.rules.wait_limit_of(job);
+            if job.spec.kind == JobKind::Gang {
+                place_gang(self.capacities, job, &self.reserved, &mut self.starts);
+                reserve_for_gang(self.capacities, job, &mut self.reserved);
+            } else if is_overdue {
+                place_first_fit(self.capacities, job, &self.reserved, &mut self.starts);
             }
-            if overdue && !w.tasks.is_empty() {
-                reserve(self.capacities, w, &mut self.reserved);
+            if is_overdue && !job.tasks.is_empty() {
+                reserve_emptiest(self.capacities, job, &mut self.reserved);
             }
         }
     }
 
-    /// Solves the knapsacks of all machines that are not reserved. Jobs that can still meet
-    /// their deadline go first, and for each of these two groups machines that hold the image.
+    /// Solves the knapsacks of all machines that are not reserved, tier by tier: jobs that can
+    /// still meet their deadline come first, and for each of these two groups machines that
+    /// hold the image.
     fn fill_machines(&mut self, jobs: &mut [&mut Waiting]) {
-        self.kept = keep(self.capacities, self.rules.keep);
-        // Among equals the job with the least work left goes first: that way most jobs meet
-        // their deadline when there is not room for all.
+        self.kept_for_gangs = empty_on_demand_machines(self.capacities, self.rules.keep);
+        // The job with the least work left comes first: that way the most jobs meet their
+        // deadline when there is not room for all.
         jobs.sort_by(|a, b| a.work.total_cmp(&b.work));
         for tier in Tier::all() {
             for machine in 0..self.capacities.len() {
                 let capacity = &self.capacities[machine];
-                if capacity.cores + SLACK >= self.least_cores && !self.reserved.contains(&capacity.machine) {
+                if capacity.cores + ROUNDING_TOLERANCE >= self.least_cores && !self.reserved.contains(&capacity.machine)
+                {
                     self.fill_machine(machine, jobs, tier);
                 }
             }
         }
     }
 
-    /// Solves the knapsack of one machine, and starts what it chose.
+    /// Solves the knapsack of one machine for a tier, and starts the chosen tasks.
     fn fill_machine(&mut self, machine: usize, jobs: &mut [&mut Waiting], tier: Tier) {
         let groups = self.knapsack_groups(&self.capacities[machine], jobs, tier);
         if groups.is_empty() {
             return;
         }
         let capacity = &mut self.capacities[machine];
-        let steps = |amount: f64, per_one: f64| ((amount + SLACK) * per_one).floor().max(0.0) as u32;
+        let steps =
+            |amount: f64, steps_per_unit: f64| ((amount + ROUNDING_TOLERANCE) * steps_per_unit).floor().max(0.0) as u32;
         let free = [
             steps(capacity.mem_gb, 1.0 / self.rules.step_gb),
             steps(capacity.cores, CPU_STEPS),
             steps(capacity.gpus, GPU_STEPS),
         ];
         for (id, count) in self.knapsack.fill(&groups, free) {
-            start(capacity, jobs[id], count, &mut self.starts);
+            start_tasks(capacity, jobs[id], count, &mut self.starts);
         }
     }
 
-    /// What each job offers the machine's knapsack in this tier.
+    /// The tasks of each job that may enter the machine's knapsack in this tier.
     fn knapsack_groups(&self, capacity: &MachineCapacity, jobs: &[&mut Waiting], tier: Tier) -> Vec<Group> {
-        let steps = |amount: f64, per_one: f64| ((amount - SLACK) * per_one).ceil().max(0.0) as u32;
-        let kept = self.kept.contains(&capacity.machine);
+        let steps =
+            |amount: f64, steps_per_unit: f64| ((amount - ROUNDING_TOLERANCE) * steps_per_unit).ceil().max(0.0) as u32;
+        let kept_for_gangs = self.kept_for_gangs.contains(&capacity.machine);
         let mut groups = Vec::new();
         let mut only_image: Option<&str> = None;
-        for (id, w) in jobs.iter().enumerate() {
-            let excluded = w.spec.kind == JobKind::Gang || kept && w.spec.spot_allowed;
-            if excluded || w.tasks.is_empty() || w.late() != tier.late || !tier.pass.admits(w, capacity, only_image) {
+        for (id, job) in jobs.iter().enumerate() {
+            let excluded = job.spec.kind == JobKind::Gang || kept_for_gangs && job.spec.spot_allowed;
+            let in_tier = job.misses_deadline() == tier.misses_deadline;
+            if excluded || job.tasks.is_empty() || !in_tier || !tier.pass.admits(job, capacity, only_image) {
                 continue;
             }
-            let waiting_for_image = if tier.pass.finds_image() { 0 } else { w.stay };
-            let count = able(capacity, w).min((w.tasks.len() as u32).saturating_sub(waiting_for_image));
+            let waiting_for_image = if tier.pass.finds_image() { 0 } else { job.stay };
+            let count = placeable_tasks(capacity, job).min((job.tasks.len() as u32).saturating_sub(waiting_for_image));
             if count == 0 {
                 continue;
             }
-            if tier.pass == Pass::Alone {
-                only_image = Some(&w.spec.image);
+            if tier.pass == Pass::SingleImage {
+                only_image = Some(&job.spec.image);
             }
-            let tie_breaker = TIE * (1.0 - id as f32 / jobs.len() as f32);
+            let tie_breaker = TIE_BREAKER_WEIGHT * (1.0 - id as f32 / jobs.len() as f32);
             groups.push(Group {
                 id,
                 count,
-                mem: steps(w.spec.mem_gb, 1.0 / self.rules.step_gb),
-                cpu: steps(w.spec.cores, CPU_STEPS),
-                gpu: steps(w.spec.gpus, GPU_STEPS),
-                value: value(w.spec.cores, capacity.total_cores) + tie_breaker,
+                mem: steps(job.spec.mem_gb, 1.0 / self.rules.step_gb),
+                cpu: steps(job.spec.cores, CPU_STEPS),
+                gpu: steps(job.spec.gpus, GPU_STEPS),
+                value: value(job.spec.cores, capacity.total_cores) + tie_breaker,
             });
         }
         groups
@@ -254,115 +287,121 @@
 }
 
 impl Rules {
-    fn wait_limit(&self, w: &Waiting) -> f64 {
-        let aim = w.spec.deadline_s.or(w.aim_s).unwrap_or(0.0);
-        self.wait_limit_s.max(aim * AIMS_WAITED)
+    /// Seconds after which the job is overdue.
+    fn wait_limit_of(&self, job: &Waiting) -> f64 {
+        let objective_s = job.spec.deadline_s.or(job.aim_s).unwrap_or(0.0);
+        self.wait_limit_s.max(objective_s * OBJECTIVES_UNTIL_OVERDUE)
     }
 }
 
-/// The passes over all machines, in order: each is less strict about the image than the one
-/// before.
+/// A pass over all machines, named by its condition on the job's image. The passes run in this
+/// order, from the best placements to the least wanted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Pass {
     /// The machine holds the image.
     Held,
-    /// The machine fetches the image already.
-    Coming,
-    /// The machine fetches nothing, and takes tasks of one image only: images that are fetched
-    /// at the same time are delayed by each other.
-    Alone,
-    /// The image is fetched soon enough for the objective.
-    Soon,
+    /// The machine holds the image or is fetching it.
+    Fetching,
+    /// The machine fetches nothing yet, and takes tasks of one image only, since concurrent
+    /// fetches delay each other.
+    SingleImage,
+    /// The image can be fetched in time for the objective.
+    InTime,
     /// The objective is missed, or no machine of the shard could meet it.
     Any,
 }
 
 impl Pass {
-    const ALL: [Pass; 5] = [Pass::Held, Pass::Coming, Pass::Alone, Pass::Soon, Pass::Any];
+    const ALL: [Pass; 5] = [Pass::Held, Pass::Fetching, Pass::SingleImage, Pass::InTime, Pass::Any];
 
-    /// Whether tasks of the job may start on the machine in this pass. `only_image` is the
-    /// image that the machine takes in it, once there is one.
-    fn admits(self, w: &Waiting, capacity: &MachineCapacity, only_image: Option<&str>) -> bool {
+    /// Whether tasks of the job may start on the machine in this pass. `only_image` is the one
+    /// image that the machine takes in the pass `SingleImage`, once a job has determined it.
+    fn admits(self, job: &Waiting, capacity: &MachineCapacity, only_image: Option<&str>) -> bool {
         match self {
-            Pass::Held => capacity.images[1].contains(&w.spec.image),
-            Pass::Coming => capacity.has_image(w.spec),
-            Pass::Alone => {
+            Pass::Held => capacity.images[1].contains(&job.spec.image),
+            Pass::Fetching => capacity.has_image(job.spec),
+            Pass::SingleImage => {
                 capacity.fetching_gb <= 0.0
-                    && only_image.is_none_or(|image| image == w.spec.image)
-                    && (w.starts_soon(capacity) || w.start_objective_missed())
+                    && only_image.is_none_or(|image| image == job.spec.image)
+                    && (job.starts_in_time_on(capacity) || job.start_objective_missed())
             }
-            Pass::Soon => w.starts_soon(capacity),
-            Pass::Any => w.start_objective_missed(),
+            Pass::InTime => job.starts_in_time_on(capacity),
+            Pass::Any => job.start_objective_missed(),
         }
     }
 
-    /// Whether tasks that are placed in this pass find their image, or a fetch of it.
+    /// Whether tasks placed in this pass find their image held or being fetched.
     fn finds_image(self) -> bool {
-        matches!(self, Pass::Held | Pass::Coming)
+        matches!(self, Pass::Held | Pass::Fetching)
     }
 }
 
-/// One pass for the jobs that are late, or for those that are not.
+/// A pass, either for the jobs that can meet their deadline or for those that miss it.
 #[derive(Debug, Clone, Copy)]
 struct Tier {
-    late: bool,
+    misses_deadline: bool,
     pass: Pass,
 }
 
 impl Tier {
+    /// All tiers in order: first every pass for jobs that can meet their deadline.
     fn all() -> impl Iterator<Item = Tier> {
-        [false, true].into_iter().flat_map(|late| Pass::ALL.map(|pass| Tier { late, pass }))
+        let passes = |misses_deadline| Pass::ALL.map(|pass| Tier { misses_deadline, pass });
+        [false, true].into_iter().flat_map(passes)
     }
 }
 
-/// Starts the next `n` tasks of the job on the machine.
-fn start(capacity: &mut MachineCapacity, w: &mut Waiting, n: u32, starts: &mut Vec<Start>) {
-    capacity.take(w.spec, n);
-    if !capacity.has_image(w.spec) {
-        std::rc::Rc::make_mut(&mut capacity.images[0]).insert(w.spec.image.clone());
-        capacity.fetching_gb += w.spec.image_gb;
+/// Starts the next `count` tasks of the job on the machine.
+fn start_tasks(capacity: &mut MachineCapacity, job: &mut Waiting, count: u32, starts: &mut Vec<Start>) {
+    capacity.take(job.spec, count);
+    if !capacity.has_image(job.spec) {
+        std::rc::Rc::make_mut(&mut capacity.images[0]).insert(job.spec.image.clone());
+        capacity.fetching_gb += job.spec.image_gb;
     }
-    *w.zones.entry(capacity.zone.clone()).or_default() += n;
-    for index in w.tasks.drain(..n as usize) {
-        starts.push(Start { uid: w.spec.uid.clone(), index, machine: capacity.machine.clone() });
+    *job.zones.entry(capacity.zone.clone()).or_default() += count;
+    for index in job.tasks.drain(..count as usize) {
+        starts.push(Start { uid: job.spec.uid.clone(), index, machine: capacity.machine.clone() });
     }
 }
 
-/// How many of the tasks may start on the machine.
-fn able(capacity: &MachineCapacity, w: &Waiting) -> u32 {
-    capacity.fits(w.spec).min(w.zone_capacity(&capacity.zone)).min(w.tasks.len() as u32)
+/// The number of the job's waiting tasks that may start on the machine.
+fn placeable_tasks(capacity: &MachineCapacity, job: &Waiting) -> u32 {
+    capacity.fits(job.spec).min(job.zone_capacity(&capacity.zone)).min(job.tasks.len() as u32)
 }
 
-/// Starts as many of the tasks as fit on each machine in turn, whatever the image.
-fn first_fit(
+/// Starts as many of the job's tasks as fit on each unreserved machine in turn, whether or not
+/// the machine holds the image.
+fn place_first_fit(
     capacities: &mut [MachineCapacity],
-    w: &mut Waiting,
+    job: &mut Waiting,
     reserved: &BTreeSet<String>,
     starts: &mut Vec<Start>,
 ) {
-    for capacity in capacities.iter_mut().filter(|r| !reserved.contains(&r.machine)) {
-        let n = able(capacity, w);
-        if n > 0 {
-            start(capacity, w, n, starts);
+    for capacity in capacities.iter_mut().filter(|capacity| !reserved.contains(&capacity.machine)) {
+        let count = placeable_tasks(capacity, job);
+        if count > 0 {
+            start_tasks(capacity, job, count, starts);
         }
     }
 }
 
-/// Empty ordinary machines, so many at most.
-fn keep(capacities: &[MachineCapacity], most: usize) -> BTreeSet<String> {
-    let empty = capacities.iter().filter(|r| !r.spot && r.free_share() > 1.0 - SLACK);
-    empty.take(most).map(|r| r.machine.clone()).collect()
+/// The first empty on-demand machines, at most `limit`.
+fn empty_on_demand_machines(capacities: &[MachineCapacity], limit: usize) -> BTreeSet<String> {
+    let is_empty = |capacity: &&MachineCapacity| !capacity.spot && capacity.free_share() > 1.0 - ROUNDING_TOLERANCE;
+    capacities.iter().filter(is_empty).take(limit).map(|capacity| capacity.machine.clone()).collect()
 }
 
-/// Keeps the emptiest machines that could ever hold the job's next task free.
-fn reserve(capacities: &[MachineCapacity], w: &Waiting, reserved: &mut BTreeSet<String>) {
-    let need = if w.spec.kind == JobKind::Gang { w.tasks.len() } else { 1 };
-    let mut able: Vec<&MachineCapacity> = capacities
+/// Reserves the machines with the most free cores among those that could hold a task of the job
+/// if they were empty: one per waiting task of a gang, else one.
+fn reserve_emptiest(capacities: &[MachineCapacity], job: &Waiting, reserved: &mut BTreeSet<String>) {
+    let count = if job.spec.kind == JobKind::Gang { job.tasks.len() } else { 1 };
+    let is_large_enough = |capacity: &MachineCapacity| capacity.total_cores + ROUNDING_TOLERANCE >= job.spec.cores;
+    let mut suitable: Vec<&MachineCapacity> = capacities
         .iter()
-        .filter(|r| r.allowed(w.spec) && r.total_cores + SLACK >= w.spec.cores && !reserved.contains(&r.machine))
+        .filter(|c| c.allowed(job.spec) && is_large_enough(c) && !reserved.contains(&c.machine))
         .collect();
-    able.sort_by(|a, b| b.cores.total_cmp(&a.cores).then(a.machine.cmp(&b.machine)));
-    reserved.extend(able.iter().take(need).map(|r| r.machine.clone()));
+    suitable.sort_by(|a, b| b.cores.total_cmp(&a.cores).then(a.machine.cmp(&b.machine)));
+    reserved.extend(suitable.iter().take(count).map(|capacity| capacity.machine.clone()));
 }
 
 #[cfg(test)]
