--- a/src/controller/scheduler/mod.rs
+++ b/src/controller/scheduler/mod.rs
@@ -1,5 +1,11 @@
-//! Scheduling rounds over the jobs leased to this controller: which waiting tasks
-//! start, which tasks are stopped for more urgent ones, and what is written down first.
+//! Scheduling rounds over the tasks assigned to this controller.
+//!
+//! A round decides which waiting tasks start on which of this controller's machines, which
+//! running tasks are preempted for more urgent ones, and which starts and exits go into the
+//! next log segment. Starts are ordered from the agents once their segment is stored (see
+//! [`journal`](super::journal)).
+
+#![warn(missing_docs)]
 
 mod gangs;
 mod preemption;
@@ -15,6 +21,7 @@
 use crate::protocol::store::Op;
 use crate::protocol::user::Status;
 use crate::state::objectives::Objectives;
+use crate::state::records::TaskRange;
 use crate::state::{ClusterState, Job, records};
 pub(super) use gangs::is_partly_placed;
 use queue::JobQueue;
@@ -24,34 +31,35 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The queue of jobs with tasks to place, and when the next round is due.
+/// The queue of jobs with tasks to place, and the time of the next round.
 #[derive(Debug, Default)]
 pub(super) struct Scheduler {
     queue: JobQueue,
-    /// Buffers of the knapsack, kept between rounds.
+    /// Knapsack solver, whose buffers are reused from one round to the next.
     knapsack: RefCell<Knapsack>,
-    /// Something changed since the last round.
+    /// Whether something changed since the last round that a round may act on.
     round_requested: bool,
-    /// No round before this time.
+    /// Earliest time of the next round.
     next_round: Instant,
 }
 
-/// Estimates are often wrong by half: a job counts as late once its objective would
-/// be missed by a run of this part of the estimate.
+/// A job counts as late only if it would miss its objective with a run of this share of its
+/// estimated duration, since estimates are often wrong by half.
 pub(super) const OPTIMISTIC_RUN_SHARE: f64 = 0.7;
 
 impl Scheduler {
-    /// Something changed that a scheduling round may act on.
+    /// Requests a round, because something changed that it may act on.
     pub(super) fn request_round(&mut self) {
         self.round_requested = true;
     }
 
-    /// Requests a round if `changed`.
+    /// Requests a round if something `changed`.
     pub(super) fn request_round_if(&mut self, changed: bool) {
         self.round_requested |= changed;
     }
 
-    /// Whether a round is due now; the next one follows after `pause` at the earliest.
+    /// Whether a round is due now. If so, the request counts as met, and the next round takes
+    /// place after `pause` at the earliest.
     pub(super) fn begin_round(&mut self, now: Instant, pause: Duration) -> bool {
         let due = self.round_requested && now >= self.next_round;
         if due {
@@ -61,29 +69,31 @@
         due
     }
 
-    /// Forgets jobs that are no longer in the cluster state.
+    /// Drops the queue's entries for jobs that are no longer in the cluster state.
     pub(super) fn retain_known_jobs(&mut self, state: &ClusterState) {
         self.queue.retain_known(state);
     }
 
-    /// How long the job's tasks have waited, if some do.
+    /// How long the job has had waiting tasks; `None` if it has none.
     pub(super) fn waited(&self, uid: &str, now: Instant) -> Option<Duration> {
         self.queue.get(uid).and_then(|queued| queued.waited(now))
     }
 
-    /// A task of the job failed on the machine.
+    /// Records that a task of the job failed on the machine.
     pub(super) fn record_failure(&mut self, uid: &str, machine: &str, now: Instant, heartbeat_interval: Duration) {
         self.queue.record_failure(uid, machine, now, heartbeat_interval);
     }
 
-    /// Whether the job itself is at fault for its failures, by all that is known here.
+    /// Whether the job's failures are taken to be its own fault: they occurred on several
+    /// machines, and `done`, the number of its finished tasks, is 0.
     pub(super) fn fails_everywhere(&self, uid: &str, done: u32) -> bool {
         self.queue.get(uid).is_some_and(|queued| queued.fails_everywhere(done))
     }
 }
 
 impl Controller {
-    /// What is due for the jobs between scheduling rounds.
+    /// Does the periodic work on jobs besides scheduling: requests a round for pending exits,
+    /// ends complete jobs and frees log slots.
     pub(super) fn check_jobs(&mut self) {
         self.scheduler.request_round_if(self.journal.has_exits());
         self.scheduler.retain_known_jobs(&self.state);
@@ -91,7 +101,7 @@
         self.compact_ahead();
     }
 
-    /// One scheduling round: writes exits down and starts what fits.
+    /// Runs a scheduling round: plans starts, and writes them and the pending exits to the log.
     pub(super) fn schedule(&mut self) {
         if !self.store.session.following() || !self.entitled() {
             return;
@@ -108,19 +118,19 @@
         for start in self.plan_starts() {
             starts.entry(start.uid.clone()).or_default().push(start);
         }
-        // What can wait goes along with what is written first.
+        // Facts that can wait go into the same segment as urgent ones, as far as there is room.
         let order = self.scheduler.write_order(&self.scheduling_round(), &starts);
         if order.jobs.is_empty() {
             return;
         }
         if !due && !order.urgent || !self.may_write_as(order.priority) {
-            self.scheduler.request_round(); // until then more facts gather
+            self.scheduler.request_round(); // more facts accumulate until then
             return;
         }
         self.write_segment(&order.jobs, starts);
     }
 
-    /// What a scheduling round reads.
+    /// The inputs of a scheduling round at this moment.
     fn scheduling_round(&self) -> SchedulingRound<'_> {
         SchedulingRound {
             now: self.now,
@@ -136,16 +146,16 @@
         }
     }
 
-    /// Whether tasks that must start soon wait here.
+    /// Whether tasks assigned to this controller wait that must start soon.
     fn has_urgent_tasks(&self) -> bool {
         let round = self.scheduling_round();
         let is_urgent = |job: &Job| {
-            job.waiting_count() > 0 && round.own_task_ranges(job).next().is_some() && round.starts_soon(&job.spec)
+            job.waiting_count() > 0 && round.own_task_ranges(job).next().is_some() && round.must_start_soon(&job.spec)
         };
         self.state.jobs.values().any(is_urgent)
     }
 
-    /// Plans the starts of this round, and makes room for tasks that found none.
+    /// Plans the starts of this round, and preempts tasks for urgent ones that found no room.
     fn plan_starts(&mut self) -> Vec<Start> {
         if !self.fresh() {
             return Vec::new();
@@ -153,14 +163,14 @@
         let wall_ms = self.wall_ms();
         self.scheduler.queue.update(&self.state, self.now, wall_ms);
         let starts = self.scheduler.plan_starts(&self.scheduling_round(), self.own_capacities());
-        // Machines that were not heard yet may have the room that is missing.
+        // Machines that have not been heard from yet may have the missing room.
         if self.startup.fleet_known() {
             self.preempt_for_unplaced(&starts);
         }
         starts
     }
 
-    /// Stops less urgent tasks for those that found no room and must start soon.
+    /// Preempts tasks of lower priority for tasks that found no room and must start soon.
     fn preempt_for_unplaced(&mut self, starts: &[Start]) {
         let round = self.scheduling_round();
         let unplaced = self.scheduler.unplaced_jobs(&round, starts);
@@ -172,24 +182,28 @@
     }
 }
 
-/// Whether the job can still meet its objective, if its tasks started now.
+/// Whether the job would still meet its objective if its tasks started now; true for jobs
+/// without one.
 pub(super) fn can_meet_deadline(job: &Job, objectives: &Objectives, wall_ms: u64) -> bool {
     let age_s = age_s(job, wall_ms);
     let run_s = job.spec.estimated_run_s * OPTIMISTIC_RUN_SHARE;
     objectives.end_from(&job.spec, age_s, run_s).is_none_or(|deadline_s| deadline_s - age_s >= run_s)
 }
 
-/// Cores that the job's waiting tasks ask for, by the member they are leased
-/// to; of a job in several parts, as if all had run equally far.
-pub(super) fn queued(job: &Job) -> impl Iterator<Item = (&str, f64)> {
-    let each = f64::from(job.waiting_count()) * job.spec.cores / f64::from(job.spec.task_count.max(1));
-    job.rec.rec.task_ranges.iter().map(move |s| (s.member.as_str(), f64::from(s.to + 1 - s.from) * each))
+/// The cores that the job's waiting tasks need, by the controller that the tasks are assigned
+/// to. Where they are assigned to several controllers, all task ranges are taken to have the
+/// same share of waiting tasks.
+pub(super) fn waiting_cores_by_controller(job: &Job) -> impl Iterator<Item = (&str, f64)> {
+    let cores_per_task = f64::from(job.waiting_count()) * job.spec.cores / f64::from(job.spec.task_count.max(1));
+    let cores = move |range: &TaskRange| f64::from(range.to + 1 - range.from) * cores_per_task;
+    job.rec.rec.task_ranges.iter().map(move |range| (range.member.as_str(), cores(range)))
 }
 
-/// The change that ends a job's record.
+/// The change that ends a job: its record then has no specification and no task ranges, only
+/// the final status.
 pub(super) fn end_op(uid: &str, status: Status, task_count: u32) -> Op {
-    let rec = records::JobRecord { spec: None, end: Some(status), task_count, at_ms: 0, task_ranges: Vec::new() };
-    Op::Put { key: records::job_key(uid), data: records::to_value(&rec), lease: None }
+    let record = records::JobRecord { spec: None, end: Some(status), task_count, at_ms: 0, task_ranges: Vec::new() };
+    Op::Put { key: records::job_key(uid), data: records::to_value(&record), lease: None }
 }
 
 #[cfg(test)]
--- a/src/controller/scheduler/preemption.rs
+++ b/src/controller/scheduler/preemption.rs
@@ -1,5 +1,7 @@
-//! Planning which tasks are stopped for more urgent ones that found no room and
-//! must start soon.
+//! Plans which running tasks are preempted for more urgent ones that found no room and must
+//! start soon.
+
+#![warn(missing_docs)]
 
 use super::Scheduler;
 use super::round::SchedulingRound;
@@ -9,10 +11,10 @@
 use crate::state::Job;
 use std::collections::BTreeMap;
 
-/// Room is made for so many tasks of arrays in one round.
-const ARRAY_TASKS_PER_ROUND: u32 = 8;
+/// The number of array tasks that other tasks are preempted for in one round.
+const MAX_ARRAY_TASKS_PER_ROUND: u32 = 8;
 
-/// Free capacity of one machine, and its tasks that may be stopped.
+/// The free capacity of one machine, and its tasks that may be preempted.
 type Candidate<'a> = (MachineCapacity, Vec<Victim<'a>>);
 
 /// A job with tasks that found no room in this round.
@@ -20,12 +22,13 @@
 pub(super) struct UnplacedJob<'a> {
     uid: &'a str,
     job: &'a Job,
+    /// Number of tasks without room.
     tasks: u32,
 }
 
 impl Scheduler {
-    /// Jobs that tasks may be stopped for, and that got too few starts in this round:
-    /// services first, then the oldest arrays with a few tasks.
+    /// The jobs that got too few starts in this round and that other tasks may be preempted
+    /// for: services first, then arrays, oldest first and with a limited number of tasks.
     pub(super) fn unplaced_jobs<'a>(&self, round: &SchedulingRound<'a>, starts: &[Start]) -> Vec<UnplacedJob<'a>> {
         let running = round.state.jobs.values().filter(|job| job.placed > 0 && !job.cancelled());
         let Some(lowest_priority) = running.map(|job| job.spec.priority).min() else { return Vec::new() };
@@ -34,10 +37,10 @@
             if job.waiting_count() == 0 || job.spec.priority <= lowest_priority || !round.may_preempt(job) {
                 continue;
             }
-            let waiting = own_unplaced_tasks(round, job);
+            let tasks = own_tasks_without_placement(round, job);
             let started = starts.iter().filter(|start| start.uid == *uid).count() as u32;
-            if waiting > started && self.waits_without_backoff(round, uid) && !round.is_locked(uid) {
-                unplaced.push(UnplacedJob { uid, job, tasks: waiting - started });
+            if tasks > started && self.waits_without_backoff(round, uid) && !round.is_locked(uid) {
+                unplaced.push(UnplacedJob { uid, job, tasks: tasks - started });
             }
         }
         unplaced.sort_by_key(|entry| entry.array().map(|job| job.rec.rec.at_ms));
@@ -45,13 +48,13 @@
         unplaced
     }
 
-    /// Whether the queue has the job as waiting. One that was written down a moment ago
-    /// may not be in the replica.
+    /// Whether the queue lists the job as waiting and not in backoff after failures. A job that
+    /// was recorded a moment ago may not be in the replica yet, and so not in the queue.
     fn waits_without_backoff(&self, round: &SchedulingRound, uid: &str) -> bool {
         self.queue.get(uid).is_some_and(|queued| queued.waited(round.now).is_some() && !queued.in_backoff(round.now))
     }
 
-    /// Chooses the tasks to stop so that the unplaced ones fit.
+    /// Chooses the tasks to preempt so that the unplaced ones fit.
     pub(super) fn plan_preemptions(
         &self,
         round: &SchedulingRound,
@@ -68,6 +71,8 @@
         preemptions
     }
 
+    /// Adds the preemptions for the tasks of one job, and counts in `candidates` the room that
+    /// the tasks will take.
     fn preempt_for(
         &self,
         round: &SchedulingRound,
@@ -80,12 +85,12 @@
         let mut zones = zones_with_starts(round, entry, starts);
         let within_s = self.start_limit_s(round, entry, &zones, candidates);
         for _ in 0..entry.tasks {
-            let free = |(capacity, _): &&mut Candidate| {
+            let has_room = |(capacity, _): &&mut Candidate| {
                 capacity.fits(spec) > 0
                     && may_run_on(entry.job, &zones, capacity)
                     && capacity.starts_within(spec, within_s)
             };
-            if let Some((capacity, _)) = candidates.iter_mut().find(free) {
+            if let Some((capacity, _)) = candidates.iter_mut().find(has_room) {
                 capacity.take(spec, 1);
                 *zones.entry(capacity.zone.clone()).or_default() += 1;
                 continue;
@@ -99,7 +104,7 @@
                     index = victim.index,
                     machine = %capacity.machine,
                     for_job = %entry.uid,
-                    "task_preempted"
+                    "task preempted"
                 );
                 capacity.put_back(victim.spec);
                 victims.retain(|other| (&other.uid, other.index) != (&victim.uid, victim.index));
@@ -115,8 +120,8 @@
         }
     }
 
-    /// Within how many seconds the job's tasks have to start. Where no machine meets its
-    /// objective any more, or could be made to, a late start is still better than none.
+    /// The number of seconds within which the job's tasks have to start. It is infinite once the
+    /// objective is missed, or if no machine could meet it: a late start is better than none.
     fn start_limit_s(
         &self,
         round: &SchedulingRound,
@@ -127,10 +132,10 @@
         let spec = &entry.job.spec;
         let within_s = round.objectives.start_within(spec).unwrap_or(f64::INFINITY);
         let waited = self.queue.get(entry.uid).and_then(|queued| queued.waited(round.now)).unwrap_or_default();
-        let reachable = candidates
+        let can_be_met = candidates
             .iter()
             .any(|(capacity, _)| may_run_on(entry.job, zones, capacity) && capacity.starts_within(spec, within_s));
-        if !reachable || waited.as_secs_f64() > within_s { f64::INFINITY } else { within_s }
+        if !can_be_met || waited.as_secs_f64() > within_s { f64::INFINITY } else { within_s }
     }
 }
 
@@ -141,23 +146,24 @@
     }
 }
 
-/// Number of the job's tasks that this controller has to place and that have no place;
-/// finished ones count as well.
-fn own_unplaced_tasks(round: &SchedulingRound, job: &Job) -> u32 {
-    let has_no_place = |index: &u32| job.place(*index, round.state.checkpoint_size).is_none();
+/// The number of the job's tasks that are assigned to this controller and have no placement,
+/// finished ones included.
+fn own_tasks_without_placement(round: &SchedulingRound, job: &Job) -> u32 {
+    let is_not_placed = |index: &u32| job.place(*index, round.state.checkpoint_size).is_none();
     let own_ranges = job.rec.rec.task_ranges.iter().filter(|range| range.member == round.member);
-    own_ranges.map(|range| (range.from..=range.to).filter(has_no_place).count() as u32).sum()
+    own_ranges.map(|range| (range.from..=range.to).filter(is_not_placed).count() as u32).sum()
 }
 
+/// Limits the array tasks in the list to those that other tasks are preempted for in one round.
 fn limit_array_tasks(unplaced: &mut [UnplacedJob]) {
-    let mut left = ARRAY_TASKS_PER_ROUND;
+    let mut left = MAX_ARRAY_TASKS_PER_ROUND;
     for entry in unplaced.iter_mut().filter(|entry| entry.array().is_some()) {
         entry.tasks = left.min(entry.tasks);
         left -= entry.tasks;
     }
 }
 
-/// The machine's capacity after this round's starts, and its tasks that may be stopped.
+/// The machine's capacity after this round's starts, and its tasks that may be preempted.
 fn candidate<'a>(
     round: &SchedulingRound<'a>,
     mut capacity: MachineCapacity,
@@ -177,12 +183,12 @@
         if machine.is_over(&key) {
             continue;
         }
-        // Room that is being made already counts as free, once.
+        // A task that is being preempted already frees its room once: it is not a candidate.
         if machine.preempted.contains_key(&key) {
             capacity.put_back(&job.spec);
         } else if job.spec.kind == JobKind::Array && !job.cancelled() {
             let ran_s = machine.since.get(&key).map_or(0.0, |since| round.now.saturating_sub(*since).as_secs_f64());
-            // What saves checkpoints is stopped with the time to save one.
+            // Tasks that save checkpoints get the time to save one before they are stopped.
             let lost_s = if job.spec.saves_in().is_some() { 0.0 } else { ran_s };
             victims.push(Victim {
                 uid: uid.clone(),
@@ -197,7 +203,7 @@
     Some((capacity, victims))
 }
 
-/// Tasks of the job by zone, with those that start in this round.
+/// The number of the job's tasks by zone, including those that start in this round.
 fn zones_with_starts(round: &SchedulingRound, entry: &UnplacedJob, starts: &[Start]) -> BTreeMap<String, u32> {
     let mut zones = round.state.tasks_by_zone(entry.job);
     for start in starts.iter().filter(|start| start.uid == *entry.uid) {
@@ -208,7 +214,8 @@
     zones
 }
 
-/// Whether the machine's type and zone are right for one more task of the job.
+/// Whether one more task of the job may run on a machine of this type in this zone, whatever its
+/// free capacity.
 fn may_run_on(job: &Job, zones: &BTreeMap<String, u32>, capacity: &MachineCapacity) -> bool {
     capacity.allowed(&job.spec) && zone_capacity(&job.spec, job.spec.task_count, zones, &capacity.zone) > 0
 }
--- a/src/controller/scheduler/queue/tests.rs
+++ b/src/controller/scheduler/queue/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of waiting times and of the pauses after failures.
+//! Tests of waiting times and of the backoff after failures.
 
 use super::*;
 
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn a_job_that_no_longer_waits_starts_over() {
+fn waiting_time_is_reset_when_a_job_stops_waiting() {
     let mut queued = QueuedJob { waiting_since: Some(at(5)), waited_before: at(60), ..QueuedJob::default() };
     queued.stop_waiting();
     assert_eq!(queued.waited(at(8)), None);
@@ -28,17 +28,17 @@
 }
 
 #[test]
-fn pauses_double_with_every_few_failures_up_to_a_limit() {
+fn backoff_doubles_with_every_few_failures_up_to_a_limit() {
     let mut queue = JobQueue::default();
-    let mut pauses = Vec::new();
+    let mut backoff_ends = Vec::new();
     for _ in 0..40 {
         queue.record_failure("run-1", "host-1", at(0), HEARTBEAT_INTERVAL);
-        pauses.push(queue.get("run-1").expect("it failed").not_before);
+        backoff_ends.push(queue.get("run-1").expect("it failed").not_before);
     }
-    assert_eq!(pauses[2], at(0), "a few failures are retried at once");
-    assert_eq!(pauses[3], HEARTBEAT_INTERVAL);
-    assert_eq!(pauses[7], HEARTBEAT_INTERVAL * 3);
-    assert_eq!(pauses[39], HEARTBEAT_INTERVAL * 63, "no pause is longer");
+    assert_eq!(backoff_ends[2], at(0), "a few failures are retried at once");
+    assert_eq!(backoff_ends[3], HEARTBEAT_INTERVAL);
+    assert_eq!(backoff_ends[7], HEARTBEAT_INTERVAL * 3);
+    assert_eq!(backoff_ends[39], HEARTBEAT_INTERVAL * 63, "the longest backoff");
     assert!(queue.get("run-1").expect("it failed").in_backoff(at(1)));
 }
 
--- a/src/controller/scheduler/round.rs
+++ b/src/controller/scheduler/round.rs
@@ -1,4 +1,6 @@
-//! What a scheduling round reads of the other components.
+//! The inputs of a scheduling round, taken from the controller's other components.
+
+#![warn(missing_docs)]
 
 use super::age_s;
 use crate::config::Settings;
@@ -13,27 +15,35 @@
 use crate::state::{ClusterState, Job, records};
 use std::time::Duration;
 
-/// The inputs of one scheduling round, none of which it changes.
+/// The inputs of one scheduling round, which only reads them.
 #[derive(Clone, Copy)]
 pub(in crate::controller) struct SchedulingRound<'a> {
+    /// Time of the round on the controller's monotonic clock.
     pub(super) now: Instant,
-    /// Time of day, in milliseconds.
+    /// Time of day of the round, in milliseconds.
     pub(super) wall_ms: u64,
+    /// Settings of the cluster and of this controller.
     pub(super) settings: &'a Settings,
-    /// This controller's name.
+    /// Name of this controller.
     pub(super) member: &'a str,
+    /// This controller's replica of the cluster state.
     pub(super) state: &'a ClusterState,
+    /// Transactions in flight, and records known to be newer than the replica.
     pub(super) transactions: &'a Transactions,
+    /// Exits that are not stored yet.
     pub(super) journal: &'a Journal,
+    /// What is known of the agents on this controller's machines.
     pub(super) agents: &'a Agents,
+    /// Service level objectives of the jobs.
     pub(super) objectives: &'a Objectives,
+    /// Machine types that the cloud offers.
     pub(super) machine_types: &'a [MachineType],
 }
 
 impl<'a> SchedulingRound<'a> {
-    /// A time span given in heartbeat intervals of the agents.
-    pub(super) fn heartbeat_intervals(&self, times: f64) -> Duration {
-        Duration::from_secs_f64((self.settings.settings.workers.heartbeat_interval_s * times).max(0.0))
+    /// The duration of `count` heartbeat intervals of the agents.
+    pub(super) fn heartbeat_intervals(&self, count: f64) -> Duration {
+        Duration::from_secs_f64((self.settings.settings.workers.heartbeat_interval_s * count).max(0.0))
     }
 
     /// Seconds since the job was submitted.
@@ -41,7 +51,7 @@
         age_s(job, self.wall_ms)
     }
 
-    /// Whether a transaction under way changes or rests on the job's record.
+    /// Whether a transaction in flight changes the job's record or depends on it.
     pub(super) fn is_locked(&self, uid: &str) -> bool {
         self.transactions.is_locked(&records::job_key(uid))
     }
@@ -51,21 +61,21 @@
         self.transactions.is_outdated(&records::job_key(uid))
     }
 
-    /// Whether the objectives ask for the job's tasks to start so soon that arrays are
-    /// stopped for them.
-    pub(super) fn starts_soon(&self, spec: &JobSpec) -> bool {
+    /// Whether the job's tasks must start so soon that arrays are preempted for them. That is so
+    /// for services with an objective for their start.
+    pub(super) fn must_start_soon(&self, spec: &JobSpec) -> bool {
         counted_for(spec, self.objectives) == Counted::Lasting
     }
 
-    /// The ranges of the job's tasks that this controller has to place.
+    /// The job's task ranges that are assigned to this controller, as first and last index.
     pub(super) fn own_task_ranges(&self, job: &'a Job) -> impl Iterator<Item = (u32, u32)> + use<'a> {
         let member = self.member;
         job.rec.rec.task_ranges.iter().filter(move |range| range.member == member).map(|range| (range.from, range.to))
     }
 
-    /// Whether less urgent work is stopped for the job: for a service that must start
-    /// soon, or an array that can still meet its objective. What teams without a
-    /// guarantee borrowed for minutes would otherwise keep others waiting for as long.
+    /// Whether tasks of lower priority may be preempted for the job: for a service with an
+    /// objective for its start, or for an array that can still meet its objective. Otherwise
+    /// tasks that run on borrowed capacity for minutes would keep the job waiting as long.
     pub(super) fn may_preempt(&self, job: &Job) -> bool {
         let has_start_objective = self.objectives.start_within(&job.spec).is_some();
         match job.spec.kind {
@@ -78,12 +88,15 @@
         }
     }
 
-    /// Whether an array's task that ran for `ran_s` keeps its job's objective if it runs
-    /// on, and would miss it if it waited once more and started again.
+    /// Whether the job of an array task that has run for `ran_s` seconds meets its objective if
+    /// the task runs on, and would miss it if the task had to wait and start again. Wait and new
+    /// run together are taken to last twice the estimated duration.
     pub(super) fn would_miss_deadline_if_restarted(&self, job: &Job, ran_s: f64) -> bool {
         let age_s = self.age_s(job);
-        let needs_s = job.spec.estimated_run_s;
+        let run_s = job.spec.estimated_run_s;
         let deadline_s = self.objectives.end_within(&job.spec);
-        deadline_s.is_some_and(|d| d >= age_s + (needs_s - ran_s).max(0.0) && d < age_s + needs_s * 2.0)
+        deadline_s.is_some_and(|deadline_s| {
+            deadline_s >= age_s + (run_s - ran_s).max(0.0) && deadline_s < age_s + run_s * 2.0
+        })
     }
 }
--- a/src/controller/scheduler/starts.rs
+++ b/src/controller/scheduler/starts.rs
@@ -1,4 +1,6 @@
-//! Planning which waiting tasks start on which of this controller's machines.
+//! Plans which waiting tasks start on which of this controller's machines.
+
+#![warn(missing_docs)]
 
 use super::queue::QueuedJob;
 use super::round::SchedulingRound;
@@ -9,46 +11,48 @@
 use crate::state::Job;
 use std::collections::{BTreeMap, HashMap};
 
-/// Tasks wait for this part of the places that should come free where their
-/// image is before it could be fetched elsewhere.
+/// Of the places that should come free on machines with an image before it could be fetched
+/// elsewhere, the share that tasks are kept waiting for. A job waits for them no longer than
+/// this share of the fetch time.
 const IMAGE_WAIT_SHARE: f64 = 0.5;
-/// Rounding allowed when cores are compared.
-const ROUNDING: f64 = 1e-6;
+/// Tolerance for rounding errors when cores are compared.
+const ROUNDING_TOLERANCE: f64 = 1e-6;
 const MEGABYTES_PER_GIGABYTE: f64 = 1024.0;
 
 impl Scheduler {
-    /// Plans the starts of one round on machines with these free capacities.
+    /// Plans the starts of one round on machines with the given free capacities.
     pub(super) fn plan_starts(&self, round: &SchedulingRound, mut capacities: Vec<MachineCapacity>) -> Vec<Start> {
         let mut waiting = self.waiting_jobs(round, &capacities);
         if waiting.is_empty() {
             return Vec::new();
         }
         sort_by_preference(&mut capacities);
-        plan(&mut capacities, &mut waiting, &packing_rules(round), &mut self.knapsack.borrow_mut())
+        plan(&mut capacities, &mut waiting, &placement_rules(round), &mut self.knapsack.borrow_mut())
     }
 
+    /// The jobs with tasks that may start in this round.
     fn waiting_jobs<'a>(&self, round: &SchedulingRound<'a>, capacities: &[MachineCapacity]) -> Vec<Waiting<'a>> {
-        let mut budget = RoundBudget::new(round, capacities);
+        let mut limits = RoundLimits::new(round, capacities);
         let jobs = round.state.jobs.iter().filter(|(_, job)| job.waiting_count() > 0);
-        jobs.filter_map(|(uid, job)| self.waiting_job(round, &mut budget, uid, job)).collect()
+        jobs.filter_map(|(uid, job)| self.waiting_job(round, &mut limits, uid, job)).collect()
     }
 
-    /// The job with those of its tasks that may start in this round, if there are any.
+    /// The job with its tasks that may start in this round; `None` if there are none.
     fn waiting_job<'a>(
         &self,
         round: &SchedulingRound<'a>,
-        budget: &mut RoundBudget<'a>,
+        limits: &mut RoundLimits<'a>,
         uid: &str,
         job: &'a Job,
     ) -> Option<Waiting<'a>> {
         let queued = self.queue.get(uid)?;
         let blocked = queued.in_backoff(round.now) || round.is_locked(uid) || round.is_outdated(uid);
-        // Most of the time under load nothing fits anywhere: be quick then.
-        if blocked || budget.is_too_large(&job.spec) {
+        // Under load most jobs fit nowhere: this check skips them quickly.
+        if blocked || limits.is_too_large(&job.spec) {
             return None;
         }
         let tasks = self.startable_tasks(round, uid, job, queued);
-        let tasks = budget.within_quota(&job.spec, tasks);
+        let tasks = limits.admit_within_quota(&job.spec, tasks);
         if tasks.is_empty() {
             return None;
         }
@@ -61,17 +65,17 @@
             spec,
             waited_s,
             zones: round.state.tasks_by_zone(job),
-            slack_s: deadline_s.map_or(f64::INFINITY, |d| d - age_s - run_s),
+            slack_s: deadline_s.map_or(f64::INFINITY, |deadline_s| deadline_s - age_s - run_s),
             work: f64::from(spec.task_count - job.done) * spec.cores * spec.estimated_run_s,
             start_within_s: round.objectives.start_within(spec),
             hopeless: false,
             aim_s: deadline_s,
-            stay: budget.images.tasks_to_keep_waiting(spec, tasks.len(), waited_s),
+            stay: limits.images.tasks_to_keep_waiting(spec, tasks.len(), waited_s),
             tasks,
         })
     }
 
-    /// Tasks of the job that this controller may start, before quota.
+    /// The job's waiting tasks that this controller may start, regardless of quota.
     fn startable_tasks(&self, round: &SchedulingRound, uid: &str, job: &Job, queued: &QueuedJob) -> Vec<u32> {
         let waiting = job.waiting(round.state.checkpoint_size);
         let all_wait = waiting.len() as u32 == job.spec.task_count;
@@ -81,11 +85,11 @@
         let ranges: Vec<(u32, u32)> = round.own_task_ranges(job).collect();
         let is_own = |index: &u32| ranges.iter().any(|(from, to)| (*from..=*to).contains(index));
         let mut tasks: Vec<u32> = waiting.into_iter().filter(is_own).collect();
-        // One task is enough to see that a job keeps failing.
+        // For a job that fails everywhere, one task is enough to see whether it still does.
         if job.spec.kind == JobKind::Array && queued.fails_everywhere(job.done) {
             tasks.truncate(1);
         }
-        // Tasks whose exit is not stored yet must not be started again.
+        // Finished tasks whose exit is not stored yet must not be started again.
         if let Some(exits) = round.journal.exits_of(uid) {
             tasks.retain(|index| !exits.done.contains(index));
         }
@@ -93,8 +97,8 @@
     }
 }
 
-/// Spot machines first, so that ordinary ones stay free for tasks that need them;
-/// then the fullest, so that others stay empty.
+/// Sorts spot machines first, so that on-demand machines stay free for tasks that need them, and
+/// then the fullest machines first, so that others stay empty.
 fn sort_by_preference(capacities: &mut [MachineCapacity]) {
     capacities.sort_by(|a, b| {
         let spot_first = b.spot.cmp(&a.spot);
@@ -102,10 +106,11 @@
     });
 }
 
-fn packing_rules(round: &SchedulingRound) -> Rules {
+/// The settings of the placement round.
+fn placement_rules(round: &SchedulingRound) -> Rules {
     let operator = &round.settings.operator;
-    let needs_ordinary_machines = |job: &&Job| job.spec.kind == JobKind::Gang && !job.spec.spot_allowed;
-    let gangs = round.state.jobs.values().filter(needs_ordinary_machines);
+    let needs_on_demand_machines = |job: &&Job| job.spec.kind == JobKind::Gang && !job.spec.spot_allowed;
+    let gangs = round.state.jobs.values().filter(needs_on_demand_machines);
     Rules {
         window: operator.window,
         step_gb: operator.step_mb / MEGABYTES_PER_GIGABYTE,
@@ -114,32 +119,37 @@
     }
 }
 
-/// What the jobs of one round share: each takes its part before the next is looked at.
-struct RoundBudget<'a> {
-    /// By team, of those that have a limit.
+/// Limits that the jobs of one round share. Each job takes its part of them before the next one
+/// is considered.
+struct RoundLimits<'a> {
+    /// Remaining quota by team, for teams that have a limit.
     quota: BTreeMap<&'a str, RemainingQuota>,
+    /// Places that running tasks will leave, by image.
     images: ImageTurnover<'a>,
+    /// The most cores that are free on a single machine.
     largest_free_cores: f64,
 }
 
-impl<'a> RoundBudget<'a> {
-    fn new(round: &SchedulingRound<'a>, capacities: &[MachineCapacity]) -> RoundBudget<'a> {
+impl<'a> RoundLimits<'a> {
+    fn new(round: &SchedulingRound<'a>, capacities: &[MachineCapacity]) -> RoundLimits<'a> {
         let limited = round.settings.settings.teams.iter().filter(|team| has_limit(team));
         let usable = capacities.iter().filter(|capacity| capacity.free_share() > 0.0);
-        RoundBudget {
+        RoundLimits {
             quota: limited.map(|team| (team.name.as_str(), RemainingQuota::of(team, round.state))).collect(),
             images: ImageTurnover::new(round),
             largest_free_cores: usable.map(|capacity| capacity.cores).fold(0.0, f64::max),
         }
     }
 
-    /// Whether no machine has the cores for a task of the job; of gangs other rules decide.
+    /// Whether no machine has enough free cores for a task of the job. Never true of gangs, which
+    /// are placed by rules of their own.
     fn is_too_large(&self, spec: &JobSpec) -> bool {
-        spec.cores > self.largest_free_cores + ROUNDING && spec.kind != JobKind::Gang
+        spec.cores > self.largest_free_cores + ROUNDING_TOLERANCE && spec.kind != JobKind::Gang
     }
 
-    /// Takes the tasks that the team's quota still admits; a gang only as a whole.
-    fn within_quota(&mut self, spec: &JobSpec, mut tasks: Vec<u32>) -> Vec<u32> {
+    /// The tasks that the team's remaining quota admits, which is reduced by them. Of a gang,
+    /// all tasks are admitted or none.
+    fn admit_within_quota(&mut self, spec: &JobSpec, mut tasks: Vec<u32>) -> Vec<u32> {
         let Some(quota) = self.quota.get_mut(spec.team.as_str()) else { return tasks };
         let admitted = quota.admits(spec, tasks.len());
         if spec.kind == JobKind::Gang && admitted < tasks.len() {
@@ -151,9 +161,11 @@
     }
 }
 
-/// Running tasks of arrays per image, which leave their places to the next ones.
+/// Running array tasks by image, whose places come free for other tasks with the same image.
 struct ImageTurnover<'a> {
+    /// Running tasks by image, less those whose places other jobs wait for already.
     running: HashMap<&'a str, f64>,
+    /// The lowest fetch rate of any machine type, in GB per second.
     slowest_pull_gb_per_s: f64,
 }
 
@@ -169,8 +181,9 @@
         ImageTurnover { running, slowest_pull_gb_per_s: rates.fold(f64::INFINITY, f64::min) }
     }
 
-    /// How many of a job's tasks find a place where the image is before it could be
-    /// fetched elsewhere. The places are then no longer there for other jobs.
+    /// The number of a job's tasks to keep waiting for places on machines with the image, because
+    /// those should come free before the image could be fetched elsewhere. Other jobs do not get
+    /// the same places.
     fn tasks_to_keep_waiting(&mut self, spec: &JobSpec, tasks: usize, waited_s: f64) -> u32 {
         if spec.kind != JobKind::Array {
             return 0;
@@ -179,7 +192,7 @@
         let fetch_s = spec.image_gb / self.slowest_pull_gb_per_s;
         let runs_per_fetch = fetch_s / spec.estimated_run_s.max(f64::MIN_POSITIVE);
         let mut waiting = 0;
-        // A job that has waited for so long already did so in vain.
+        // A job that has waited longer did so in vain, and waits for such places no more.
         if waited_s < fetch_s * IMAGE_WAIT_SHARE {
             waiting = (*running * runs_per_fetch * IMAGE_WAIT_SHARE).min(tasks as f64) as u32;
         }
--- a/src/controller/scheduler/write_order.rs
+++ b/src/controller/scheduler/write_order.rs
@@ -1,4 +1,6 @@
-//! What goes into the log first.
+//! The order in which starts and exits of jobs are written to the log.
+
+#![warn(missing_docs)]
 
 use super::Scheduler;
 use super::round::SchedulingRound;
@@ -8,32 +10,35 @@
 use crate::state::Job;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The jobs with starts or exits to write down, most important first.
+/// The jobs with starts or exits to write, and how urgent the write is.
 #[derive(Debug)]
 pub(super) struct WriteOrder {
+    /// Identifiers of the jobs, most urgent first.
     pub(super) jobs: Vec<String>,
-    /// Some of the starts are needed soon.
+    /// Whether some of the tasks must start soon.
     pub(super) urgent: bool,
-    /// The priority of the transaction that holds all of it.
+    /// Priority of the transaction that writes the segment.
     pub(super) priority: WritePriority,
 }
 
-/// How soon a job's starts and exits have to be stored; earlier ones go first.
+/// How soon a job's starts and exits have to be stored. Earlier variants are written first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Urgency {
-    /// The job has ended: its exits are dropped.
+    /// The job has ended, so that its exits are dropped.
     Ended,
-    /// Tasks have to start soon.
+    /// Tasks of the job must start soon.
     Start,
-    /// Its user, or the controllers with the rest of it, wait for our part.
+    /// The job was cancelled, or this controller's part of it is complete: its user, or the
+    /// controllers with the other parts, wait for that.
     End,
+    /// Nobody waits for the job's facts.
     CanWait,
 }
 
 impl Scheduler {
-    /// Orders the jobs that have something to write down. Exits alone lose little by
-    /// waiting, since agents report them until they are stored; the last ones of a job
-    /// are waited for by its user.
+    /// Orders the jobs that have something to write. Exits lose little by waiting, since agents
+    /// report them until they are stored, except for the last ones of a job, which its user waits
+    /// for.
     pub(super) fn write_order(&self, round: &SchedulingRound, starts: &BTreeMap<String, Vec<Start>>) -> WriteOrder {
         let uids: BTreeSet<&String> = starts.keys().chain(round.journal.jobs_with_exits()).collect();
         let mut order: Vec<(Urgency, f64, &String)> = Vec::new();
@@ -51,18 +56,20 @@
         WriteOrder { urgent, priority, jobs: order.into_iter().map(|entry| entry.2.clone()).collect() }
     }
 
-    /// How urgent a job's starts and exits are, and their weight among equally urgent ones.
+    /// The urgency of a job's starts and exits, and their weight among equally urgent ones: their
+    /// number times the waiting time.
     fn urgency(&self, round: &SchedulingRound, uid: &str, job: &Job, starts: usize) -> (Urgency, f64) {
         let exits = round.journal.exits_of(uid);
-        let exited = exits.map_or(0, |e| e.done.len() + e.gone.len());
-        let since = exits.map_or(round.now, |e| e.since);
+        let exited = exits.map_or(0, |exits| exits.done.len() + exits.gone.len());
+        let since = exits.map_or(round.now, |exits| exits.since);
         let waited = self.queue.get(uid).and_then(|queued| queued.waited(round.now)).unwrap_or_default();
         let waited = waited.max(round.now.saturating_sub(since));
         let weight = (starts + exited) as f64 * (waited + round.heartbeat_intervals(1.0)).as_secs_f64();
-        // Objectives on the start of arrays are long: no reason for a batch of their own.
-        let urgency = if starts > 0 && round.starts_soon(&job.spec) {
+        // Arrays may have objectives for their start as well, but long ones, which do not justify
+        // a segment of their own.
+        let urgency = if starts > 0 && round.must_start_soon(&job.spec) {
             Urgency::Start
-        } else if job.cancelled() || exits.is_some_and(|e| ends_own_part(round, job, e)) {
+        } else if job.cancelled() || exits.is_some_and(|exits| completes_own_part(round, job, exits)) {
             Urgency::End
         } else {
             Urgency::CanWait
@@ -71,8 +78,8 @@
     }
 }
 
-/// Whether nothing of the job waits or is left on this controller's machines.
-fn ends_own_part(round: &SchedulingRound, job: &Job, exits: &PendingExits) -> bool {
+/// Whether, with these exits, no task of the job waits or is left on this controller's machines.
+fn completes_own_part(round: &SchedulingRound, job: &Job, exits: &PendingExits) -> bool {
     job.waiting_count() == 0
         && job.chunks.values().flat_map(|chunk| &chunk.rec.on).all(|place| {
             exits.done.contains(&place.index)
--- a/src/controller/task_ranges.rs
+++ b/src/controller/task_ranges.rs
@@ -1,7 +1,7 @@
 //! Leases of jobs: tasks reassigned when their holder is gone or full, the
 //! queues that decide to whom, and the end of jobs whose last task is gone.
 
-use super::scheduler::{can_meet_deadline, end_op, queued};
+use super::scheduler::{can_meet_deadline, end_op, waiting_cores_by_controller};
 use super::*;
 use crate::coordination::shards;
 use crate::placement::MachineCapacity;
@@ -91,7 +91,7 @@
             let capacities = &seen[usize::from(soon)];
             let queues = ahead.entry((soon, j.spec.priority));
             let mut others = queues.or_insert_with(|| self.queues(self.counted(&j.spec), j.spec.priority)).clone();
-            for (m, cores) in queued(j) {
+            for (m, cores) in waiting_cores_by_controller(j) {
                 if let Some(q) = others.get_mut(m) {
                     *q = (*q - cores).max(0.0);
                 }
@@ -183,7 +183,7 @@
         let ahead = |j: &&Job| j.waiting_count() > 0 && j.spec.priority >= priority;
         for job in self.state.jobs.values().filter(ahead) {
             if self.counted(&job.spec) == counted && self.can_be_saved(job) {
-                for (member, cores) in queued(job) {
+                for (member, cores) in waiting_cores_by_controller(job) {
                     *queues.entry(member.to_string()).or_default() += cores;
                 }
             }
