--- a/src/controller/scheduler/preemption.rs
+++ b/src/controller/scheduler/preemption.rs
@@ -183,7 +183,8 @@
         if machine.is_over(&key) {
             continue;
         }
-        // A task that is being preempted already frees its room once: it is not a candidate.
+        // The room of a task that is being preempted already counts as free. The task is not a
+        // candidate again, so that its room counts only once.
         if machine.preempted.contains_key(&key) {
             capacity.put_back(&job.spec);
         } else if job.spec.kind == JobKind::Array && !job.cancelled() {
--- a/src/placement/mod.rs
+++ b/src/placement/mod.rs
@@ -21,8 +21,8 @@
 use knapsack::{CPU_STEPS, GPU_STEPS, Group, Knapsack, value};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Weight of a job's position in the queue among tasks of equal value; too small to outweigh a
-/// difference in value.
+/// Weight of a job's position in the order of service, which decides among tasks of equal value;
+/// too small to outweigh a difference in value.
 const TIE_BREAKER_WEIGHT: f32 = 1e-3;
 /// A job with an objective for its end counts as overdue only after it has waited this many
 /// times that objective.
@@ -71,9 +71,9 @@
         self.start_within_s.is_none_or(|limit_s| capacity.starts_within(self.spec, limit_s))
     }
 
-    /// Whether there is no objective for the start that can still be met: there is none at all,
-    /// it is missed already, or no machine can meet it.
-    fn start_objective_missed(&self) -> bool {
+    /// Whether the job has no objective for its start that can still be met: it has none at all,
+    /// it has missed it already, or no machine can meet it.
+    fn has_no_reachable_start_objective(&self) -> bool {
         self.hopeless || self.start_within_s.is_none_or(|limit_s| self.waited_s > limit_s)
     }
 
@@ -126,9 +126,9 @@
 
 /// Plans one round: which waiting tasks start on which machines of this controller's shard.
 /// Priorities are served from the highest to the lowest. Within a priority, gangs and overdue
-/// jobs come before all others. Of the other tasks of a priority only a window is considered:
-/// the longest-waiting ones, and the longest-waiting ones of jobs that can still meet their
-/// deadline. The jobs' tasks that start are removed from `waiting`.
+/// jobs come before all others. Except for gangs, only a window of a priority's tasks is
+/// considered: the longest-waiting ones, and the longest-waiting ones of jobs that can still meet
+/// their deadline. The jobs' tasks that start are removed from `waiting`.
 pub fn plan(
     capacities: &mut [MachineCapacity],
     waiting: &mut [Waiting],
@@ -323,10 +323,10 @@
             Pass::SingleImage => {
                 capacity.fetching_gb <= 0.0
                     && only_image.is_none_or(|image| image == job.spec.image)
-                    && (job.starts_in_time_on(capacity) || job.start_objective_missed())
+                    && (job.starts_in_time_on(capacity) || job.has_no_reachable_start_objective())
             }
             Pass::InTime => job.starts_in_time_on(capacity),
-            Pass::Any => job.start_objective_missed(),
+            Pass::Any => job.has_no_reachable_start_objective(),
         }
     }
 
