--- a/src/controller/journal/compaction.rs
+++ b/src/controller/journal/compaction.rs
@@ -1,4 +1,6 @@
-//! Checkpoints of task ranges, which free the slots of the log for later segments.
+//! Log compaction: checkpoints of task ranges, which free slots of the log for later segments.
+
+#![warn(missing_docs)]
 
 use super::LogSlot;
 use crate::controller::transactions::{Transactions, Why};
@@ -11,32 +13,35 @@
 use crate::state::{ClusterState, Job, records};
 use std::collections::BTreeSet;
 
-/// Slots are freed ahead of need once they are so old, as a share of the ring.
-const AHEAD: f64 = 0.75;
-/// Checkpoints that are written ahead in one transaction.
-const MAX_CHECKPOINTS_AHEAD: usize = 8;
+/// Age from which slots are freed ahead of need, as a share of the ring.
+const COMPACTION_AGE_SHARE: f64 = 0.75;
+/// The most checkpoints in a transaction of their own.
+const MAX_CHECKPOINTS_PER_TXN: usize = 8;
 
 /// A checkpoint to be written.
 #[derive(Debug)]
 pub(super) struct Checkpoint {
+    /// Condition that the checkpoint's record is as the replica shows it.
     pub(super) condition: Condition,
+    /// The write of the record.
     pub(super) op: Op,
-    /// Bytes of its value.
+    /// Size of the record, in bytes.
     size: usize,
 }
 
-/// Something has to be seen or answered before a checkpoint may be written.
+/// A checkpoint may not be written yet: the replica has to catch up, or a transaction has to be
+/// answered, first.
 #[derive(Debug)]
 pub(super) struct NotYet;
 
-/// Bytes of all values.
+/// The size of all records, in bytes.
 pub(super) fn total_size(checkpoints: &[Checkpoint]) -> usize {
     checkpoints.iter().map(|checkpoint| checkpoint.size).sum()
 }
 
 /// The checkpoint that a task range needs before the segment of `slot_version` may be
-/// written over, if it needs one. It holds all that the log has up to the replica's
-/// revision, so nothing of ours in the replica may be ahead of that.
+/// overwritten, if it needs one. A checkpoint stands for everything in the log up to the
+/// replica's revision, so no fact of this controller in the replica may be newer than that.
 fn checkpoint(
     state: &ClusterState,
     transactions: &Transactions,
@@ -59,7 +64,7 @@
 }
 
 impl Controller {
-    /// All checkpoints that have to be stored before a segment takes the slot.
+    /// All checkpoints that have to be stored before, or together with, a segment in this slot.
     pub(super) fn checkpoints_for_slot(&self, next: &LogSlot) -> Result<Vec<Checkpoint>, NotYet> {
         let slots = self.state.logs.get(&self.process.member).map(|log| &log.slots);
         let Some(slot) = slots.and_then(|slots| slots.get(&(next.seq % LOG_SLOTS))) else { return Ok(Vec::new()) };
@@ -70,24 +75,24 @@
         Ok(checkpoints)
     }
 
-    /// Frees slots ahead of need while there are writes to spare.
+    /// Frees slots ahead of need while the write rate has capacity to spare.
     pub(in crate::controller) fn compact_ahead(&mut self) {
         let spare = self.transactions.unspent_writes(self.now) - self.transactions.write_rate() * SPARE_WRITES;
         if self.journal.compacting || spare < 1.0 || !self.may_write(1.0) {
             return;
         }
-        let limit = MAX_CHECKPOINTS_AHEAD.min(spare as usize).min(self.config.settings.state.txn_ops);
+        let limit = MAX_CHECKPOINTS_PER_TXN.min(spare as usize).min(self.config.settings.state.txn_ops);
         let checkpoints = self.checkpoints_of_old_slots(limit);
         if !checkpoints.is_empty() {
             self.send_checkpoints(checkpoints);
         }
     }
 
-    /// Checkpoints, `limit` at most, of the slots that are to be written over next.
+    /// At most `limit` checkpoints for the slots that are overwritten next.
     fn checkpoints_of_old_slots(&self, limit: usize) -> Vec<Checkpoint> {
         let Some(log) = self.state.logs.get(&self.process.member) else { return Vec::new() };
         let oldest = (log.seq + 1).saturating_sub(LOG_SLOTS);
-        let newest = log.seq.saturating_sub((LOG_SLOTS as f64 * AHEAD) as u64);
+        let newest = log.seq.saturating_sub((LOG_SLOTS as f64 * COMPACTION_AGE_SHARE) as u64);
         let slots = (oldest..newest).filter_map(|seq| log.slots.get(&(seq % LOG_SLOTS)).filter(|slot| slot.seq == seq));
         let mut checkpoints: Vec<Checkpoint> = Vec::new();
         let mut seen = BTreeSet::new();
@@ -104,13 +109,14 @@
         checkpoints
     }
 
-    /// Sends checkpoints in a transaction of their own because they are too many to go
-    /// with a segment.
+    /// Sends checkpoints in a transaction of their own, because they are too many or too large to
+    /// be sent with a segment. The segment is written once they are stored.
     pub(super) fn send_checkpoints_first(&mut self, mut checkpoints: Vec<Checkpoint>, limit: usize) {
-        checkpoints.truncate(limit.min(MAX_CHECKPOINTS_AHEAD));
+        checkpoints.truncate(limit.min(MAX_CHECKPOINTS_PER_TXN));
         self.send_checkpoints(checkpoints);
     }
 
+    /// Sends as many of the checkpoints as fit into one transaction, unless another one is in flight.
     fn send_checkpoints(&mut self, mut checkpoints: Vec<Checkpoint>) {
         if self.journal.compacting {
             return;
--- a/src/controller/journal/mod.rs
+++ b/src/controller/journal/mod.rs
@@ -1,6 +1,11 @@
-//! This controller's log: the exits it saw and the starts it planned go into its
-//! next segment, over all jobs and machines; checkpoints of task ranges free the slots
-//! for later ones. A start is ordered only once its segment is in the store.
+//! This controller's log in the state service.
+//!
+//! The exits that the controller has seen and the starts that it has planned, for all jobs and
+//! machines, go into the next segment of its log. The log is a ring of slots: checkpoints of
+//! task ranges free slots for later segments. A start is ordered from its agent only once its
+//! segment is in the store.
+
+#![warn(missing_docs)]
 
 mod compaction;
 mod exits;
@@ -23,47 +28,48 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// What goes into the log next, and which of it is under way.
+/// What is to be written to the log next, and what of it is in flight.
 #[derive(Debug, Default)]
 pub(super) struct Journal {
-    /// Exits of tasks that are not stored yet, by job.
+    /// Exits that are not stored yet, by job.
     exits: BTreeMap<String, PendingExits>,
-    /// When the next segment goes.
+    /// Decides when the next segment is sent.
     writer: LogWriter,
-    /// Quota that segments without an answer would take: whether they do is known once
-    /// their slot is written.
+    /// Quota reserved for the starts of segments without an answer. Whether a segment was carried
+    /// out is known once its slot is written.
     in_doubt: Vec<Reservation>,
-    /// Checkpoints are under way.
+    /// Whether a transaction with checkpoints is in flight.
     compacting: bool,
-    /// Jobs that are complete, and whose record this controller has to end.
+    /// Complete jobs whose records this controller has to end.
     jobs_to_end: BTreeSet<String>,
 }
 
-/// The slot of the log that the next segment goes to.
+/// The slot of the log that the next segment is written to.
 #[derive(Debug)]
 struct LogSlot {
-    /// Number of the segment.
+    /// Sequence number of the segment.
     seq: u64,
+    /// Key of the slot in the store.
     key: String,
-    /// Version of what is in the slot now.
+    /// Version of the slot's present value, 0 if it is empty.
     version: u64,
 }
 
-/// Facts that can wait go this often, in heartbeat intervals.
-const SEGMENT_PACE: f64 = 1.0 / 16.0;
-/// A segment's answer is waited for so long, in heartbeat intervals; what comes later
-/// is void, or else the next one is.
-const SEGMENT_TIMEOUT: f64 = 0.25;
-/// A transaction may have so many conditions for each of the changes that it may have.
+/// Interval at which facts that can wait are written, in heartbeat intervals.
+const SEGMENT_INTERVAL_HEARTBEATS: f64 = 1.0 / 16.0;
+/// How long the answer to a segment is waited for, in heartbeat intervals. The next segment then
+/// goes to the same slot, so that only one of the two can be carried out.
+const SEGMENT_TIMEOUT_HEARTBEATS: f64 = 0.25;
+/// The number of conditions that a transaction may have for each change that it may have.
 const CONDITIONS_PER_OP: usize = 4;
 const BYTES_PER_KB: f64 = 1024.0;
-/// Keys of log slots start with this.
+/// Prefix of the keys of log slots.
 const LOG_PREFIX: &str = "fq/l/";
-/// Keys of job records start with this.
+/// Prefix of the keys of job records.
 const JOB_PREFIX: &str = "fq/j/";
 
 impl Journal {
-    /// Whether facts that can wait have waited long enough.
+    /// Whether a segment with only facts that can wait is due.
     pub(super) fn is_due(&self, now: Instant) -> bool {
         self.writer.due(now)
     }
@@ -73,7 +79,7 @@
         !self.exits.is_empty()
     }
 
-    /// Jobs with exits that are not stored yet.
+    /// The jobs with exits that are not stored yet.
     pub(super) fn jobs_with_exits(&self) -> impl Iterator<Item = &String> {
         self.exits.keys()
     }
@@ -83,56 +89,60 @@
         self.exits.get(uid)
     }
 
-    /// A task has finished; whether that is news.
+    /// Records that a task has finished, unless that is recorded already. Returns whether it is
+    /// new.
     pub(super) fn record_done(&mut self, uid: &str, index: u32, now: Instant) -> bool {
-        self.exits_since(uid, now).done.insert(index)
+        self.pending_exits(uid, now).done.insert(index)
     }
 
-    /// An attempt is proved to be gone from its machine; whether that is news.
+    /// Records the proof that an attempt is gone from its machine, unless that is recorded already.
+    /// Returns whether it is new.
     pub(super) fn record_gone(&mut self, uid: &str, index: u32, attempt: u64, now: Instant) -> bool {
-        self.exits_since(uid, now).gone.insert((index, attempt))
+        self.pending_exits(uid, now).gone.insert((index, attempt))
     }
 
-    fn exits_since(&mut self, uid: &str, now: Instant) -> &mut PendingExits {
+    /// The job's pending exits, which are created with the date `now` if there are none.
+    fn pending_exits(&mut self, uid: &str, now: Instant) -> &mut PendingExits {
         self.exits.entry(uid.to_string()).or_insert_with(|| PendingExits::new(now))
     }
 
-    /// This controller has to end the records of these jobs.
+    /// Records that this controller has to end the records of these jobs.
     pub(super) fn end_jobs(&mut self, uids: impl IntoIterator<Item = String>) {
         self.jobs_to_end.extend(uids);
     }
 
-    /// The jobs whose records are to be ended, which are no longer listed then.
+    /// Takes the list of jobs whose records are to be ended.
     pub(super) fn take_jobs_to_end(&mut self) -> BTreeSet<String> {
         std::mem::take(&mut self.jobs_to_end)
     }
 
-    /// The transaction with checkpoints was answered, or given up.
+    /// Records that the transaction with checkpoints was answered or abandoned.
     pub(super) fn compaction_ended(&mut self) {
         self.compacting = false;
     }
 
-    fn segment_sent(&mut self, now: Instant, pace: Duration) {
-        self.writer.sent(now, pace);
+    /// Records that a segment was sent; one with facts that can wait is due again after `interval`.
+    fn segment_sent(&mut self, now: Instant, interval: Duration) {
+        self.writer.sent(now, interval);
     }
 
-    /// The segment under way ended; gives the reservations of earlier ones that are
-    /// settled by it, because the slot is written.
+    /// Records that the segment in flight was answered or abandoned. If its slot is known to be
+    /// written, returns the reservations of earlier segments, which that settles.
     fn segment_ended(&mut self, slot_is_written: bool) -> Vec<Reservation> {
         self.writer.busy = false;
         if slot_is_written { std::mem::take(&mut self.in_doubt) } else { Vec::new() }
     }
 
-    /// What a segment that was not carried out said has to be written again.
+    /// Takes back the exits of a segment that was not carried out, so that they are written again.
     fn restore_exits(&mut self, uid: &str, facts: Facts, now: Instant) {
-        let exits = self.exits_since(uid, now);
+        let exits = self.pending_exits(uid, now);
         exits.done.extend(facts.done);
         exits.gone.extend(facts.gone);
     }
 }
 
 impl LogSlot {
-    /// The slot for the next segment of a member.
+    /// The slot for the next segment of a controller.
     fn next(state: &ClusterState, member: &str) -> LogSlot {
         let log = state.logs.get(member);
         let seq = log.map_or(0, |log| log.seq) + 1;
@@ -142,14 +152,15 @@
 }
 
 impl Controller {
-    /// Whether a segment may be put together now.
+    /// Whether a segment may be written now: none is in flight, and the replica shows the slot's
+    /// newest known version.
     pub(super) fn can_write_segment(&self) -> bool {
         let slot = LogSlot::next(&self.state, &self.process.member);
         !self.journal.writer.busy && !self.transactions.is_outdated(&slot.key)
     }
 
-    /// Puts the next segment together and sends it. `order` are the jobs with
-    /// something to write down, most important first.
+    /// Assembles the next segment and sends it, unless checkpoints have to be stored first. `order`
+    /// lists the jobs with something to write, most urgent first.
     pub(super) fn write_segment(&mut self, order: &[String], starts: BTreeMap<String, Vec<Start>>) {
         let store = &self.config.settings.state;
         let slot = LogSlot::next(&self.state, &self.process.member);
@@ -157,7 +168,7 @@
             return self.scheduler.request_round();
         };
         let max_checkpoints = store.txn_ops.saturating_sub(2).max(1);
-        let (segment_bytes, checkpoint_bytes) = byte_shares(value_bytes(&self.config));
+        let (segment_bytes, checkpoint_bytes) = byte_shares(max_value_bytes(&self.config));
         if checkpoints.len() > max_checkpoints || compaction::total_size(&checkpoints) > checkpoint_bytes {
             return self.send_checkpoints_first(checkpoints, max_checkpoints);
         }
@@ -181,6 +192,8 @@
         }
     }
 
+    /// Sends a transaction that stores the segment, its team records and the checkpoints, and
+    /// reserves the quota that the starts take.
     fn send_segment(&mut self, slot: LogSlot, segment: DraftedSegment, checkpoints: Vec<Checkpoint>) {
         let DraftedSegment { draft, quota, .. } = segment;
         let mut txn = Txn { conditions: draft.conditions().collect(), ops: Vec::new() };
@@ -206,12 +219,12 @@
             txn.conditions.push(checkpoint.condition);
             txn.ops.push(checkpoint.op);
         }
-        self.journal.segment_sent(self.now, self.heartbeat_intervals(SEGMENT_PACE));
-        let timeout = self.heartbeat_intervals(SEGMENT_TIMEOUT);
+        self.journal.segment_sent(self.now, self.heartbeat_intervals(SEGMENT_INTERVAL_HEARTBEATS));
+        let timeout = self.heartbeat_intervals(SEGMENT_TIMEOUT_HEARTBEATS);
         self.send_txn_within(txn, Why::Segment { facts: draft.facts, reservations }, keys, timeout);
     }
 
-    /// The segment was answered, or not.
+    /// Handles the answer to a segment, or that there was none.
     pub(super) fn segment_answer(
         &mut self,
         txn: &Txn,
@@ -229,7 +242,8 @@
             }
         }
         let slot_lost = self.mark_outdated_records(txn, ended);
-        // If this segment took the slot, it voids those in doubt; otherwise one of them did.
+        // If this segment took the slot, those in doubt were not carried out; if the slot was
+        // lost, one of them was.
         for reservation in self.journal.segment_ended(carried_out || slot_lost) {
             self.quota.settle(reservation, slot_lost, self.now);
         }
@@ -244,7 +258,7 @@
         }
     }
 
-    /// Sends the starts that are in the store now to their machines.
+    /// Sends commands to the machines of these starts, which are in the store now.
     fn push_starts(&mut self, facts: &BTreeMap<String, Facts>) {
         let places = facts.values().flat_map(|facts| &facts.starts);
         let machines: BTreeSet<&String> = places.map(|place| &place.machine).collect();
@@ -253,10 +267,11 @@
         }
     }
 
-    /// Remembers which records had changed, until the replica shows it; whether the
-    /// log's slot was one of them.
+    /// Marks the records whose conditions failed as outdated until the replica shows their new
+    /// versions. Returns whether a log slot is among them.
     pub(super) fn mark_outdated_records(&mut self, txn: &Txn, ended: &Ended) -> bool {
         let Ended::Void { failed, revision } = ended else { return false };
+        // Without a list of the failed conditions any of them may have failed.
         let all = txn.conditions.iter().map(|condition| &condition.key).filter(|_| failed.is_empty());
         let mut slot_lost = false;
         for key in failed.iter().chain(all) {
@@ -269,14 +284,14 @@
     }
 }
 
-/// Whether the job is a gang whose places may not fit into one segment.
+/// Whether the job is a gang whose placements may not fit into one segment.
 pub(super) fn is_wide_gang(spec: &JobSpec, settings: &Settings) -> bool {
     let max_ops = settings.settings.state.txn_ops;
-    spec.kind == JobKind::Gang && wide(spec.task_count, max_ops, value_bytes(settings))
+    spec.kind == JobKind::Gang && wide(spec.task_count, max_ops, max_value_bytes(settings))
 }
 
-/// The most bytes that a value in the store may have.
-fn value_bytes(settings: &Settings) -> usize {
+/// The largest size of a value in the store, in bytes.
+fn max_value_bytes(settings: &Settings) -> usize {
     (settings.settings.state.value_kb * BYTES_PER_KB) as usize
 }
 
--- a/src/controller/journal/segment.rs
+++ b/src/controller/journal/segment.rs
@@ -1,5 +1,7 @@
-//! Putting a log segment together: which exits and starts go into it, and on what
-//! conditions.
+//! Assembles log segments: selects the exits and starts that go into a segment, and the
+//! conditions under which it may be stored.
+
+#![warn(missing_docs)]
 
 use super::{Journal, PendingExits, is_wide_gang};
 use crate::config::Settings;
@@ -18,69 +20,79 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// What a segment is made from, none of which is changed.
+/// The inputs for a segment, which are only read.
 #[derive(Clone, Copy)]
 pub(super) struct SegmentInputs<'a> {
+    /// Present time on the controller's monotonic clock.
     pub(super) now: Instant,
+    /// Settings of the cluster and of this controller.
     pub(super) settings: &'a Settings,
+    /// This controller process.
     pub(super) process: &'a Process,
+    /// This controller's replica of the cluster state.
     pub(super) state: &'a ClusterState,
+    /// What is known of the agents on this controller's machines.
     pub(super) agents: &'a Agents,
+    /// Transactions in flight, and records known to be newer than the replica.
     pub(super) transactions: &'a Transactions,
-    /// Distinguishes a changed team record from all others of this process.
+    /// Number that distinguishes a changed team record from all others written by this process.
     pub(super) record_count: u64,
 }
 
 /// A segment that is ready to be sent.
 #[derive(Debug)]
 pub(super) struct DraftedSegment {
+    /// The facts of the segment, with their conditions.
     pub(super) draft: SegmentBuilder,
-    /// What the starts take of their teams' limits.
+    /// Quota that the starts take, by team.
     pub(super) quota: BTreeMap<String, TakenQuota>,
-    /// Some facts found no room.
+    /// Whether some facts did not fit.
     pub(super) is_full: bool,
-    /// The record of a team that comes near its limit, as it is now: it has to become
-    /// strict before more of the team's tasks start.
+    /// Key and present version of the record of a team that comes near its limit. The record has
+    /// to become strict before more of the team's tasks start.
     pub(super) near_limit: Option<Condition>,
 }
 
-/// What a team's starts in one segment take of its limit.
+/// The quota that a team's starts in one segment take.
 #[derive(Debug)]
 pub(super) struct TakenQuota {
+    /// Resources of all these starts.
     pub(super) amounts: Resources,
-    /// The team's record changes with them to this.
+    /// New value of the team's record, if the starts change it.
     pub(super) new_record: Option<TeamRecord>,
 }
 
-/// How a team's limit bears on starts of its tasks.
+/// The decision whether a team's quota admits the starts of a job.
 enum QuotaDecision {
+    /// The team has no limit.
     Unlimited,
+    /// The starts stay within the limit.
     Admitted(AdmittedQuota),
-    /// They have to wait.
+    /// The starts have to wait.
     Deferred,
 }
 
-/// Starts that stay within their team's limit if its record is as seen.
+/// Quota for starts that stay within their team's limit if its record is as the replica shows it.
 struct AdmittedQuota {
     team: String,
     /// Key and version of the team's record.
     condition: (String, u64),
-    /// The record changes with the starts, so that they exclude others.
+    /// New value of the record if it changes with the starts, so that they exclude others.
     new_record: Option<TeamRecord>,
 }
 
-/// A start that may go into the segment.
+/// A start that may go into the segment, and what it needs there.
 struct PlannedStart {
     place: Placement,
     need: FactRequirements,
 }
 
-/// The segment has no room for more.
+/// The segment has no room for a fact.
 struct Full;
 
 impl Journal {
-    /// Puts a segment together from the exits and starts of the jobs in `order`.
-    /// Exits that go into it are no longer listed here.
+    /// Assembles a segment from the exits and starts of the jobs in `order`. Exits that go into it,
+    /// or need no segment any more, are removed from the journal.
     pub(super) fn draft_segment(
         &mut self,
         inputs: SegmentInputs,
@@ -89,7 +101,7 @@
         order: &[String],
         mut starts: BTreeMap<String, Vec<Start>>,
     ) -> DraftedSegment {
-        let mut builder = SegmentPlanner {
+        let mut planner = SegmentPlanner {
             inputs,
             reservations,
             draft: SegmentBuilder::new(limits),
@@ -99,32 +111,36 @@
         let mut is_full = false;
         for uid in order {
             let starts = starts.remove(uid).unwrap_or_default();
-            is_full = match self.exits.remove(uid).map_or(Ok(()), |exits| builder.add_exits(uid, exits)) {
+            is_full = match self.exits.remove(uid).map_or(Ok(()), |exits| planner.add_exits(uid, exits)) {
                 Err(rest) => {
                     self.exits.insert(uid.clone(), rest);
                     true
                 }
-                Ok(()) => builder.add_starts(uid, &starts).is_err(),
+                Ok(()) => planner.add_starts(uid, &starts).is_err(),
             };
             if is_full {
                 break;
             }
         }
-        let SegmentPlanner { draft, quota, near_limit, .. } = builder;
+        let SegmentPlanner { draft, quota, near_limit, .. } = planner;
         DraftedSegment { draft, quota, is_full, near_limit }
     }
 }
 
+/// A segment while facts are added to it.
 struct SegmentPlanner<'a> {
     inputs: SegmentInputs<'a>,
+    /// Quota taken by earlier starts of this controller.
     reservations: &'a mut QuotaReservations,
     draft: SegmentBuilder,
+    /// Quota that the starts in the segment take, by team.
     quota: BTreeMap<String, TakenQuota>,
+    /// See [`DraftedSegment::near_limit`].
     near_limit: Option<Condition>,
 }
 
 impl SegmentPlanner<'_> {
-    /// Adds the job's exits; gives those back that found no room.
+    /// Adds the job's exits; returns those that do not fit as an error.
     fn add_exits(&mut self, uid: &str, mut exits: PendingExits) -> Result<(), PendingExits> {
         let Some(job) = self.inputs.state.jobs.get(uid) else { return Ok(()) };
         let mut full = false;
@@ -139,7 +155,7 @@
         if full { Err(exits) } else { Ok(()) }
     }
 
-    /// Adds that a task has finished, unless that is stored already.
+    /// Adds the fact that a task has finished, unless it is stored already or the job is cancelled.
     fn add_done(&mut self, uid: &str, job: &Job, index: u32) -> Result<(), Full> {
         if job.is_done(index, self.inputs.state.checkpoint_size) || job.cancelled() {
             return Ok(());
@@ -151,8 +167,8 @@
         Ok(())
     }
 
-    /// Adds that an attempt is gone. What is not ours to say, or known, is dropped: it
-    /// will be seen again.
+    /// Adds the fact that an attempt is gone. It is dropped if this controller must not state it or
+    /// it is stored already. If it still holds, it will be observed again.
     fn add_gone(&mut self, uid: &str, job: &Job, index: u32, attempt: u64) -> Result<(), Full> {
         let place = job.place(index, self.inputs.state.checkpoint_size).filter(|place| place.attempt == attempt);
         let proved = place.filter(|place| self.is_proved_gone(&place.machine, uid, index, attempt));
@@ -164,13 +180,13 @@
         Ok(())
     }
 
-    /// Adds the job's starts.
+    /// Adds those of the job's starts that are still possible and within quota.
     fn add_starts(&mut self, uid: &str, starts: &[Start]) -> Result<(), Full> {
         let Some(job) = self.inputs.state.jobs.get(uid) else { return Ok(()) };
         if job.cancelled() || starts.is_empty() || !self.may_start_tasks_of(uid, job) {
             return Ok(());
         }
-        // A wide gang goes into several segments; all others are started as a whole.
+        // A wide gang goes into several segments; any other gang is started as a whole.
         let as_a_whole = job.spec.kind == JobKind::Gang && !is_wide_gang(&job.spec, self.inputs.settings);
         let Some(mut planned) = self.planned_starts(uid, job, starts, as_a_whole) else { return Ok(()) };
         let quota = match self.decide_quota(&job.spec, planned.len()) {
@@ -184,7 +200,7 @@
         if as_a_whole {
             let needs: Vec<&FactRequirements> = planned.iter().map(|start| &start.need).collect();
             if !self.draft.take(uid, &needs) {
-                // A gang too large for any segment does not keep the others waiting.
+                // A gang that does not even fit into an empty segment must not hold up other jobs.
                 return if self.draft.is_empty() { Ok(()) } else { Err(Full) };
             }
         }
@@ -196,15 +212,15 @@
         if started < planned_count { Err(Full) } else { Ok(()) }
     }
 
-    /// Whether the replica shows all that was started of the job before us: whoever could
-    /// start its tasks did so before the job's record was what it is.
+    /// Whether the replica shows all starts of the job by controllers that its tasks were assigned
+    /// to before: those starts were stored before the job's record got its present version.
     fn may_start_tasks_of(&self, uid: &str, job: &Job) -> bool {
         let key = records::job_key(uid);
         job.rec.version <= self.inputs.state.revision && !self.is_locked(&key) && !self.is_outdated(&key)
     }
 
-    /// The starts that are still possible, and what each needs in the segment; none if
-    /// one of those that go as a whole is not.
+    /// The starts that are still possible, and what each needs in the segment. `None` if they go as
+    /// a whole and one of them is not possible.
     fn planned_starts(&self, uid: &str, job: &Job, starts: &[Start], as_a_whole: bool) -> Option<Vec<PlannedStart>> {
         let size = self.inputs.state.checkpoint_size;
         let attempt = next_attempt(job);
@@ -225,8 +241,8 @@
         Some(planned)
     }
 
-    /// Adds starts until one finds no room; how many went in. Room for those that go as
-    /// a whole is taken already.
+    /// Adds starts until one does not fit, and returns how many were added. Room for starts that go
+    /// as a whole has been taken by the caller.
     fn add_planned(&mut self, uid: &str, planned: Vec<PlannedStart>, as_a_whole: bool) -> usize {
         let mut started = 0;
         for PlannedStart { place, need } in planned {
@@ -238,7 +254,7 @@
                 index = place.index,
                 machine = %place.machine,
                 attempt = place.attempt,
-                "task_start_planned"
+                "task start planned"
             );
             started += 1;
             if let Some(facts) = self.draft.facts.get_mut(uid) {
@@ -248,12 +264,13 @@
         started
     }
 
+    /// Counts the amounts as taken of the team's quota by this segment.
     fn take_quota(&mut self, quota: AdmittedQuota, amounts: Resources) {
         let new = TakenQuota { amounts: Resources::default(), new_record: quota.new_record };
         self.quota.entry(quota.team).or_insert(new).amounts.plus(amounts, 1.0);
     }
 
-    /// Whether the team's limit, if it has one, admits the starts of so many tasks.
+    /// Decides whether the quota of the job's team admits the starts of `tasks` tasks.
     fn decide_quota(&mut self, spec: &JobSpec, tasks: usize) -> QuotaDecision {
         let inputs = self.inputs;
         let teams = &inputs.settings.settings.teams;
@@ -277,13 +294,13 @@
                 let condition = (key, version);
                 return QuotaDecision::Admitted(AdmittedQuota { team: team.name.clone(), condition, new_record: None });
             }
-            // Nothing is started until all see that starts exclude each other now.
+            // No task starts until all controllers see that starts exclude each other from now on.
             if !self.quota.contains_key(&team.name) {
                 self.near_limit = Some(Condition { key, version });
             }
             return QuotaDecision::Deferred;
         }
-        // The replica must show what was started before the record was written.
+        // The replica must show all starts that were stored before the record was.
         if self.is_locked(&key) || inputs.state.revision < version {
             return QuotaDecision::Deferred;
         }
@@ -295,8 +312,8 @@
         })
     }
 
-    /// The conditions for writes about a machine: that it is ours by a grant that the
-    /// replica has reached. None if it is not, or a refusal has put that in doubt.
+    /// The conditions for facts about a machine: that it belongs to this controller by a grant that
+    /// the replica has reached. `None` if it does not, or if a refused write has put that in doubt.
     fn grant_conditions(&self, machine: &str) -> Option<Vec<(String, u64)>> {
         let SegmentInputs { state, process, .. } = self.inputs;
         let machine = state.machines.get(machine)?;
@@ -304,7 +321,7 @@
             return None;
         }
         let group = records::machine_group_key(&machine.rec.group);
-        // What an earlier incarnation sent late must not take back a place that
+        // A segment of an earlier incarnation that arrives late must not remove a placement that
         // its successor relies on.
         let shard = shard_condition(state, &process.member);
         if self.is_outdated(&group) || self.is_outdated(&shard.key) {
@@ -313,8 +330,8 @@
         Some(vec![(group, machine.version), (shard.key, shard.version)])
     }
 
-    /// Whether the attempt was proved gone under the grant in force. A machine that went to
-    /// another controller and came back may have run it on: earlier proofs do not count.
+    /// Whether the attempt was proved gone under the grant in force. Earlier proofs do not count:
+    /// a machine that was granted to another controller and back may have gone on running it.
     fn is_proved_gone(&self, machine: &str, uid: &str, index: u32, attempt: u64) -> bool {
         let SegmentInputs { state, agents, .. } = self.inputs;
         let (Some(agent), Some(record)) = (agents.machine(machine), state.machines.get(machine)) else {
@@ -323,22 +340,25 @@
         agent.is_under(record.rec.term, record.rec.epoch) && agent.gone.contains(&(uid.to_string(), index, attempt))
     }
 
+    /// Takes room in the segment for facts of the job.
     fn take(&mut self, uid: &str, needs: &[&FactRequirements]) -> Result<(), Full> {
         if self.draft.take(uid, needs) { Ok(()) } else { Err(Full) }
     }
 
+    /// Whether a transaction in flight changes the record or depends on it.
     fn is_locked(&self, key: &str) -> bool {
         self.inputs.transactions.is_locked(key)
     }
 
+    /// Whether the record is known to be newer in the store than in the replica.
     fn is_outdated(&self, key: &str) -> bool {
         self.inputs.transactions.is_outdated(key)
     }
 }
 
-/// The attempt number for the job's next starts. A gang that lost a task before it
-/// started is completed under the same attempt: its tasks find each other by that. So is
-/// a wide one, whose places go into several segments.
+/// The attempt number for the job's next starts. A gang that lost a task before it started is
+/// completed under the same attempt number, by which its tasks find each other. So is a wide
+/// gang, whose placements go into several segments.
 fn next_attempt(job: &Job) -> u64 {
     let highest = job.chunks.values().map(|chunk| chunk.rec.highest_attempt).max().unwrap_or(0);
     if job.spec.kind == JobKind::Gang && job.placed > 0 { highest } else { highest + 1 }
--- a/src/controller/journal/tests.rs
+++ b/src/controller/journal/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of what is kept until it is stored.
+//! Tests of the facts that are kept until they are stored.
 
 use super::*;
 use crate::state::Resources;
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn an_exit_is_news_once_and_dates_from_the_first() {
+fn an_exit_is_new_once_and_exits_date_from_the_first() {
     let mut journal = Journal::default();
     assert!(!journal.has_exits());
     assert!(journal.record_done("run-1", 4, at(1)));
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn one_segment_is_under_way_at_a_time() {
+fn one_segment_is_in_flight_at_a_time() {
     let mut journal = Journal::default();
     journal.segment_sent(at(1), at(2));
     assert!(journal.writer.busy && !journal.is_due(at(2)));
--- a/src/controller/quota/tests.rs
+++ b/src/controller/quota/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of what is left of a team's limits.
+//! Tests of remaining quota and of the distance from limits.
 
 use super::*;
 
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn the_scarcer_resource_decides_how_many_tasks_are_admitted() {
+fn the_scarcer_resource_limits_the_admitted_tasks() {
     let quota = RemainingQuota { cpus: 10.0, gpus: 3.0 };
     assert_eq!(quota.admits(&job(2.0, 0.0), 9), 5);
     assert_eq!(quota.admits(&job(2.0, 1.0), 9), 3);
@@ -21,17 +21,17 @@
 }
 
 #[test]
-fn tasks_that_are_taken_count_for_the_next_job() {
+fn admitted_tasks_reduce_the_quota_for_the_next_job() {
     let mut quota = RemainingQuota { cpus: 10.0, gpus: f64::INFINITY };
     quota.take(&job(3.0, 0.0), 2);
     assert_eq!(quota.admits(&job(3.0, 0.0), 9), 1);
 }
 
 #[test]
-fn a_team_is_far_from_its_limits_only_if_it_is_from_each() {
+fn a_team_is_far_from_its_limits_only_if_it_is_far_from_each() {
     let limit = |used, max| Limit { used, max };
     let far = QuotaUse { cpus: limit(2.0, 10.0), gpus: limit(5.0, 0.0) };
-    assert!(far.is_far_from_limits(), "a limit of 0 is none");
+    assert!(far.is_far_from_limits(), "a limit of 0 means no limit");
     let near = QuotaUse { cpus: limit(2.0, 10.0), gpus: limit(3.0, 10.0) };
     assert!(!near.is_far_from_limits());
 }
--- a/src/controller/scheduler/mod.rs
+++ b/src/controller/scheduler/mod.rs
@@ -97,7 +97,7 @@
     pub(super) fn check_jobs(&mut self) {
         self.scheduler.request_round_if(self.journal.has_exits());
         self.scheduler.retain_known_jobs(&self.state);
-        self.close_jobs();
+        self.find_jobs_to_end();
         self.compact_ahead();
     }
 
--- a/src/controller/sharding.rs
+++ b/src/controller/sharding.rs
@@ -1,5 +1,10 @@
-//! The leader's grants of machines: blocks levelled, machines of a zone brought
-//! together, those that nobody hears moved.
+//! The leader's grants of machines to controllers.
+//!
+//! The leader grants a restarted controller its shard again, moves machines away from controllers
+//! that are gone or that the machines cannot reach, balances the sizes of shards, and brings
+//! machines of one zone together for a gang.
+
+#![warn(missing_docs)]
 
 use super::*;
 use crate::coordination::log_writer::fitting;
@@ -13,142 +18,158 @@
 /// When the leader next reassigns tasks and machines.
 #[derive(Debug, Default)]
 pub(super) struct Sharding {
-    /// When tasks are next reassigned.
-    reassign_next: Instant,
-    /// When shards are next rebalanced.
+    /// Time of the next reassignment of tasks.
+    next_reassignment: Instant,
+    /// Earliest time of the next rebalancing of shards.
     pub(super) rebalance_next: Instant,
-    /// No rebalancing before this time: machines were brought together for a gang.
+    /// No rebalancing before this time, since machines were brought together for a gang.
     pub(super) rebalance_after_gang: Instant,
-    /// Machines that did not reach a controller, and until when they are not given to it.
+    /// By machine and controller that the machine did not reach, until when the machine is not
+    /// granted to that controller.
     pub(super) avoid: HashMap<(String, String), Instant>,
 }
 
 impl Sharding {
-    /// Whether tasks are to be reassigned now; if so, the next time is `interval` later.
+    /// Whether a reassignment of tasks is due now. If so, the next one is due `interval` later.
     pub(super) fn reassignment_due(&mut self, now: Instant, interval: Duration) -> bool {
-        let due = now >= self.reassign_next;
+        let due = now >= self.next_reassignment;
         if due {
-            self.reassign_next = now + interval;
+            self.next_reassignment = now + interval;
         }
         due
     }
 }
 
-/// After machines were brought together for a gang, blocks are not levelled for
-/// so many report intervals.
-const GATHERED_REPORTS: f64 = 3.0;
+/// How long shards are not rebalanced after machines were brought together for a gang, in
+/// heartbeat intervals.
+const REBALANCE_PAUSE_AFTER_GANG_HEARTBEATS: f64 = 3.0;
 
-/// A machine that did not reach a controller is not given to it for so many leases.
-const UNREACHED_LEASES: f64 = 4.0;
+/// How long a machine that did not reach a controller is not granted to it, in leases.
+const AVOID_UNREACHED_LEASES: f64 = 4.0;
 
 impl Controller {
+    /// Grants restarted controllers their shards again, and sends one transaction with the moves of
+    /// machine groups that are most urgent, if any are due.
     pub(super) fn grant_shards(&mut self) {
         for member in self.state.restarted() {
             let key = records::shard_grant_key(&member);
             if self.transactions.is_locked(&key) || !self.may_write_as(WritePriority::Critical) {
                 continue;
             }
-            let Some(m) = self.state.members.get(&member) else { continue };
-            let (incarnation, version) = (m.rec.incarnation, m.version);
-            let rec = ShardGrantRecord { incarnation, term: self.term(), epoch: self.leadership.next_epoch() };
-            tracing::debug!(to = %member, "block granted again");
+            let Some(member_record) = self.state.members.get(&member) else { continue };
+            let (incarnation, version) = (member_record.rec.incarnation, member_record.version);
+            let record = ShardGrantRecord { incarnation, term: self.term(), epoch: self.leadership.next_epoch() };
+            tracing::debug!(to = %member, "shard granted again");
             let txn = Txn {
                 conditions: vec![
                     self.leader_condition(),
                     Condition { key: key.clone(), version: self.state.shard_grant_version(&member) },
                     Condition { key: records::member_key(&member), version },
                 ],
-                ops: vec![Op::Put { key, data: records::to_value(&rec), lease: None }],
+                ops: vec![Op::Put { key, data: records::to_value(&record), lease: None }],
             };
             self.txn_keyed(txn, Why::Grant);
         }
         if !self.startup.members_known() {
-            return; // whoever comes back gets its block whole
+            return; // a controller that restarts meanwhile gets its whole shard back
         }
         let now = self.now;
-        let ops = self.config.settings.state.txn_ops;
-        let spare = ops.min(self.transactions.unspent_writes(self.now) as usize).max(1);
-        let known = self.startup.fleet_known();
-        let unreached = if known { self.unreached_machines() } else { Vec::new() };
-        let deaf: BTreeSet<&str> =
-            if known { self.connectivity.unhearing_members(now).collect() } else { BTreeSet::new() };
-        let level = known && self.now >= self.sharding.rebalance_next;
-        // Machines without an owner that answers them lose their tasks soon.
-        let mut moves = wanted_moves(&self.state, &deaf, &unreached, ops);
-        let first = !moves.is_empty();
-        if moves.is_empty() && level && now >= self.sharding.rebalance_after_gang {
-            moves.extend(shards::rebalance(&self.state, &deaf, |machine, to| self.reaches(machine, to)));
+        let max_ops = self.config.settings.state.txn_ops;
+        let max_moves = max_ops.min(self.transactions.unspent_writes(self.now) as usize).max(1);
+        let fleet_known = self.startup.fleet_known();
+        let unreached = if fleet_known { self.unreached_machines() } else { Vec::new() };
+        let unhearing: BTreeSet<&str> =
+            if fleet_known { self.connectivity.unhearing_members(now).collect() } else { BTreeSet::new() };
+        let rebalance_due = fleet_known && self.now >= self.sharding.rebalance_next;
+        // Machines without an owner that answers them come first: they lose their tasks soon.
+        let mut moves = wanted_moves(&self.state, &unhearing, &unreached, max_ops);
+        let is_urgent = !moves.is_empty();
+        if moves.is_empty() && rebalance_due && now >= self.sharding.rebalance_after_gang {
+            moves.extend(shards::rebalance(&self.state, &unhearing, |machine, to| self.reaches(machine, to)));
         }
-        if moves.is_empty() && level {
-            moves = self.gather_moves();
-            moves.truncate(spare);
+        if moves.is_empty() && rebalance_due {
+            moves = self.moves_for_waiting_gang();
+            moves.truncate(max_moves);
             if !moves.is_empty() {
-                // Levelling would take them apart before the gang has started.
-                self.sharding.rebalance_after_gang = now + self.heartbeat_intervals(GATHERED_REPORTS);
+                // Rebalancing would separate them before the gang has started.
+                self.sharding.rebalance_after_gang =
+                    now + self.heartbeat_intervals(REBALANCE_PAUSE_AFTER_GANG_HEARTBEATS);
             }
         }
-        let may = if first { self.may_write_as(WritePriority::Critical) } else { self.may_write(moves.len() as f64) };
-        if moves.is_empty() || !may {
+        let may_write =
+            if is_urgent { self.may_write_as(WritePriority::Critical) } else { self.may_write(moves.len() as f64) };
+        if moves.is_empty() || !may_write {
             return;
         }
         self.sharding.rebalance_next = self.now + self.heartbeat_intervals(1.0);
-        let sizes = moves.iter().map(|m| self.state.machine_groups.get(&m.group).map_or(0, |p| encode(&p.rec).len()));
+        let record_size = |group: &String| self.state.machine_groups.get(group).map_or(0, |old| encode(&old.rec).len());
+        let sizes = moves.iter().map(|wanted| record_size(&wanted.group));
         moves.truncate(fitting(sizes));
         let mut txn = Txn { conditions: vec![self.leader_condition()], ops: Vec::new() };
-        for m in moves {
-            let key = records::machine_group_key(&m.group);
-            let (Some(p), Some(to)) = (self.state.machine_groups.get(&m.group), self.state.members.get(&m.to)) else {
+        for wanted in moves {
+            let key = records::machine_group_key(&wanted.group);
+            let old = self.state.machine_groups.get(&wanted.group);
+            let (Some(old), Some(to)) = (old, self.state.members.get(&wanted.to)) else {
                 continue;
             };
             if self.transactions.is_locked(&key) {
                 continue;
             }
-            let rec = MachineGroupRecord {
-                owner: m.to.clone(),
+            let record = MachineGroupRecord {
+                owner: wanted.to.clone(),
                 incarnation: to.rec.incarnation,
                 term: self.term(),
                 epoch: self.leadership.next_epoch(),
-                ..p.rec.clone()
+                ..old.rec.clone()
             };
-            for machine in p.rec.machines.iter().filter(|m| unreached.iter().any(|u| u.0 == **m)) {
-                let until = now + self.secs(self.config.settings.workers.lease_s * UNREACHED_LEASES);
-                self.sharding.avoid.insert((machine.clone(), p.rec.owner.clone()), until);
+            let is_unreached = |machine: &&String| unreached.iter().any(|entry| entry.0 == **machine);
+            for machine in old.rec.machines.iter().filter(is_unreached) {
+                let until = now + self.secs(self.config.settings.workers.lease_s * AVOID_UNREACHED_LEASES);
+                self.sharding.avoid.insert((machine.clone(), old.rec.owner.clone()), until);
             }
-            tracing::debug!(group = %m.group, machines = rec.machines.len(), from = %p.rec.owner, to = %m.to, "machine granted");
-            // Late, after the block it leaves was granted anew, it would carry a lower
-            // token than the machines have seen.
-            let shard = self.shard_condition_of(&p.rec.owner);
+            tracing::debug!(
+                group = %wanted.group,
+                machines = record.machines.len(),
+                from = %old.rec.owner,
+                to = %wanted.to,
+                "machine group granted"
+            );
+            // If this write arrived late, after the shard that the group leaves was granted again,
+            // it would carry a lower fencing token than the machines have seen.
+            let shard = self.shard_condition_of(&old.rec.owner);
             if !txn.conditions.contains(&shard) {
                 txn.conditions.push(shard);
             }
-            txn.conditions.push(Condition { key: key.clone(), version: p.version });
-            txn.ops.push(Op::Put { key, data: records::to_value(&rec), lease: None });
+            txn.conditions.push(Condition { key: key.clone(), version: old.version });
+            txn.ops.push(Op::Put { key, data: records::to_value(&record), lease: None });
         }
         if !txn.ops.is_empty() {
             self.txn_keyed(txn, Why::Grant);
         }
     }
 
-    /// For a gang that waits and fits in no block: machines of one zone are
-    /// brought together. One gang at a time.
-    fn gather_moves(&self) -> Vec<shards::Move> {
-        // Until then machines that were rented for it may still come up together.
-        let boot = self.cloud.longest_startup_s();
-        let waits = |uid: &String| self.scheduler.waited(uid, self.now).is_some_and(|t| t > self.secs(boot));
-        let whole = |j: &Job| j.spec.kind == JobKind::Gang && j.spec.task_count > 1 && j.placed == 0;
+    /// Moves that bring machines into one shard, so that a gang fits there that waits and fits into
+    /// no shard. They are of one zone if the gang needs that. One gang is served at a time, oldest
+    /// first.
+    fn moves_for_waiting_gang(&self) -> Vec<shards::Move> {
+        // A gang first waits as long as machines that were rented for it may take to boot.
+        let startup_s = self.cloud.longest_startup_s();
+        let has_waited =
+            |uid: &String| self.scheduler.waited(uid, self.now).is_some_and(|waited| waited > self.secs(startup_s));
+        let is_unplaced_gang = |job: &Job| job.spec.kind == JobKind::Gang && job.spec.task_count > 1 && job.placed == 0;
         let mut gangs: Vec<&Job> = self
             .state
             .jobs
             .iter()
-            .filter(|(uid, j)| whole(j) && j.waiting_count() > 0 && waits(uid))
-            .map(|(_, j)| j)
+            .filter(|(uid, job)| is_unplaced_gang(job) && job.waiting_count() > 0 && has_waited(uid))
+            .map(|(_, job)| job)
             .collect();
         if gangs.is_empty() {
             return Vec::new();
         }
-        gangs.sort_by_key(|j| j.rec.rec.at_ms);
+        gangs.sort_by_key(|job| job.rec.rec.at_ms);
         let capacities = self.capacities(true);
-        let found = gangs.into_iter().map(|j| shards::gather_for_gang(&self.state, &capacities, &j.spec));
-        found.into_iter().find(|moves| !moves.is_empty()).unwrap_or_default()
+        let moves = gangs.into_iter().map(|job| shards::gather_for_gang(&self.state, &capacities, &job.spec));
+        moves.into_iter().find(|moves| !moves.is_empty()).unwrap_or_default()
     }
 }
--- a/src/controller/task_ranges.rs
+++ b/src/controller/task_ranges.rs
@@ -1,5 +1,11 @@
-//! Leases of jobs: tasks reassigned when their holder is gone or full, the
-//! queues that decide to whom, and the end of jobs whose last task is gone.
+//! Assignment of jobs' task ranges to controllers, and the end of jobs.
+//!
+//! Each waiting task is assigned to one controller, which alone may start it. The leader assigns
+//! tasks anew if that controller is gone, or if it has no room for them while another has. The
+//! choice depends on the queues of all controllers. A job whose last task is done or gone is
+//! ended by one controller.
+
+#![warn(missing_docs)]
 
 use super::scheduler::{can_meet_deadline, end_op, waiting_cores_by_controller};
 use super::*;
@@ -10,179 +16,194 @@
 use crate::state::Job;
 use crate::state::records::{JobRecord, TaskRange};
 
+/// Waiting time after which the leader considers assigning a job's tasks to a controller with
+/// more room, in heartbeat intervals.
+const MIN_WAIT_HEARTBEATS: f64 = 0.25;
+
 impl Controller {
-    /// Whether it is ours to end the job: one controller does, so that they do not
-    /// refuse each other.
+    /// Whether this controller has to end the job: the one that has the first task range, or the
+    /// leader if that one is gone. Only one does, so that controllers do not make each other's
+    /// writes conflict.
     pub(super) fn ends(&self, uid: &str) -> bool {
-        let Some(j) = self.state.jobs.get(uid) else { return false };
-        let first = j.rec.rec.task_ranges.first().map(|s| &s.member);
-        match first.filter(|m| self.state.members.contains_key(*m)) {
-            Some(m) => *m == self.process.member,
+        let Some(job) = self.state.jobs.get(uid) else { return false };
+        let first = job.rec.rec.task_ranges.first().map(|range| &range.member);
+        match first.filter(|member| self.state.members.contains_key(*member)) {
+            Some(member) => *member == self.process.member,
             None => self.am_leader(),
         }
     }
 
-    /// Jobs that nobody ended whose duty it was when they were complete: it may
-    /// have come to us since, with a holder that is gone, or back with our lease.
-    pub(super) fn close_jobs(&mut self) {
-        let complete = self.state.jobs.iter().filter(|(_, j)| j.complete());
-        let ours: Vec<String> = complete.map(|(uid, _)| uid.clone()).filter(|uid| self.ends(uid)).collect();
-        self.journal.end_jobs(ours);
+    /// Finds complete jobs that this controller has to end. A job may have been completed while
+    /// that was the duty of another controller, which is gone now, or while this controller had
+    /// no session lease.
+    pub(super) fn find_jobs_to_end(&mut self) {
+        let complete = self.state.jobs.iter().filter(|(_, job)| job.complete());
+        let own: Vec<String> = complete.map(|(uid, _)| uid.clone()).filter(|uid| self.ends(uid)).collect();
+        self.journal.end_jobs(own);
     }
 
-    /// Ends the records of jobs whose last task is done or gone.
+    /// Ends the records of jobs whose last task is done or gone, as far as the write rate allows.
     pub(super) fn close_tick(&mut self) {
         for uid in self.journal.take_jobs_to_end() {
             let key = records::job_key(&uid);
-            let Some(j) = self.state.jobs.get(&uid).filter(|j| j.complete()) else { continue };
-            // What was started just before it was cancelled may still be on its way here.
-            let known = j.rec.version <= self.state.revision;
-            let ready = known && !self.transactions.is_locked(&key) && !self.transactions.is_outdated(&key);
-            // Who withdrew a job was told so long ago: that nothing is left of it can
-            // wait for writes to spare.
-            let cancelled = j.cancelled();
-            let may = match () {
-                _ if !ready => false,
+            let Some(job) = self.state.jobs.get(&uid).filter(|job| job.complete()) else { continue };
+            // The replica may not show yet what was started just before the job was cancelled.
+            let is_known = job.rec.version <= self.state.revision;
+            let is_ready = is_known && !self.transactions.is_locked(&key) && !self.transactions.is_outdated(&key);
+            // The cancellation itself was answered before, so the end of a cancelled job can wait
+            // until there are writes to spare.
+            let cancelled = job.cancelled();
+            let may_write = match () {
+                _ if !is_ready => false,
                 _ if cancelled => self.may_write(1.0 + self.transactions.write_rate() * SPARE_WRITES),
                 _ => self.may_write_as(WritePriority::Responses),
             };
-            let Some(j) = self.state.jobs.get(&uid).filter(|_| may) else {
+            let Some(job) = self.state.jobs.get(&uid).filter(|_| may_write) else {
                 self.journal.end_jobs([uid]);
                 continue;
             };
-            let status = if j.cancelled() { Status::Cancelled } else { Status::Done };
+            let status = if job.cancelled() { Status::Cancelled } else { Status::Done };
             let mut txn = Txn {
-                conditions: vec![Condition { key, version: j.rec.version }],
-                ops: vec![end_op(&uid, status, j.spec.task_count)],
+                conditions: vec![Condition { key, version: job.rec.version }],
+                ops: vec![end_op(&uid, status, job.spec.task_count)],
             };
-            let stored = j.chunks.iter().filter(|(_, c)| c.version > 0);
-            let most = self.config.settings.state.txn_ops - 1;
-            txn.ops.extend(stored.map(|(n, _)| Op::Delete { key: records::checkpoint_key(&uid, *n) }).take(most));
+            let stored = job.chunks.iter().filter(|(_, chunk)| chunk.version > 0);
+            let max_deletes = self.config.settings.state.txn_ops - 1;
+            txn.ops.extend(
+                stored.map(|(range, _)| Op::Delete { key: records::checkpoint_key(&uid, *range) }).take(max_deletes),
+            );
             self.txn(txn, Why::Close);
         }
     }
 
-    /// Leases waiting tasks anew whose holder is gone, or has no room while
-    /// another block has.
+    /// Assigns waiting tasks anew if the controller that has them is gone, or has no room for them
+    /// while another one has.
     pub(super) fn reassign_tasks(&mut self) {
         let size = self.state.checkpoint_size;
-        let seen = [Counted::All, Counted::Lasting].map(|c| self.capacities_counting(true, c));
-        let mut ahead: BTreeMap<(bool, Priority), BTreeMap<String, f64>> = BTreeMap::new();
+        let capacities_by_kind =
+            [Counted::All, Counted::Lasting].map(|counted| self.capacities_counting(true, counted));
+        let mut queues_by_priority: BTreeMap<(bool, Priority), BTreeMap<String, f64>> = BTreeMap::new();
         let members: Vec<String> = self.state.members.keys().cloned().collect();
-        let patient = self.heartbeat_intervals(0.25);
+        let min_wait = self.heartbeat_intervals(MIN_WAIT_HEARTBEATS);
         let mut txns = Vec::new();
-        for (uid, j) in &self.state.jobs {
-            if j.waiting_count() == 0 || self.transactions.is_locked(&records::job_key(uid)) {
+        for (uid, job) in &self.state.jobs {
+            if job.waiting_count() == 0 || self.transactions.is_locked(&records::job_key(uid)) {
                 continue;
             }
-            let task_ranges = &j.rec.rec.task_ranges;
-            let holder = |i: u32| task_ranges.iter().find(|s| (s.from..=s.to).contains(&i)).map(|s| s.member.as_str());
-            let dead =
-                self.startup.members_known() && task_ranges.iter().any(|s| !self.state.members.contains_key(&s.member));
-            let waited =
-                self.startup.fleet_known() && self.scheduler.waited(uid, self.now).is_some_and(|t| t > patient);
-            if !dead && !waited {
+            let task_ranges = &job.rec.rec.task_ranges;
+            let range_of = |index: u32| task_ranges.iter().find(|range| (range.from..=range.to).contains(&index));
+            let assignee = |index: u32| range_of(index).map(|range| range.member.as_str());
+            let is_gone = |member: &str| !self.state.members.contains_key(member);
+            let any_gone = self.startup.members_known() && task_ranges.iter().any(|range| is_gone(&range.member));
+            let has_waited = self.startup.fleet_known()
+                && self.scheduler.waited(uid, self.now).is_some_and(|waited| waited > min_wait);
+            if !any_gone && !has_waited {
                 continue;
             }
-            let waits = j.waiting(size);
-            let lost = dead && waits.iter().any(|i| holder(*i).is_none_or(|m| !self.state.members.contains_key(m)));
-            // The queues of all others.
-            let soon = self.counted(&j.spec) == Counted::Lasting;
-            let capacities = &seen[usize::from(soon)];
-            let queues = ahead.entry((soon, j.spec.priority));
-            let mut others = queues.or_insert_with(|| self.queues(self.counted(&j.spec), j.spec.priority)).clone();
-            for (m, cores) in waiting_cores_by_controller(j) {
-                if let Some(q) = others.get_mut(m) {
-                    *q = (*q - cores).max(0.0);
+            let waiting = job.waiting(size);
+            let is_lost = any_gone && waiting.iter().any(|index| assignee(*index).is_none_or(is_gone));
+            let starts_soon = self.counted(&job.spec) == Counted::Lasting;
+            let capacities = &capacities_by_kind[usize::from(starts_soon)];
+            let queues = queues_by_priority.entry((starts_soon, job.spec.priority));
+            // The queues of all other jobs.
+            let mut other_queues =
+                queues.or_insert_with(|| self.queues(self.counted(&job.spec), job.spec.priority)).clone();
+            for (member, cores) in waiting_cores_by_controller(job) {
+                if let Some(queue) = other_queues.get_mut(member) {
+                    *queue = (*queue - cores).max(0.0);
                 }
             }
-            let zones = self.state.tasks_by_zone(j);
+            let zones = self.state.tasks_by_zone(job);
             let alike = BTreeMap::new();
-            let shards = shards::AssignmentInputs {
+            let inputs = shards::AssignmentInputs {
                 members: &members,
                 capacities,
-                queues: &others,
+                queues: &other_queues,
                 grain: 1,
                 zones: &zones,
                 alike: &alike,
             };
-            let capacity = shards.capacity(&j.spec);
-            let fit = |m: &str| capacity.iter().find(|r| r.0 == m).map_or(0, |r| r.1);
+            let capacity = inputs.capacity(&job.spec);
+            let fitting_tasks =
+                |member: &str| capacity.iter().find(|entry| entry.0 == member).map_or(0, |entry| entry.1);
             let mut need: BTreeMap<&str, u32> = BTreeMap::new();
-            for m in waits.iter().filter_map(|i| holder(*i)) {
-                *need.entry(m).or_default() += 1;
+            for member in waiting.iter().filter_map(|index| assignee(*index)) {
+                *need.entry(member).or_default() += 1;
             }
-            let short = need.iter().any(|(m, n)| fit(m) < i64::from(*n));
-            let spare = capacity.iter().any(|(m, fits)| *fits > i64::from(need.get(m).copied().unwrap_or(0)));
-            let helps = short && spare;
-            if !lost && !helps {
+            let is_short = need.iter().any(|(member, tasks)| fitting_tasks(member) < i64::from(*tasks));
+            let has_spare =
+                capacity.iter().any(|(member, fits)| *fits > i64::from(need.get(member).copied().unwrap_or(0)));
+            let helps = is_short && has_spare;
+            if !is_lost && !helps {
                 continue;
             }
-            let new = self.task_ranges_for(&j.spec, &waits, capacities, &others, &zones);
-            if new == *task_ranges {
+            let new_ranges = self.task_ranges_for(&job.spec, &waiting, capacities, &other_queues, &zones);
+            if new_ranges == *task_ranges {
                 continue;
             }
             let key = records::job_key(uid);
-            let rec = JobRecord { task_ranges: new, ..j.rec.rec.clone() };
+            let record = JobRecord { task_ranges: new_ranges, ..job.rec.rec.clone() };
             let txn = Txn {
-                conditions: vec![self.leader_condition(), Condition { key: key.clone(), version: j.rec.version }],
-                ops: vec![Op::Put { key, data: records::to_value(&rec), lease: None }],
+                conditions: vec![self.leader_condition(), Condition { key: key.clone(), version: job.rec.version }],
+                ops: vec![Op::Put { key, data: records::to_value(&record), lease: None }],
             };
-            txns.push((!soon, !self.can_be_saved(j), txn));
+            txns.push((!starts_soon, !self.can_meet_deadline(job), txn));
         }
-        txns.sort_by_key(|t| (t.0, t.1));
+        txns.sort_by_key(|entry| (entry.0, entry.1));
         for (can_wait, _, txn) in txns {
-            // A reserve stays for accepting jobs and recording exits.
+            // A part of the write rate stays reserved for accepting jobs and recording exits.
             if self.may_write(if can_wait { self.transactions.write_rate() / 2.0 } else { 1.0 }) {
                 self.txn(txn, Why::ReassignTasks);
             }
         }
     }
 
-    /// The job's leases, given everyone's rooms as `counted` says.
+    /// Assigns the job's waiting tasks to controllers, depending on the free capacities of all
+    /// shards, the controllers' queues, and the job's tasks by zone.
     pub(super) fn task_ranges_for(
         &self,
         spec: &JobSpec,
-        waits: &[u32],
+        waiting: &[u32],
         capacities: &[(String, MachineCapacity)],
         queues: &BTreeMap<String, f64>,
         zones: &BTreeMap<String, u32>,
     ) -> Vec<TaskRange> {
-        let hears = |m: &&String| !self.connectivity.is_unhearing(m, self.now);
+        let hears = |member: &&String| !self.connectivity.is_unhearing(member, self.now);
         let mut members: Vec<String> = self.state.members.keys().filter(hears).cloned().collect();
         if members.is_empty() {
             members.extend(self.state.members.keys().cloned());
         }
-        let whole = spec.kind == JobKind::Gang || spec.zone_affinity || spec.zone_anti_affinity;
+        let as_a_whole = spec.kind == JobKind::Gang || spec.zone_affinity || spec.zone_anti_affinity;
         let mut alike = BTreeMap::new();
-        let same = |j: &&Job| j.spec.image == spec.image && j.spec.uid != spec.uid && j.waiting_count() > 0;
-        for share in self.state.jobs.values().filter(same).flat_map(|j| &j.rec.rec.task_ranges) {
-            *alike.entry(share.member.clone()).or_default() += share.to + 1 - share.from;
+        let waits_with_same_image =
+            |job: &&Job| job.spec.image == spec.image && job.spec.uid != spec.uid && job.waiting_count() > 0;
+        for range in self.state.jobs.values().filter(waits_with_same_image).flat_map(|job| &job.rec.rec.task_ranges) {
+            *alike.entry(range.member.clone()).or_default() += range.to + 1 - range.from;
         }
-        let name = members.iter().map(String::len).max().unwrap_or(0);
+        let longest_name = members.iter().map(String::len).max().unwrap_or(0);
         let grain = records::task_range_size(
             self.config.settings.state.value_kb,
-            name,
+            longest_name,
             self.state.checkpoint_size,
             spec.task_count,
         );
-        let shards = shards::AssignmentInputs { members: &members, capacities, queues, grain, zones, alike: &alike };
-        shards::assign_task_ranges(spec, waits, &shards, &self.process.member, whole)
+        let inputs = shards::AssignmentInputs { members: &members, capacities, queues, grain, zones, alike: &alike };
+        shards::assign_task_ranges(spec, waiting, &inputs, &self.process.member, as_a_whole)
     }
 
-    /// Whether the job can still meet its aim, if its tasks started now.
-    pub(super) fn can_be_saved(&self, job: &Job) -> bool {
+    /// Whether the job would still meet its objective if its tasks started now.
+    pub(super) fn can_meet_deadline(&self, job: &Job) -> bool {
         can_meet_deadline(job, &self.service_levels.objectives, self.wall_ms())
     }
 
-    /// Cores that waiting tasks leased to each member ask for, of services
-    /// that must start soon or of all others. Late jobs do not count, nor do less
-    /// urgent ones: they give way.
+    /// The cores that waiting tasks assigned to each controller need: of services that must start
+    /// soon, or of all other jobs, as `counted` says. Jobs of lower priority and jobs that miss
+    /// their objective do not count, since others go before them.
     pub(super) fn queues(&self, counted: Counted, priority: Priority) -> BTreeMap<String, f64> {
         let mut queues = BTreeMap::new();
-        let ahead = |j: &&Job| j.waiting_count() > 0 && j.spec.priority >= priority;
-        for job in self.state.jobs.values().filter(ahead) {
-            if self.counted(&job.spec) == counted && self.can_be_saved(job) {
+        let goes_before = |job: &&Job| job.waiting_count() > 0 && job.spec.priority >= priority;
+        for job in self.state.jobs.values().filter(goes_before) {
+            if self.counted(&job.spec) == counted && self.can_meet_deadline(job) {
                 for (member, cores) in waiting_cores_by_controller(job) {
                     *queues.entry(member.to_string()).or_default() += cores;
                 }
