--- a/src/controller/scheduler/queue.rs
+++ b/src/controller/scheduler/queue.rs
@@ -12,7 +12,7 @@
 
 /// Number of failures after which the backoff of a job doubles.
 const FAILURES_PER_DOUBLING: u32 = 4;
-/// Number of times that the backoff doubles at most.
+/// The most times that the backoff doubles.
 const MAX_DOUBLINGS: u32 = 6;
 
 /// The waiting times and failures of all jobs, as far as this controller knows them.
--- a/src/controller/task_ranges.rs
+++ b/src/controller/task_ranges.rs
@@ -1,8 +1,8 @@
 //! Assignment of jobs' task ranges to controllers, and the end of jobs.
 //!
-//! Each waiting task is assigned to one controller, which alone may start it. The leader assigns
-//! tasks anew if that controller is gone, or if it has no room for them while another has. The
-//! choice depends on the queues of all controllers. A job whose last task is done or gone is
+//! Each waiting task is assigned to one controller, which alone may start it. The leader
+//! reassigns tasks if that controller is gone, or if it has no room for them while another has.
+//! The choice depends on the queues of all controllers. A job whose last task is done or gone is
 //! ended by one controller.
 
 #![warn(missing_docs)]
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Assigns waiting tasks anew if the controller that has them is gone, or has no room for them
+    /// Reassigns waiting tasks if the controller that has them is gone, or has no room for them
     /// while another one has.
     pub(super) fn reassign_tasks(&mut self) {
         let size = self.state.checkpoint_size;
--- a/src/placement/preemption.rs
+++ b/src/placement/preemption.rs
@@ -29,8 +29,8 @@
 
 impl Victim<'_> {
     /// Whether the task may be preempted for a task of `spec`. Only tasks of a lower priority
-    /// may. For an array, besides, no job may miss its objective, and the lost work must not
-    /// exceed half of the work of the task that gets the room.
+    /// may. For an array, besides, the task's job must not miss its objective by it, and the lost
+    /// work must not exceed half of the work of the task that gets the room.
     fn may_be_preempted_for(&self, spec: &JobSpec) -> bool {
         let is_cheap = || self.cost <= spec.cores * spec.estimated_run_s * MAX_LOST_WORK_SHARE;
         self.spec.priority < spec.priority
--- a/src/placement/tests.rs
+++ b/src/placement/tests.rs
@@ -125,8 +125,8 @@
     let mut zones = BTreeMap::new();
     let (machine, chosen) = preempt(&service, 1.0, &zones, &capacities).expect("room can be made");
     assert_eq!((machine, chosen.len(), chosen[0].index), (1, 1, 2));
-    // Nothing is preempted in a zone where the job may have no more tasks: it would be in vain
-    // and be repeated in every round.
+    // Nothing is preempted in a zone where the job may have no more tasks: it would be in vain,
+    // and was once repeated ten times a second.
     service.zone_anti_affinity = true;
     zones.insert("a".into(), 1);
     assert!(preempt(&service, 1.0, &zones, &capacities).is_none());
@@ -142,8 +142,8 @@
     };
     assert!(preempt(&array, f64::INFINITY, &zones, &candidates(false)).is_some());
     assert!(preempt(&array, f64::INFINITY, &zones, &candidates(true)).is_none());
-    // Tasks without checkpoints must not lose more work than the array that takes their room
-    // gains.
+    // A task that loses more than half of the work of an array's task is preempted for a service,
+    // but not for the array.
     let too_much = array.cores * array.estimated_run_s * 0.6;
     let costs = vec![(capacity("m1", 0.0, "img"), vec![victim(0, &low_priority, too_much)])];
     assert!(preempt(&array, f64::INFINITY, &zones, &costs).is_none());
