--- a/src/connectivity/failure_detector/tests.rs
+++ b/src/connectivity/failure_detector/tests.rs
@@ -1,4 +1,4 @@
-//! Suspicion of senders that are silent, late or slow.
+//! How strongly silent, late and slow senders are suspected.
 
 use super::*;
 use rand::rngs::StdRng;
@@ -8,11 +8,11 @@
     Duration::from_secs_f64(x)
 }
 
-/// Heartbeats of a process that is sometimes late by half an interval, as recorded
-/// under load: at a suspicion of 3 a silent one is detected within three
-/// intervals, and ten thousand heartbeats raise at most three false alarms.
+/// The heartbeats of a process under load are sometimes late by half an interval. At a
+/// suspicion level of 3, its silence is detected within three intervals, and ten thousand
+/// heartbeats raise at most three false alarms.
 #[test]
-fn silence_is_detected_and_lateness_is_not() {
+fn silence_is_detected_and_lateness_raises_few_false_alarms() {
     let mut rng = StdRng::seed_from_u64(5);
     let (mut detector, mut now, mut alarms) = (FailureDetector::new(s(4.0)), 0.0, 0);
     for _ in 0..10_000 {
@@ -25,10 +25,10 @@
     assert!(detector.suspicion(s(now + 4.0)) < 3.0);
     assert!(detector.suspicion(s(now + 12.0)) > 3.0);
     detector.heartbeat(s(now + 60.0));
-    assert!(detector.suspicion(s(now + 62.0)) < 1.0, "one silence made it blind");
+    assert!(detector.suspicion(s(now + 62.0)) < 1.0, "one silence raised the mean");
 }
 
-/// A sender whose real interval is three times the configured one is alive.
+/// A sender whose real interval is three times the configured one counts as alive.
 #[test]
 fn a_slow_sender_is_not_suspected_for_being_slow() {
     let mut detector = FailureDetector::new(s(1.0));
--- a/src/connectivity/mod.rs
+++ b/src/connectivity/mod.rs
@@ -1,13 +1,16 @@
-//! Connectivity between controllers and machines, as far as one controller can know it:
-//! from the heartbeats and probe answers that it receives, and from what the other
-//! controllers report in theirs. From it follow diagnoses of what is wrong (a controller
-//! that is cut off, a zone that is partitioned, a machine that is dead, a store that
-//! refuses all), or that the cause is undecided, and then the cautious action is taken.
-//! All of it is pure: heartbeats and times come in, diagnoses go out. Alternatives that
-//! were considered, and what each partition looks like: `docs/notes/links.md`.
+//! Connectivity between controllers and machines, as far as one controller can know it.
 //!
-//! No safety rule rests on a diagnosis alone. A wrong one costs time or money, never a task
-//! that runs twice: that is prevented by fencing tokens.
+//! The inputs are the heartbeats and probe answers that this controller receives, and what
+//! the other controllers report in their heartbeats. From them follow diagnoses: a controller
+//! is cut off, a zone is partitioned, a machine is dead, or the store refuses all requests.
+//! Where the cause is undecided, the cautious action is taken. All functions here are pure:
+//! heartbeats and times come in, diagnoses go out. `docs/notes/links.md` describes what each
+//! partition looks like, and the alternatives that were considered.
+//!
+//! No safety rule rests on a diagnosis alone. A wrong one costs time or money, but never runs
+//! a task twice: fencing tokens prevent that.
+
+#![warn(missing_docs)]
 
 pub mod failure_detector;
 pub mod frame_fitting;
--- a/src/connectivity/partition_diagnosis.rs
+++ b/src/connectivity/partition_diagnosis.rs
@@ -1,146 +1,153 @@
-//! Diagnosis of network partitions: why machines do not reach their controller.
+//! Diagnosis of network partitions: why machines do not reach their owner, the controller to
+//! whose shard they belong.
 //!
-//! A worker that gets no response tries the next controller after `4 s + 1 s`
-//! (PROTOCOL), and is redirected to its owner at once. So a machine that sent a
-//! heartbeat to another controller, and none to its owner since, by a heartbeat of the
-//! owner that was sent later than a redirect takes, does not reach its owner. Where more
-//! machines of a shard do not reach the owner than still do, the owner is cut off
-//! (`Deaf`); where fewer do not, it is those machines that are cut off from it.
+//! A worker that gets no response waits 4 s and tries the next controller 1 s later; a
+//! controller that does not own its machine redirects it to the owner at once. So a machine
+//! does not reach its owner if it sent a heartbeat to another controller and none to the owner
+//! since. That is known from a heartbeat of the owner that was sent later than a redirect
+//! takes. If more machines of a shard fail to reach the owner than still reach it, the owner
+//! is cut off (`OwnerReachability::CutOff`); if fewer do, those machines are cut off from it.
 //!
-//! That a machine is silent proves nothing: machines that no controller receives heartbeats from
-//! are dead, or cut off from all, or on their way between controllers. The causes are
-//! told apart by what else fell silent with them; where that does not suffice, the cause
-//! is undecided.
+//! That a machine is silent proves nothing. A machine of which no controller receives
+//! heartbeats is dead, or cut off from all controllers, or on its way from one controller to
+//! the next. What else fell silent with it tells the causes apart; where that does not
+//! suffice, the cause is undecided.
+
+#![warn(missing_docs)]
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Longest that a redirect takes: a redirected worker calls its owner at once or after
-/// half a second.
+/// The longest time that a redirect takes: a redirected worker contacts its owner at once or
+/// after half a second.
 const REDIRECT_TIME: Duration = Duration::from_secs(1);
-/// Fewer unreached machines than this are no evidence against their owner, unless they
-/// are its whole shard.
-const MIN_EVIDENCE: usize = 3;
+/// Fewer unreached machines than this are no evidence against their owner, unless they are
+/// its whole shard.
+const MIN_UNREACHED_MACHINES: usize = 3;
 
 /// What the controllers observe of one machine.
 #[derive(Debug, Clone, Copy)]
 pub struct MachineObservation {
-    /// When its owner last received a heartbeat of it, by the owner's newest heartbeat.
-    pub by_owner: Option<Duration>,
-    /// When the owner's newest heartbeat was sent; none where there is no reliable one.
-    pub owner_says_at: Option<Duration>,
+    /// When its owner last received a heartbeat of it, according to the owner's newest heartbeat.
+    pub owner_heard_at: Option<Duration>,
+    /// When the owner's newest heartbeat was sent; `None` if there is no reliable one.
+    pub owner_reported_at: Option<Duration>,
     /// When any other controller last received a heartbeat of it.
-    pub by_other: Option<Duration>,
+    pub other_heard_at: Option<Duration>,
     /// Since when it belongs to this owner, as far as is known here.
     pub owned_since: Duration,
 }
 
 impl MachineObservation {
-    /// When it reached another controller, if it was redirected to its owner then and did
-    /// not reach it.
-    pub fn unreached(&self) -> Option<Duration> {
-        let other = self.by_other.filter(|time| *time > self.owned_since + REDIRECT_TIME)?;
-        let missed = self.by_owner.is_none_or(|time| time < other);
-        let owner_would_know = self.owner_says_at.is_some_and(|sent_at| sent_at >= other + REDIRECT_TIME);
-        (missed && owner_would_know).then_some(other)
+    /// When the machine last reached another controller, if it was redirected to its owner then
+    /// and still did not reach it; `None` otherwise.
+    pub fn missed_owner_at(&self) -> Option<Duration> {
+        let heard_at = self.other_heard_at.filter(|time| *time > self.owned_since + REDIRECT_TIME)?;
+        let missed_owner = self.owner_heard_at.is_none_or(|time| time < heard_at);
+        let owner_would_know = self.owner_reported_at.is_some_and(|sent_at| sent_at >= heard_at + REDIRECT_TIME);
+        (missed_owner && owner_would_know).then_some(heard_at)
     }
 }
 
-/// Diagnosis of a controller by the machines of its shard.
+/// How well a controller is reached by the machines of its shard.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Account {
-    /// No machine fails to reach it.
-    Well,
-    /// Some machines do not reach it, but most do: the machines are cut off.
-    SomeCutOff,
+pub enum OwnerReachability {
+    /// No machine is known not to reach it.
+    Reachable,
+    /// Some machines do not reach it, but most do: those machines are cut off.
+    SomeMachinesCutOff,
     /// Fewer of its machines reach it than do not: the controller is cut off.
-    Deaf,
+    CutOff,
 }
 
-/// Diagnoses the owner of these machines.
-pub fn diagnose_owner(shard: &[MachineObservation]) -> Account {
-    let unreached: Vec<Duration> = shard.iter().filter_map(MachineObservation::unreached).collect();
-    let Some(first) = unreached.iter().min() else { return Account::Well };
-    // Only machines that reached it after the first one did not are evidence for it.
-    let reached_since = |machine: &&MachineObservation| machine.by_owner.is_some_and(|time| time > *first);
-    let reached = shard.iter().filter(|machine| machine.unreached().is_none()).filter(reached_since).count();
-    let enough = unreached.len() >= MIN_EVIDENCE.min(shard.len());
-    if enough && unreached.len() > reached { Account::Deaf } else { Account::SomeCutOff }
+/// Diagnoses the owner of a shard's machines.
+pub fn diagnose_owner(shard: &[MachineObservation]) -> OwnerReachability {
+    let missed_at: Vec<Duration> = shard.iter().filter_map(MachineObservation::missed_owner_at).collect();
+    let Some(first) = missed_at.iter().min() else { return OwnerReachability::Reachable };
+    // Only machines that reached the owner after the first failure are evidence for it.
+    let reached_since = |machine: &&MachineObservation| machine.owner_heard_at.is_some_and(|time| time > *first);
+    let reached = shard.iter().filter(|machine| machine.missed_owner_at().is_none()).filter(reached_since).count();
+    let has_enough_evidence = missed_at.len() >= MIN_UNREACHED_MACHINES.min(shard.len());
+    if has_enough_evidence && missed_at.len() > reached {
+        OwnerReachability::CutOff
+    } else {
+        OwnerReachability::SomeMachinesCutOff
+    }
 }
 
 /// The cause of a machine's silence.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SilenceCause {
-    /// The machine is dead: it alone is silent, and every controller that could receive
-    /// its heartbeats says that it does not.
+    /// The machine is dead: it alone is silent, and every controller that could receive its
+    /// heartbeats reports that it does not.
     Dead,
-    /// A partition: most of its zone fell silent too, or most of our own shard.
-    Cut,
-    /// Probably dead: as `Dead`, but some controller that could tell is not connected to
-    /// us. During a rolling restart there is always one.
-    Likely,
+    /// A partition: most of the machine's zone fell silent too, or most of our own shard.
+    Partition,
+    /// Probably dead: as `Dead`, but some controller that could tell is not connected to us.
+    /// During a rolling restart there always is one.
+    ProbablyDead,
     /// Too few controllers are connected to us to tell.
     Undecided,
 }
 
-/// How many of a group (machines, or controllers) sent a heartbeat recently.
+/// How many of a group of machines or controllers are live.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Group {
-    /// Those that sent a heartbeat recently.
-    pub heard: usize,
-    /// All of the group.
-    pub all: usize,
+pub struct LivenessCount {
+    /// Machines that sent a heartbeat recently, or controllers that are connected to us.
+    pub live: usize,
+    /// All members of the group.
+    pub total: usize,
 }
 
-impl Group {
-    /// Whether more than half of the group is silent; a group of one is no evidence.
-    pub fn silent(self) -> bool {
-        self.heard * 2 < self.all && self.all > 1
+impl LivenessCount {
+    /// Whether more than half of the group is silent. A group of one is no evidence.
+    pub fn mostly_silent(self) -> bool {
+        self.live * 2 < self.total && self.total > 1
     }
 }
 
-/// Diagnoses a machine that no controller received a heartbeat of: `shard` is the
-/// observer's own, `zone` the part of it in the machine's zone, `others` the other live
-/// controllers, of which those count as heard that are connected in both directions.
-pub fn diagnose_silence(shard: Group, zone: Group, others: Group) -> SilenceCause {
-    if shard.silent() || zone.silent() {
-        SilenceCause::Cut
-    } else if others.heard >= others.all {
+/// Diagnoses a machine of which no controller received a heartbeat. `shard` counts the
+/// machines of the observer's shard and `zone` those of them in the machine's zone. `others`
+/// counts the other live controllers, as live those that are connected in both directions.
+pub fn diagnose_silence(shard: LivenessCount, zone: LivenessCount, others: LivenessCount) -> SilenceCause {
+    if shard.mostly_silent() || zone.mostly_silent() {
+        SilenceCause::Partition
+    } else if others.live >= others.total {
         SilenceCause::Dead
-    } else if others.heard > 0 && others.heard * 2 >= others.all {
-        SilenceCause::Likely
+    } else if others.live > 0 && others.live * 2 >= others.total {
+        SilenceCause::ProbablyDead
     } else {
         SilenceCause::Undecided
     }
 }
 
-/// Controllers that were found to be cut off from their machines, each until a pause
+/// Controllers that were found to be cut off from their machines. Each is listed until a pause
 /// after the last such diagnosis has passed.
 #[derive(Debug, Default)]
-pub struct Deaf {
-    /// The end of the pause of each controller.
-    until: BTreeMap<String, Duration>,
+pub struct CutOffControllers {
+    /// When the pause of each controller ends.
+    cut_off_until: BTreeMap<String, Duration>,
 }
 
-impl Deaf {
-    /// Records a diagnosis, and tells whether the controller is newly cut off. It is
-    /// trusted again only after `pause`: a flapping link would otherwise have shards
-    /// reassigned back and forth.
-    pub fn note(&mut self, member: &str, diagnosis: Account, now: Duration, pause: Duration) -> bool {
-        if diagnosis != Account::Deaf {
+impl CutOffControllers {
+    /// Records a diagnosis, and returns whether the controller is newly cut off. It is trusted
+    /// again only after `pause`: otherwise a link that fails and recovers repeatedly would have
+    /// shards reassigned back and forth.
+    pub fn record(&mut self, member: &str, reachability: OwnerReachability, now: Duration, pause: Duration) -> bool {
+        if reachability != OwnerReachability::CutOff {
             return false;
         }
-        self.until.insert(member.to_string(), now + pause).is_none_or(|until| until <= now)
+        self.cut_off_until.insert(member.to_string(), now + pause).is_none_or(|until| until <= now)
     }
 
     /// Whether a controller counts as cut off.
-    pub fn is(&self, member: &str, now: Duration) -> bool {
-        self.until.get(member).is_some_and(|until| *until > now)
+    pub fn contains(&self, member: &str, now: Duration) -> bool {
+        self.cut_off_until.get(member).is_some_and(|until| *until > now)
     }
 
-    /// All controllers that count as cut off.
+    /// The names of all controllers that count as cut off.
     pub fn names(&self, now: Duration) -> impl Iterator<Item = &str> {
-        self.until.iter().filter(move |(_, until)| **until > now).map(|(member, _)| member.as_str())
+        self.cut_off_until.iter().filter(move |(_, until)| **until > now).map(|(member, _)| member.as_str())
     }
 }
 
--- a/src/connectivity/peer_table.rs
+++ b/src/connectivity/peer_table.rs
@@ -1,11 +1,12 @@
-//! The peer table: the last heartbeat of each other controller, the earliest time at
-//! which it can have been sent, and so which directions of the connection are known to
-//! work.
+//! The peer table: the last heartbeat of each other controller (peer), the earliest time at
+//! which it can have been sent, and so which directions of the connection are known to work.
 //!
-//! A partition may delay a heartbeat by minutes. Each one acknowledges the highest of our
-//! heartbeats that its sender had received, so it was sent after that one. A heartbeat
-//! whose acknowledgement is old either is old itself or comes over a connection that works
-//! in one direction only; it is treated as the worse of the two.
+//! A partition may delay a heartbeat by minutes. Each heartbeat acknowledges the highest of
+//! ours that its sender had received, so it was sent after that one. If the acknowledged
+//! heartbeat is old, then either this one is old too, or the connection works in one direction
+//! only; it is treated as the worse of the two.
+
+#![warn(missing_docs)]
 
 use super::failure_detector::FailureDetector;
 use super::heartbeat_tracking::At;
@@ -13,46 +14,49 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::time::Duration;
 
-/// Suspicion above which a peer counts as failed: chance exceeds it once in a thousand.
-const SUSPICION_LIMIT: f64 = 3.0;
-/// A heartbeat is recent while what it acknowledges is no older than this many intervals.
-const ACKNOWLEDGEMENT_INTERVALS: f64 = 2.5;
-/// How many of our own heartbeats are remembered, and how many earlier incarnations of a
-/// peer.
-const HISTORY: usize = 64;
+/// A peer counts as failed from this suspicion level on, which a live peer exceeds by chance once
+/// in a thousand.
+const MAX_SUSPICION: f64 = 3.0;
+/// A heartbeat is recent while the one that it acknowledges is at most this many intervals old.
+const MAX_ACKNOWLEDGEMENT_AGE_INTERVALS: f64 = 2.5;
+/// How many of our own heartbeats and of the earlier incarnations of each peer are remembered.
+const HISTORY_LEN: usize = 64;
 
 /// The last heartbeat of one other controller.
 #[derive(Debug)]
 pub struct Peer {
+    /// Tells from the intervals between the peer's heartbeats whether the next one is overdue.
     detector: FailureDetector,
     /// When the heartbeat was received.
     pub at: Duration,
+    /// Incarnation (process) that sent the heartbeat.
     incarnation: u64,
-    /// Its earlier incarnations.
+    /// Earlier incarnations of the peer, the latest of them last.
     earlier_incarnations: VecDeque<u64>,
+    /// Sequence number of the heartbeat.
     seq: u64,
-    /// How old its replica of the store was.
+    /// How old the peer's replica of the store was.
     pub stale: Duration,
-    /// Machines that had sent it a heartbeat: how long before, and the counters.
-    heard: HashMap<String, (Duration, At)>,
-    /// Machines that had answered its probe, and how long before.
+    /// Machines that had sent a heartbeat to the peer: how long before, and with which counters.
+    recent_machines: HashMap<String, (Duration, At)>,
+    /// Machines that had answered a probe of the peer, and how long before.
     probe_answers: HashMap<String, Duration>,
-    /// Machines of its own shard that neither send heartbeats nor answer its probe.
-    misses: BTreeSet<String>,
-    /// The heartbeat was sent after this: when we sent the one that it acknowledges.
+    /// Machines of the peer's own shard that neither send heartbeats nor answer its probe.
+    missed_machines: BTreeSet<String>,
+    /// When we sent the heartbeat that this one acknowledges: this one was sent after that.
     pub sent_after: Option<Duration>,
-    /// Revision of its replica; none while it has none.
+    /// Revision of the peer's replica; `None` while it has none.
     revision: Option<u64>,
-    /// The newest revision that it knew of.
+    /// The newest revision that the peer knew of.
     known_revision: u64,
     /// Which changes after a revision matter to a controller that has not applied them.
     revocations: Option<Revocations>,
-    /// Live controllers in its replica, if that was fresh.
+    /// Live controllers in the peer's replica; empty if that was not fresh.
     members: Vec<(String, u64)>,
 }
 
 impl Peer {
-    /// A peer of which this is the first heartbeat, which is not recorded yet.
+    /// A peer whose first heartbeat this is. The heartbeat itself is not recorded yet.
     fn new(heartbeat: &PeerHeartbeat, interval: Duration, now: Duration) -> Peer {
         Peer {
             detector: FailureDetector::new(interval),
@@ -61,9 +65,9 @@
             earlier_incarnations: VecDeque::new(),
             seq: 0,
             stale: Duration::MAX,
-            heard: HashMap::new(),
+            recent_machines: HashMap::new(),
             probe_answers: HashMap::new(),
-            misses: BTreeSet::new(),
+            missed_machines: BTreeSet::new(),
             sent_after: None,
             revision: None,
             known_revision: 0,
@@ -72,9 +76,9 @@
         }
     }
 
-    /// Whether a heartbeat was sent after the last one that was recorded: not one that was
-    /// delayed and overtaken over a newer connection, nor the last one of a process whose
-    /// successor was heard already.
+    /// Whether a heartbeat was sent after the last recorded one. It was not if it was delayed and
+    /// overtaken by one over a newer connection, or if it is the last one of a process whose
+    /// successor sent a heartbeat already.
     fn precedes(&self, heartbeat: &PeerHeartbeat) -> bool {
         if self.incarnation == heartbeat.incarnation {
             heartbeat.seq > self.seq
@@ -87,7 +91,7 @@
     fn update(&mut self, heartbeat: &PeerHeartbeat, sent_after: Option<Duration>, now: Duration) {
         if self.incarnation != heartbeat.incarnation {
             self.earlier_incarnations.push_back(self.incarnation);
-            if self.earlier_incarnations.len() > HISTORY {
+            if self.earlier_incarnations.len() > HISTORY_LEN {
                 self.earlier_incarnations.pop_front();
             }
         }
@@ -101,20 +105,23 @@
         self.update_machines(heartbeat);
     }
 
+    /// Replaces what the peer reported about machines by what this heartbeat reports.
     fn update_machines(&mut self, heartbeat: &PeerHeartbeat) {
         let ago = Duration::from_millis;
         let recent = heartbeat.recent_machines.iter();
-        self.heard = recent
+        self.recent_machines = recent
             .map(|recent| (recent.machine.clone(), (ago(recent.ago_ms), (recent.agent_epoch, recent.heartbeat_seq))))
             .collect();
         self.probe_answers = heartbeat.probe_answers.iter().map(|(machine, ms)| (machine.clone(), ago(*ms))).collect();
         let unresponsive = heartbeat.unresponsive.iter().map(|(machine, _)| machine);
-        self.misses = unresponsive.filter(|machine| !self.probe_answers.contains_key(*machine)).cloned().collect();
+        self.missed_machines =
+            unresponsive.filter(|machine| !self.probe_answers.contains_key(*machine)).cloned().collect();
     }
 
-    /// Machines that had sent it a heartbeat: how long before its own, and the counters.
-    pub fn heard(&self) -> impl Iterator<Item = (&str, Duration, At)> {
-        self.heard.iter().map(|(machine, (age, at))| (machine.as_str(), *age, *at))
+    /// Machines that had sent a heartbeat to the peer: each with the time from its last message
+    /// to the peer's heartbeat, and the counters of that message.
+    pub fn recent_machines(&self) -> impl Iterator<Item = (&str, Duration, At)> {
+        self.recent_machines.iter().map(|(machine, (age, counters))| (machine.as_str(), *age, *counters))
     }
 }
 
@@ -122,28 +129,37 @@
 #[derive(Debug)]
 pub struct PeerTable {
     /// Name of this controller.
-    me: String,
+    member: String,
+    /// Incarnation (process) of this controller.
     incarnation: u64,
-    /// Interval of heartbeats.
+    /// Interval between the heartbeats of one controller.
     interval: Duration,
     /// Sequence number of our last heartbeat.
     seq: u64,
     /// Our last heartbeats, and when each was sent.
     sent: VecDeque<(u64, Duration)>,
+    /// The other controllers that a heartbeat was received from, by name.
     peers: BTreeMap<String, Peer>,
 }
 
 impl PeerTable {
-    /// No heartbeats yet; `interval` is that between those of one controller.
-    pub fn new(me: &str, incarnation: u64, interval: Duration) -> PeerTable {
-        PeerTable { me: me.into(), incarnation, interval, seq: 0, sent: VecDeque::new(), peers: BTreeMap::new() }
+    /// An empty table; `interval` is the one between the heartbeats of one controller.
+    pub fn new(member: &str, incarnation: u64, interval: Duration) -> PeerTable {
+        PeerTable {
+            member: member.into(),
+            incarnation,
+            interval,
+            seq: 0,
+            sent: VecDeque::new(),
+            peers: BTreeMap::new(),
+        }
     }
 
-    /// The sequence number of a heartbeat that is sent now, and its acknowledgements.
+    /// Numbers a heartbeat that is sent now, and returns what it acknowledges.
     pub fn send(&mut self, now: Duration) -> (u64, Vec<Acknowledgement>) {
         self.seq += 1;
         self.sent.push_back((self.seq, now));
-        if self.sent.len() > HISTORY {
+        if self.sent.len() > HISTORY_LEN {
             self.sent.pop_front();
         }
         let acknowledge = |(member, peer): (&String, &Peer)| Acknowledgement {
@@ -164,11 +180,11 @@
         }
     }
 
-    /// When we sent the heartbeat that this one acknowledges; none where it acknowledges
-    /// none of this incarnation, or one that is too old to be remembered.
+    /// When we sent the heartbeat that this one acknowledges; `None` if it acknowledges none of
+    /// this incarnation, or one that is too old to be remembered.
     fn acknowledged_at(&self, heartbeat: &PeerHeartbeat) -> Option<Duration> {
-        let ours = |ack: &&Acknowledgement| ack.member == self.me && ack.incarnation == self.incarnation;
-        let acknowledged = heartbeat.acknowledgements.iter().find(ours)?.seq;
+        let is_ours = |ack: &&Acknowledgement| ack.member == self.member && ack.incarnation == self.incarnation;
+        let acknowledged = heartbeat.acknowledgements.iter().find(is_ours)?.seq;
         self.sent.iter().find(|(seq, _)| *seq == acknowledged).map(|(_, sent_at)| *sent_at)
     }
 
@@ -177,101 +193,103 @@
         self.peers.iter().map(|(member, peer)| (member.as_str(), peer))
     }
 
-    /// A peer whose last heartbeat is known to be recent, and which receives ours.
-    pub fn news(&self, member: &str) -> Option<&Peer> {
+    /// The peer, if its last heartbeat is known to be recent. Such a peer receives ours.
+    pub fn recent_peer(&self, member: &str) -> Option<&Peer> {
         let peer = self.peers.get(member)?;
-        let oldest = peer.at.saturating_sub(self.interval.mul_f64(ACKNOWLEDGEMENT_INTERVALS));
-        peer.sent_after.is_some_and(|sent_after| sent_after >= oldest).then_some(peer)
+        let oldest_allowed = peer.at.saturating_sub(self.interval.mul_f64(MAX_ACKNOWLEDGEMENT_AGE_INTERVALS));
+        peer.sent_after.is_some_and(|sent_after| sent_after >= oldest_allowed).then_some(peer)
     }
 
     /// Whether the connection works in both directions, as far as can be known now.
-    pub fn both_ways(&self, member: &str, now: Duration) -> bool {
-        self.news(member).is_some_and(|peer| peer.detector.suspicion(now) < SUSPICION_LIMIT)
+    pub fn is_connected(&self, member: &str, now: Duration) -> bool {
+        self.recent_peer(member).is_some_and(|peer| peer.detector.suspicion(now) < MAX_SUSPICION)
     }
 
-    /// When a machine last sent a heartbeat to a peer, by the peer's recent heartbeat.
-    pub fn heard_at(&self, member: &str, machine: &str) -> Option<Duration> {
-        let peer = self.news(member)?;
-        Some(peer.at.saturating_sub(peer.heard.get(machine)?.0))
+    /// When a machine last sent a heartbeat to a peer, according to the peer's recent heartbeat.
+    pub fn heartbeat_received_at(&self, member: &str, machine: &str) -> Option<Duration> {
+        let peer = self.recent_peer(member)?;
+        Some(peer.at.saturating_sub(peer.recent_machines.get(machine)?.0))
     }
 
     /// Whether any peer reported the machine in its last heartbeat, recent or not.
-    pub fn knows(&self, machine: &str) -> bool {
-        self.peers.values().any(|peer| peer.heard.contains_key(machine))
+    pub fn any_reports(&self, machine: &str) -> bool {
+        self.peers.values().any(|peer| peer.recent_machines.contains_key(machine))
     }
 
-    /// Whether a peer's replica is known to have reached a revision. That stays true
-    /// however old the heartbeat is; a later process of its name read at least as much.
-    pub fn has_seen(&self, member: &str, revision: u64) -> bool {
+    /// Whether a peer's replica is known to have reached a revision. That stays true however old
+    /// the heartbeat is: a later process of the same name has read at least as much.
+    pub fn has_applied(&self, member: &str, revision: u64) -> bool {
         self.peers.get(member).and_then(|peer| peer.revision).is_some_and(|applied| applied >= revision)
     }
 
-    /// Machines that a peer misses, by its recent heartbeat.
-    pub fn misses(&self, member: &str) -> impl Iterator<Item = &str> {
-        self.news(member).into_iter().flat_map(|peer| &peer.misses).map(String::as_str)
+    /// Machines that are silent to a peer, according to its recent heartbeat.
+    pub fn missed_machines(&self, member: &str) -> impl Iterator<Item = &str> {
+        self.recent_peer(member).into_iter().flat_map(|peer| &peer.missed_machines).map(String::as_str)
     }
 
-    /// When an unresponsive machine answered a peer's probe, by the peer's recent heartbeat.
-    pub fn reached_at(&self, member: &str, machine: &str) -> Option<Duration> {
-        let peer = self.news(member)?;
+    /// When a silent machine answered a peer's probe, according to the peer's recent heartbeat.
+    pub fn probe_answered_at(&self, member: &str, machine: &str) -> Option<Duration> {
+        let peer = self.recent_peer(member)?;
         Some(peer.at.saturating_sub(*peer.probe_answers.get(machine)?))
     }
 
-    /// Whether some peer received a heartbeat or a probe answer of the machine within
-    /// `limit`, by a heartbeat that is recent or not: a doubt is enough to spare the
-    /// machine. Its heartbeat must be newer than `known`, or it was a delayed copy.
-    pub fn hears(&self, machine: &str, known: At, limit: Duration, now: Duration) -> bool {
+    /// Whether some peer received a heartbeat or a probe answer of the machine within `limit`. The
+    /// peer's own heartbeat need not be recent: a doubt is enough to spare the machine. The
+    /// machine's heartbeat must be newer than `known`, or it was a delayed copy.
+    pub fn any_reaches(&self, machine: &str, known: At, limit: Duration, now: Duration) -> bool {
         self.peers.values().any(|peer| {
-            let heard = peer.heard.get(machine).filter(|(_, at)| *at > known).map(|(age, _)| *age);
-            let probed = peer.probe_answers.get(machine).copied();
+            let heartbeat_age =
+                peer.recent_machines.get(machine).filter(|(_, counters)| *counters > known).map(|(age, _)| *age);
+            let probe_answer_age = peer.probe_answers.get(machine).copied();
             let elapsed = now.saturating_sub(peer.at);
-            [heard, probed].iter().flatten().any(|age| *age + elapsed < limit)
+            [heartbeat_age, probe_answer_age].iter().flatten().any(|age| *age + elapsed < limit)
         })
     }
 
-    /// A controller that reaches the store now, as far as its heartbeats tell.
-    pub fn served(&self, now: Duration, stale: Duration) -> Option<&str> {
-        let reaches_store = |member: &str, peer: &Peer| peer.stale < stale && self.both_ways(member, now);
+    /// A peer that reaches the store now, as far as its heartbeats tell.
+    pub fn find_with_store_access(&self, now: Duration, max_age: Duration) -> Option<&str> {
+        let reaches_store = |member: &str, peer: &Peer| peer.stale < max_age && self.is_connected(member, now);
         self.peers().find(|(member, peer)| reaches_store(member, peer)).map(|(member, _)| member)
     }
 
-    /// A controller in whose fresh replica we are not among the live controllers: our
-    /// machines belong to others by now, or soon will.
-    pub fn removed_by(&self, now: Duration) -> Option<&str> {
-        let is_us = |(member, incarnation): &(String, u64)| *member == self.me && *incarnation == self.incarnation;
-        let expelled = |peer: &Peer| !peer.members.is_empty() && !peer.members.iter().any(is_us);
-        self.peers().find(|(member, peer)| expelled(peer) && self.both_ways(member, now)).map(|(member, _)| member)
+    /// A peer in whose fresh replica we are not among the live controllers: our machines belong
+    /// to others already, or soon will.
+    pub fn find_that_removed_us(&self, now: Duration) -> Option<&str> {
+        let is_us = |(member, incarnation): &(String, u64)| *member == self.member && *incarnation == self.incarnation;
+        let removed_us = |peer: &Peer| !peer.members.is_empty() && !peer.members.iter().any(is_us);
+        self.peers().find(|(member, peer)| removed_us(peer) && self.is_connected(member, now)).map(|(member, _)| member)
     }
 
-    /// The revision that the replicas of all peers that sent a heartbeat `within` this
-    /// time have reached, as far as they said.
+    /// The revision that the replicas of all peers have reached, as far as they report it. Counts
+    /// only peers that sent a heartbeat `within` this time.
     pub fn min_applied_revision(&self, now: Duration, within: Duration) -> Option<u64> {
         let recent = self.peers.values().filter(|peer| now.saturating_sub(peer.at) < within);
         recent.filter_map(|peer| peer.revision).min()
     }
 
-    /// The time at which, by the heartbeats of all `others`, nobody knew of a change that
-    /// matters and is not in a replica at `revision`: the read index of that replica. None
-    /// if one of them does not say so. `covers`: whether all of these revocations are
-    /// applied here already.
+    /// The read index of a replica at `revision`: the time at which, by the heartbeats of all
+    /// `others`, no controller knew of a change that matters and is missing from the replica.
+    /// `None` if one of the others does not attest this. `covers` tells whether all of the given
+    /// revocations are applied here already.
     ///
-    /// Proof that such a replica may be acted on as if it had been read at that time. Each
-    /// of the others sent its heartbeat after the one of ours that it acknowledges, and the
-    /// oldest of these was sent at T. What a controller tells or acts on by T it has learned
-    /// by T, so it is no newer than `known_revision`: it is in our replica, or, where that
-    /// is older, after `revocations.since`. Of the latter only two things matter to a
-    /// controller that answers workers:
+    /// Proof that such a replica may be acted on as if it had been read at that time. Each of the
+    /// others sent its heartbeat after the one of ours that it acknowledges. Let T be the time at
+    /// which the oldest of these acknowledged heartbeats was sent. What a controller tells users
+    /// or acts on by T it has learned by T, so it is no newer than its `known_revision`. Hence
+    /// our replica contains it, or, where our replica is older, it is a change after
+    /// `revocations.since`. Only two kinds of the latter matter to a controller that answers
+    /// workers:
     ///
-    /// - A cancellation that a user was told of: it is listed, and we have stopped the job,
-    ///   or it is over, and each of its tasks was proved gone.
-    /// - A machine of ours that was granted: it is listed, and then we do not act for it;
-    ///   whoever was granted it later holds it since T at the earliest, and waits `cancel_s`
-    ///   from then before the machine's lease counts as expired.
+    /// - A cancellation that a user was told of. If it is listed, we have stopped the job; if it
+    ///   is not, the job is over, and each of its tasks was proved gone.
+    /// - A grant of a machine of ours. It is listed, and then we do not act for the machine.
+    ///   A controller that is granted it later holds it since T at the earliest, and waits
+    ///   `cancel_s` from then before the machine's lease counts as expired.
     ///
-    /// Both are what a read of the store at T gives. A change that is committed and unknown
-    /// to all, its response still on the way, is told and acted on after T. A controller
-    /// that restarted has no replica until it has read all that its predecessor can have
-    /// acted on, and attests nothing before.
+    /// A read of the store at T gives both. A change that is committed but unknown to all, because
+    /// its response is still on the way, is told and acted on after T. A controller that restarted
+    /// has no replica until it has read everything that its predecessor can have acted on, and
+    /// attests nothing before.
     pub fn attested(
         &self,
         others: impl IntoIterator<Item = impl AsRef<str>>,
@@ -279,9 +297,9 @@
         covers: impl Fn(&Revocations) -> bool,
     ) -> Option<Duration> {
         let attests = |peer: &Peer| {
-            let is_applied = |revocations: &Revocations| revocations.since <= revision && covers(revocations);
-            let applied = || peer.revocations.as_ref().is_some_and(is_applied);
-            peer.revision.is_some() && (peer.known_revision <= revision || applied())
+            let covers_changes = |revocations: &Revocations| revocations.since <= revision && covers(revocations);
+            let has_applied_changes = || peer.revocations.as_ref().is_some_and(covers_changes);
+            peer.revision.is_some() && (peer.known_revision <= revision || has_applied_changes())
         };
         let mut oldest = Some(Duration::MAX);
         for other in others {
--- a/src/controller/agents/commands.rs
+++ b/src/controller/agents/commands.rs
@@ -1,4 +1,4 @@
-//! Commands for agents: what shall run on a machine, and what is sent to it at once.
+//! Commands for agents: which tasks shall run on a machine, and which commands it is sent at once.
 
 use crate::config::Settings;
 use crate::controller::scheduler::is_partly_placed;
@@ -10,27 +10,29 @@
 use crate::state::{ClusterState, Job, PlacedTasks};
 use std::collections::BTreeSet;
 
-/// Commands are sent only to machines that were heard within so many heartbeat intervals.
-const PUSH_SILENCE: f64 = 2.0;
+/// Commands are pushed only to machines that sent a heartbeat within this many intervals.
+const MAX_PUSH_SILENCE_INTERVALS: f64 = 2.0;
+/// Path under which agents accept commands.
 const COMMANDS_PATH: &str = "/commands";
 
-/// The tasks of one machine, as recorded.
+/// The tasks that are recorded for one machine.
 #[derive(Debug)]
 pub(super) struct MachineTasks {
-    /// Those that shall run there.
+    /// Tasks that shall run there.
     pub(super) wanted: PlacedTasks,
-    /// All whose exit is not stored: the agent must not forget them.
+    /// Tasks whose exit is not stored, which the agent must not forget.
     pub(super) kept: PlacedTasks,
 }
 
 impl MachineTasks {
+    /// The tasks of a machine, from the placements in the replica; `may_run` tells which jobs run.
     fn of(name: &str, machine: Option<&Machine>, state: &ClusterState, may_run: impl Fn(&Job) -> bool) -> MachineTasks {
         let placed = state.placed.get(name).cloned().unwrap_or_default();
         let mut wanted = placed.clone();
         wanted.retain(|(uid, index), attempt| {
             let key = (uid.clone(), *index, *attempt);
-            let is_stopped = |machine: &Machine| machine.preempted.contains_key(&key) || machine.gone.contains(&key);
-            state.jobs.get(uid).is_some_and(&may_run) && !machine.is_some_and(is_stopped)
+            let has_stopped = |machine: &Machine| machine.preempted.contains_key(&key) || machine.gone.contains(&key);
+            state.jobs.get(uid).is_some_and(&may_run) && !machine.is_some_and(has_stopped)
         });
         let mut kept = placed;
         if let Some(machine) = machine {
@@ -40,46 +42,47 @@
     }
 }
 
-/// A result that came while nobody listened counts wherever it is shown, and the agent
-/// keeps it until it is stored.
+/// Adds the results that are shown here but not stored. A task that finished while it reached
+/// no controller counts on whichever machine its result is shown, and the agent keeps the
+/// result until it is stored.
 fn keep_unstored_results(kept: &mut PlacedTasks, machine: &Machine, state: &ClusterState) {
-    for seen in &machine.tasks {
-        if seen.cause != Some(Cause::Done) || seen.state != TaskState::Exited {
+    for observed in &machine.tasks {
+        if observed.cause != Some(Cause::Done) || observed.state != TaskState::Exited {
             continue;
         }
-        let (uid, index) = (&seen.task.job, seen.task.index);
+        let (uid, index) = (&observed.task.job, observed.task.index);
         let lacks_result =
             |job: &Job| !job.cancelled() && !job.is_done(index, state.checkpoint_size) && index < job.spec.task_count;
         if state.jobs.get(uid).is_some_and(lacks_result) {
-            kept.entry((uid.clone(), index)).or_insert(seen.attempt);
+            kept.entry((uid.clone(), index)).or_insert(observed.attempt);
         }
     }
 }
 
-/// Of the commands for a machine those that may go now: nothing of a wide gang is started
-/// before the last of its places is stored.
+/// Keeps the commands that may be sent now: no task of a wide gang is started before the last
+/// of its placements is stored.
 pub(super) fn without_partly_placed(
     mut commands: Vec<Command>,
     state: &ClusterState,
     settings: &Settings,
 ) -> Vec<Command> {
-    let waits = |uid: &str| state.jobs.get(uid).is_some_and(|job| is_partly_placed(job, settings));
+    let must_wait = |uid: &str| state.jobs.get(uid).is_some_and(|job| is_partly_placed(job, settings));
     commands.retain(|command| match command {
-        Command::Run { task, .. } => TaskId::parse(task).is_none_or(|id| !waits(&id.job)),
+        Command::Run { task, .. } => TaskId::parse(task).is_none_or(|id| !must_wait(&id.job)),
         Command::Kill { .. } | Command::Forget { .. } => true,
     });
     commands
 }
 
 impl Controller {
-    /// The tasks of a machine, as recorded.
+    /// The tasks that are recorded for a machine.
     pub(super) fn machine_tasks(&self, name: &str) -> MachineTasks {
         let may_run =
             |job: &Job| !job.cancelled() && !self.scheduler.gang_placement_expired(job, &self.config, self.now);
         MachineTasks::of(name, self.agents.machine(name), &self.state, may_run)
     }
 
-    /// Sends starts and kills straight to the agent, where that is safe.
+    /// Pushes commands to the agent without waiting for its next heartbeat, where that is safe.
     pub(in crate::controller) fn push_commands(&mut self, name: &str) {
         if !self.entitled() || !self.fresh() {
             return;
@@ -87,11 +90,11 @@
         if self.state.machines.get(name).is_none_or(|machine| self.state.revision < machine.rec.granted) {
             return;
         }
-        let limit = self.heartbeat_intervals(PUSH_SILENCE);
+        let max_silence = self.heartbeat_intervals(MAX_PUSH_SILENCE_INTERVALS);
         let tasks = self.machine_tasks(name);
         let Some(machine) = self.agents.machines.get_mut(name) else { return };
         let Ok(addr) = machine.addr.parse() else { return };
-        if machine.heard_at.is_none_or(|at| self.now.saturating_sub(at) > limit) {
+        if machine.heard_at.is_none_or(|at| self.now.saturating_sub(at) > max_silence) {
             return;
         }
         let commands = machine.commands(&tasks.wanted, &tasks.kept);
@@ -110,7 +113,7 @@
         }
     }
 
-    /// Commands that were sent got an answer, or none.
+    /// Processes the answer to pushed commands, or the lack of one.
     pub(in crate::controller) fn push_answer(
         &mut self,
         id: CallId,
@@ -125,25 +128,27 @@
         let answer = result.ok().filter(|reply| reply.status == 200 || reply.status == 409);
         let heartbeat = answer.and_then(|reply| crate::protocol::decode::<Heartbeat>(&reply.body).ok());
         let Some(heartbeat) = heartbeat.filter(|heartbeat| heartbeat.machine == name) else {
-            tracing::debug!(machine = %name, "commands_unanswered");
+            tracing::debug!(machine = %name, "commands not answered");
             return machine.push_lost();
         };
         machine.push = None;
         if machine.take(&heartbeat) {
             machine.set_report_proven(true);
-            self.agents.hearing.proved(name, machine.at, self.now);
+            self.agents.heartbeat_tracker.record_alive(name, machine.at, self.now);
         }
         self.reconcile(name);
     }
 
-    /// Tells the machines of ours on which the job has tasks to end them, whoever wrote
-    /// that it is cancelled: by their own heartbeats they would run on for a while.
+    /// Commands the machines of this controller on which the job has tasks to end them. This does
+    /// not depend on which controller wrote the cancellation: by the heartbeats alone the tasks
+    /// would run on for a while.
     pub(in crate::controller) fn stop_job(&mut self, uid: &str) {
         let Some(job) = self.state.jobs.get(uid) else { return };
-        let places = job.chunks.values().flat_map(|chunk| &chunk.rec.on);
-        let own = places.map(|place| &place.machine).filter(|name| self.agents.machine(name).is_some());
-        let own: BTreeSet<String> = own.cloned().collect();
-        for name in own {
+        let placements = job.chunks.values().flat_map(|chunk| &chunk.rec.on);
+        let own_machines =
+            placements.map(|placement| &placement.machine).filter(|name| self.agents.machine(name).is_some());
+        let own_machines: BTreeSet<String> = own_machines.cloned().collect();
+        for name in own_machines {
             self.push_commands(&name);
         }
     }
--- a/src/controller/agents/mod.rs
+++ b/src/controller/agents/mod.rs
@@ -1,5 +1,5 @@
-//! The agents on the machines of this controller's shard: their heartbeats, the
-//! commands they get, and the release of those that fell silent.
+//! The agents on the machines of this controller's shard: their heartbeats, the commands that
+//! they are sent, and the release of machines that fell silent.
 
 mod adoption;
 mod commands;
@@ -22,31 +22,31 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
-/// The agents on the machines of this controller's shard, and what is known of others.
+/// The machines of this controller's shard and their agents, and what is known of other machines.
 #[derive(Debug, Default)]
 pub(super) struct Agents {
-    /// Heartbeats that wait for a grant to be made or seen.
-    pending: Vec<PendingHeartbeat>,
-    /// Machines that this controller owns.
+    /// Heartbeats that wait until a grant is made or becomes known here.
+    pending_heartbeats: Vec<PendingHeartbeat>,
+    /// Machines that this controller owns, by name.
     machines: BTreeMap<String, Machine>,
-    /// The state of the replica's machine records that `machines` follows.
-    followed_records: Option<u64>,
+    /// The version of the replica's machine records that `machines` reflects.
+    applied_records_version: Option<u64>,
     /// The newest heartbeat of each machine.
-    hearing: HeartbeatTracker,
+    heartbeat_tracker: HeartbeatTracker,
     /// Images on machines of other shards.
-    images_elsewhere: HashMap<String, Images>,
-    /// Silent machines that answered a call of ours, and when.
-    probed: BTreeMap<String, Instant>,
-    /// When machines are next checked for silence.
+    images_in_other_shards: HashMap<String, Images>,
+    /// Silent machines that answered a probe of ours, and when.
+    probe_answers: BTreeMap<String, Instant>,
+    /// When the agents are next checked.
     next_check: Instant,
 }
 
-/// An agent waits this long for an answer, then a little to try the next controller.
+/// An agent waits 4 s for an answer, then up to 1.5 s before it has tried the next controller.
 pub(super) const CONTROLLER_SWITCH_S: f64 = 4.0 + 1.0 + 0.5;
-/// Heartbeats come at an interval, give or take a quarter: an agent that was heard within
-/// this many intervals is not silent.
+/// An agent that sent a heartbeat within this many intervals is not silent: heartbeats come at
+/// an interval that varies by up to a quarter.
 pub(super) const MAX_HEARTBEAT_GAP: f64 = 1.5;
-/// Machines that are cut off with others are waited for this many leases.
+/// Machines that are cut off together with others are waited for this many leases.
 pub(super) const CUT_OFF_LEASES: f64 = 2.0;
 
 impl Agents {
@@ -65,7 +65,7 @@
         self.machines.keys()
     }
 
-    /// Whether a check of the agents is due now; the next one follows after `pause`.
+    /// Whether a check of the agents is due now; if so, the next one is due after `pause`.
     pub(super) fn begin_check(&mut self, now: Instant, pause: Duration) -> bool {
         let due = now >= self.next_check;
         if due {
@@ -76,19 +76,19 @@
 
     /// Images on a machine of another shard.
     pub(super) fn images_elsewhere(&self, name: &str) -> Option<&Images> {
-        self.images_elsewhere.get(name)
+        self.images_in_other_shards.get(name)
     }
 
-    /// The images that a machine of any shard is known to hold.
+    /// The images that are known to be on a machine of any shard.
     pub(super) fn known_images(&self, name: &str) -> Option<&Images> {
-        self.machines.get(name).map(|machine| &machine.images).or_else(|| self.images_elsewhere.get(name))
+        self.machines.get(name).map(|machine| &machine.images).or_else(|| self.images_in_other_shards.get(name))
     }
 
-    /// A machine of any shard holds these images.
+    /// Records that a machine of any shard holds these images.
     pub(super) fn add_images<'a>(&mut self, name: &str, images: impl Iterator<Item = &'a String>) {
         let known = match self.machines.get_mut(name) {
             Some(machine) => &mut machine.images,
-            None => self.images_elsewhere.entry(name.to_string()).or_default(),
+            None => self.images_in_other_shards.entry(name.to_string()).or_default(),
         };
         for image in images {
             if !known.contains(image) {
@@ -97,12 +97,12 @@
         }
     }
 
-    /// Forgets images on machines that are no longer recorded.
+    /// Forgets the images on machines that are no longer recorded in the store.
     pub(super) fn retain_images_of(&mut self, state: &ClusterState) {
-        self.images_elsewhere.retain(|name, _| state.machines.contains_key(name));
+        self.images_in_other_shards.retain(|name, _| state.machines.contains_key(name));
     }
 
-    /// The cloud no longer lists these machines.
+    /// Records that the cloud no longer lists these machines.
     pub(super) fn mark_unlisted<'a>(&mut self, names: impl IntoIterator<Item = &'a String>) {
         for name in names {
             if let Some(machine) = self.machines.get_mut(name) {
@@ -111,116 +111,122 @@
         }
     }
 
-    /// Another controller heard the machine say this at `when`.
-    pub(super) fn heard_elsewhere(&mut self, name: &str, at: At, when: Instant) {
-        self.hearing.heard_elsewhere(name, at, when);
+    /// Records that another controller received a message of the machine at `received_at`.
+    pub(super) fn heard_elsewhere(&mut self, name: &str, counters: At, received_at: Instant) {
+        self.heartbeat_tracker.record_elsewhere(name, counters, received_at);
     }
 
-    /// When the machine last spoke to this controller, of late.
-    pub(super) fn heard_at(&self, name: &str) -> Option<Instant> {
-        self.hearing.heard(name)
+    /// When the machine last sent a message to this controller, if it did recently.
+    pub(super) fn last_heartbeat_at(&self, name: &str) -> Option<Instant> {
+        self.heartbeat_tracker.alive_at(name)
     }
 
-    /// All machines that spoke to this controller of late: when, and at what counters.
-    pub(super) fn heard(&self) -> impl Iterator<Item = (&str, Instant, At)> {
-        self.hearing.all()
+    /// All machines that recently sent a message to this controller, each with the time of the
+    /// last message and the newest counters.
+    pub(super) fn alive_machines(&self) -> impl Iterator<Item = (&str, Instant, At)> {
+        self.heartbeat_tracker.alive_machines()
     }
 
-    /// The newest counters that are known of the machine.
+    /// The counters of the newest known message of the machine.
     pub(super) fn newest_counters(&self, name: &str) -> At {
-        self.hearing.newest(name)
+        self.heartbeat_tracker.newest_counters(name)
     }
 
-    /// Whether the machine may be called now; it is then not called again for `pause`.
-    pub(super) fn may_call_back(&mut self, name: &str, now: Instant, pause: Duration) -> bool {
-        self.hearing.may_call(name, now, pause)
+    /// Whether a probe of the machine is due; if so, the next one is due after `pause`.
+    pub(super) fn begin_probe(&mut self, name: &str, now: Instant, pause: Duration) -> bool {
+        self.heartbeat_tracker.begin_probe(name, now, pause)
     }
 
-    /// Forgets what was heard longer ago than `keep`, and machines that are neither
-    /// recorded nor heard.
-    pub(super) fn prune_heard(&mut self, state: &ClusterState, now: Instant, keep: Duration) {
-        self.hearing.prune(now, keep, |name| state.machines.contains_key(name));
+    /// Forgets messages that are older than `keep`, and machines that neither have a record in the
+    /// store nor sent a message or were probed since.
+    pub(super) fn prune_heartbeats(&mut self, state: &ClusterState, now: Instant, keep: Duration) {
+        self.heartbeat_tracker.prune(now, keep, |name| state.machines.contains_key(name));
     }
 
-    /// When the machine last answered a call of ours, of late.
+    /// When the machine last answered a probe of ours, if it did recently.
     pub(super) fn probed_at(&self, name: &str) -> Option<Instant> {
-        self.probed.get(name).copied()
+        self.probe_answers.get(name).copied()
     }
 
-    /// Silent machines that answered a call of ours, and when.
-    pub(super) fn probed(&self) -> impl Iterator<Item = (&String, Instant)> {
-        self.probed.iter().map(|(name, at)| (name, *at))
+    /// Silent machines that answered a probe of ours, and when.
+    pub(super) fn probe_answers(&self) -> impl Iterator<Item = (&String, Instant)> {
+        self.probe_answers.iter().map(|(name, at)| (name, *at))
     }
 
-    /// Forgets answers to calls that came longer ago than `keep`.
-    pub(super) fn prune_probed(&mut self, now: Instant, keep: Duration) {
-        self.probed.retain(|_, at| now.saturating_sub(*at) < keep);
+    /// Forgets probe answers that are older than `keep`.
+    pub(super) fn prune_probe_answers(&mut self, now: Instant, keep: Duration) {
+        self.probe_answers.retain(|_, at| now.saturating_sub(*at) < keep);
     }
 
-    /// The machine answered a call that was made when it was `known` to be at these
-    /// counters. True if that shows that it was restarted: its counters or its token
-    /// went back since.
-    pub(super) fn record_probe(&mut self, answer: &Heartbeat, known: At, now: Instant) -> bool {
+    /// Records the answer to a probe that was sent when the newest counters of the machine were
+    /// `known`. Returns whether it shows that the machine was restarted: its counters or its
+    /// fencing token went back since.
+    pub(super) fn record_probe_answer(&mut self, answer: &Heartbeat, known: At, now: Instant) -> bool {
         let name = &answer.machine;
-        self.probed.insert(name.clone(), now);
-        let at = (answer.agent_epoch, answer.heartbeat_seq);
-        let is_belied = self
+        self.probe_answers.insert(name.clone(), now);
+        let counters = (answer.agent_epoch, answer.heartbeat_seq);
+        let contradicts_token = self
             .machines
             .get(name)
-            .is_some_and(|machine| at > machine.at && machine.contradicts_token(answer.fencing_token));
-        if at >= known && !is_belied {
+            .is_some_and(|machine| counters > machine.at && machine.contradicts_token(answer.fencing_token));
+        if counters >= known && !contradicts_token {
             return false;
         }
-        tracing::info!(machine = %name, agent_epoch = at.0, heartbeat_seq = at.1, "agent_restarted");
-        self.hearing.agent_restarted(name, at, now);
+        tracing::info!(machine = %name, agent_epoch = counters.0, heartbeat_seq = counters.1, "agent restarted");
+        self.heartbeat_tracker.record_restart(name, counters, now);
         let Some(machine) = self.machines.get_mut(name) else { return false };
         machine.restart_incarnation(answer);
         machine.heard_at = Some(now);
         true
     }
 
-    /// Whether the heartbeat is news, as of what is known of its machine.
+    /// Records the heartbeat as received here, and returns how new it is.
     fn classify(&mut self, heartbeat: &Heartbeat, now: Instant) -> Freshness {
-        self.hearing.report(&heartbeat.machine, (heartbeat.agent_epoch, heartbeat.heartbeat_seq), now)
+        self.heartbeat_tracker.record_heartbeat(
+            &heartbeat.machine,
+            (heartbeat.agent_epoch, heartbeat.heartbeat_seq),
+            now,
+        )
     }
 }
 
-/// The condition that a member's shard is not granted again: what writes a machine group
-/// of its carries the grant in force, or one above it, and would come late after that.
+/// The condition that the shard of `member` has not been granted again. A write to one of its
+/// machine groups carries the grant in force, or one above it, and would be late after another
+/// grant.
 pub(super) fn shard_condition(state: &ClusterState, member: &str) -> Condition {
     Condition { key: records::shard_grant_key(member), version: state.shard_grant_version(member) }
 }
 
 impl Controller {
-    /// What is due for the agents.
+    /// Does what is due for the agents.
     pub(super) fn check_agents(&mut self) {
         self.adopt_granted_machines();
         self.retry_pending_heartbeats();
         if !self.fresh() {
             return;
         }
-        self.drain_preempted();
+        self.drain_machines_on_notice();
         self.move_ticketed();
-        self.release_silent();
-        self.clear_empty();
+        self.release_due_machines();
+        self.clear_empty_machines();
     }
 
-    /// Holds while a member's shard is not granted again.
+    /// The condition that a member's shard has not been granted again.
     pub(super) fn shard_condition_of(&self, member: &str) -> Condition {
         shard_condition(&self.state, member)
     }
 
-    /// Whether the machine has come up, as far as is known here: it runs
-    /// something, or some controller hears it.
+    /// Whether the machine has come up, as far as is known here: it runs a task, or some controller
+    /// receives its heartbeats.
     pub(super) fn is_up(&self, name: &str) -> bool {
         self.state.loads.contains_key(name) || self.heard_by_any(name)
     }
 
-    /// Whether some controller hears it, or did of late.
+    /// Whether some controller receives heartbeats of the machine, or did recently.
     pub(super) fn heard_by_any(&self, name: &str) -> bool {
-        self.agents.heard_at(name).is_some()
+        self.agents.last_heartbeat_at(name).is_some()
             || self.agents.machine(name).is_some_and(|machine| machine.heard_at.is_some())
-            || self.connectivity.peers().knows(name)
+            || self.connectivity.peers().any_reports(name)
     }
 }
 
--- a/src/controller/agents/preemption.rs
+++ b/src/controller/agents/preemption.rs
@@ -1,5 +1,5 @@
-//! Stopping tasks to place them again: for more urgent ones, or because their machine
-//! will be taken away.
+//! Preemption: stops tasks to place them again, for tasks of higher priority or because the
+//! cloud will take their machine away.
 
 use super::{Agents, MAX_HEARTBEAT_GAP};
 use crate::controller::Controller;
@@ -13,34 +13,39 @@
 /// A task that is stopped on its machine, to be placed again.
 #[derive(Debug)]
 pub(in crate::controller) struct Preemption {
+    /// The machine on which the task runs.
     pub(in crate::controller) machine: String,
+    /// The job of the task.
     pub(in crate::controller) job: String,
+    /// Index of the task within the job.
     pub(in crate::controller) index: u32,
+    /// Number of the attempt that is stopped.
     pub(in crate::controller) attempt: u64,
-    /// Time to save a checkpoint.
+    /// Time that the task gets to save a checkpoint, in seconds.
     pub(in crate::controller) grace_period_s: f64,
 }
 
 impl Preemption {
-    /// The stop of an attempt of a job's task.
+    /// The preemption of an attempt of a job's task.
     pub(in crate::controller) fn of_task(machine: &str, key: (String, u32, u64), grace_period_s: f64) -> Preemption {
         let (job, index, attempt) = key;
         Preemption { machine: machine.to_string(), job, index, attempt, grace_period_s }
     }
 
-    fn of_place(uid: &str, place: &Placement, grace_period_s: f64) -> Preemption {
+    /// The preemption of a placed task of a job.
+    fn of_placement(uid: &str, placement: &Placement, grace_period_s: f64) -> Preemption {
         Preemption {
-            machine: place.machine.clone(),
+            machine: placement.machine.clone(),
             job: uid.to_string(),
-            index: place.index,
-            attempt: place.attempt,
+            index: placement.index,
+            attempt: placement.attempt,
             grace_period_s,
         }
     }
 }
 
 impl Agents {
-    /// The task is to be stopped; its machine is told with the next commands.
+    /// Marks the task as preempted: the next commands to its machine stop it.
     pub(in crate::controller) fn mark_preempted(&mut self, preemption: Preemption) {
         if let Some(machine) = self.machines.get_mut(&preemption.machine) {
             let key = (preemption.job, preemption.index, preemption.attempt);
@@ -50,7 +55,7 @@
 }
 
 impl Controller {
-    /// Stops tasks on their machines, which are told at once where that is possible.
+    /// Preempts tasks, and commands their machines at once to stop them where that is possible.
     pub(in crate::controller) fn preempt(&mut self, preemptions: Vec<Preemption>) {
         let machines: BTreeSet<String> = preemptions.iter().map(|preemption| preemption.machine.clone()).collect();
         for preemption in preemptions {
@@ -61,10 +66,10 @@
         }
     }
 
-    /// Machines that the cloud will take away: services move while they can
-    /// start elsewhere at once, what saves checkpoints does so, and the rest runs on in
-    /// the hope of an end before that.
-    pub(super) fn drain_preempted(&mut self) {
+    /// Stops tasks on machines that the cloud will take away. Services move as long as they can
+    /// start elsewhere at once, and tasks that save checkpoints do so. All others run on, as they
+    /// may end before the machine is taken.
+    pub(super) fn drain_machines_on_notice(&mut self) {
         let mut preemptions: Vec<Preemption> = Vec::new();
         let mut capacities: Option<Vec<MachineCapacity>> = None;
         for (name, machine) in self.agents.machines() {
@@ -76,8 +81,8 @@
                 if machine.preempted.contains_key(&key) || machine.is_over(&key) {
                     continue;
                 }
-                let place = Placement { machine: name.clone(), index: *index, attempt: *attempt };
-                preemptions.extend(self.preemptions_on_notice(uid, job, &place, left_s, &mut capacities));
+                let placement = Placement { machine: name.clone(), index: *index, attempt: *attempt };
+                preemptions.extend(self.preemptions_on_notice(uid, job, &placement, left_s, &mut capacities));
             }
         }
         for preemption in &preemptions {
@@ -86,19 +91,19 @@
                 index = preemption.index,
                 machine = %preemption.machine,
                 grace_period_s = preemption.grace_period_s,
-                "task_moved_on_preemption_notice"
+                "task moved on preemption notice"
             );
         }
         self.preempt(preemptions);
     }
 
-    /// Which tasks are stopped for one whose machine is taken away in `left_s` seconds.
-    /// Free capacities are looked up when first needed, and taken from.
+    /// The preemptions that follow from one placement on a machine that the cloud takes away in
+    /// `left_s` seconds. Free capacities are computed when first needed, and reduced by what moves.
     fn preemptions_on_notice(
         &self,
         uid: &str,
         job: &Job,
-        place: &Placement,
+        placement: &Placement,
         left_s: f64,
         capacities: &mut Option<Vec<MachineCapacity>>,
     ) -> Vec<Preemption> {
@@ -106,30 +111,30 @@
         match (job.spec.kind, save_s) {
             (JobKind::Service, _) => {
                 let capacities = capacities.get_or_insert_with(|| self.own_capacities());
-                let moves = self.takes_elsewhere(capacities, &place.machine, job, true);
-                if moves { vec![Preemption::of_place(uid, place, 0.0)] } else { Vec::new() }
+                let fits_elsewhere = self.takes_elsewhere(capacities, &placement.machine, job, true);
+                if fits_elsewhere { vec![Preemption::of_placement(uid, placement, 0.0)] } else { Vec::new() }
             }
-            (JobKind::Array, Some(save_s)) => vec![Preemption::of_place(uid, place, save_s)],
-            // All save at once, or the checkpoint fails.
-            (JobKind::Gang, Some(save_s)) if self.runs_everywhere(uid, job) => {
-                let places = job.chunks.values().flat_map(|chunk| &chunk.rec.on);
-                places.map(|place| Preemption::of_place(uid, place, save_s)).collect()
+            (JobKind::Array, Some(save_s)) => vec![Preemption::of_placement(uid, placement, save_s)],
+            // All tasks of a gang must save at once, or the checkpoint fails.
+            (JobKind::Gang, Some(save_s)) if self.all_tasks_run(uid, job) => {
+                let placements = job.chunks.values().flat_map(|chunk| &chunk.rec.on);
+                placements.map(|placement| Preemption::of_placement(uid, placement, save_s)).collect()
             }
             (JobKind::Array | JobKind::Gang, _) => Vec::new(),
         }
     }
 
-    /// Whether all placed tasks of the job are seen to run on machines of ours.
-    fn runs_everywhere(&self, uid: &str, job: &Job) -> bool {
-        let recent = self.heartbeat_intervals(MAX_HEARTBEAT_GAP);
-        let runs = |place: &Placement| {
-            self.agents.machine(&place.machine).is_some_and(|machine| {
-                let seen = machine.find(uid, place.index, place.attempt);
+    /// Whether all placed tasks of the job are observed to run on machines of this controller.
+    fn all_tasks_run(&self, uid: &str, job: &Job) -> bool {
+        let max_silence = self.heartbeat_intervals(MAX_HEARTBEAT_GAP);
+        let is_running = |placement: &Placement| {
+            self.agents.machine(&placement.machine).is_some_and(|machine| {
+                let observed = machine.find(uid, placement.index, placement.attempt);
                 machine.confirmed()
-                    && machine.heard_at.is_some_and(|at| self.now.saturating_sub(at) < recent)
-                    && seen.is_some_and(|seen| seen.state == TaskState::Running)
+                    && machine.heard_at.is_some_and(|at| self.now.saturating_sub(at) < max_silence)
+                    && observed.is_some_and(|task| task.state == TaskState::Running)
             })
         };
-        job.chunks.values().flat_map(|chunk| &chunk.rec.on).all(runs)
+        job.chunks.values().flat_map(|chunk| &chunk.rec.on).all(is_running)
     }
 }
--- a/src/controller/agents/reconciliation.rs
+++ b/src/controller/agents/reconciliation.rs
@@ -1,4 +1,4 @@
-//! Reconciliation of a machine's newest heartbeat with the tasks recorded for it.
+//! Reconciliation of a machine's newest heartbeat with the tasks that are recorded for it.
 
 use super::commands::MachineTasks;
 use crate::controller::Controller;
@@ -14,11 +14,11 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A machine on which tasks failed that may be at fault themselves gets none for so many
-/// heartbeat intervals: until then they are tried elsewhere.
-const UNDECIDED_PAUSE: f64 = 2.0;
+/// If tasks failed on a machine and either may be at fault, it gets no tasks for this many
+/// heartbeat intervals: until then the tasks are tried elsewhere.
+const UNDECIDED_CORDON_INTERVALS: f64 = 2.0;
 
-/// The comparison of one machine's heartbeat with what is recorded.
+/// One comparison of a machine's newest heartbeat with what is recorded.
 struct Reconciliation<'a> {
     now: Instant,
     heartbeat_interval_s: f64,
@@ -29,44 +29,45 @@
     machine: &'a mut Machine,
     journal: &'a mut Journal,
     scheduler: &'a mut Scheduler,
-    /// Capacity came free.
-    freed: bool,
-    /// Tasks failed.
-    failed: bool,
+    /// Whether capacity became free.
+    capacity_freed: bool,
+    /// Whether tasks failed.
+    tasks_failed: bool,
 }
 
 impl Reconciliation<'_> {
+    /// Processes all tasks in the heartbeat, and those that are missing from it.
     fn run(&mut self) {
-        // A machine that has just taken our token can take tasks now.
+        // A machine that has just accepted our token can take tasks from now on.
         let has_token = self.machine.fencing_token == self.machine.token();
-        self.freed = has_token && !std::mem::replace(&mut self.machine.ready, true);
-        let seen_tasks = std::mem::take(&mut self.machine.tasks);
-        for seen in &seen_tasks {
-            if let Some(job) = self.state.jobs.get(&seen.task.job) {
-                self.record_progress(seen, job);
-                self.record_exit(seen, job);
+        self.capacity_freed = has_token && !std::mem::replace(&mut self.machine.ready, true);
+        let observed_tasks = std::mem::take(&mut self.machine.tasks);
+        for observed in &observed_tasks {
+            if let Some(job) = self.state.jobs.get(&observed.task.job) {
+                self.record_progress(observed, job);
+                self.record_exit(observed, job);
             }
         }
-        self.machine.tasks = seen_tasks;
-        self.forget_stored();
+        self.machine.tasks = observed_tasks;
+        self.prune_unrecorded_attempts();
         if self.machine.confirmed() {
-            self.record_vanished();
+            self.record_missing_attempts();
         }
-        if self.failed {
-            self.judge_failures();
+        if self.tasks_failed {
+            self.evaluate_failures();
         }
     }
 
-    /// What the task's state says of its start and of the images on the machine.
-    fn record_progress(&mut self, seen: &ObservedTask, job: &Job) {
-        if seen.state == TaskState::Running {
-            self.machine.since.entry(key_of(seen)).or_insert(self.now);
+    /// Records what a task's state shows of its start and of the images on the machine.
+    fn record_progress(&mut self, observed: &ObservedTask, job: &Job) {
+        if observed.state == TaskState::Running {
+            self.machine.since.entry(attempt_key(observed)).or_insert(self.now);
         }
         let image = &job.spec.image;
         if self.machine.images.contains(image) {
             return;
         }
-        match seen.state {
+        match observed.state {
             TaskState::Running | TaskState::WaitingForGang | TaskState::Saving => {
                 Rc::make_mut(&mut self.machine.images).insert(image.clone());
                 self.machine.fetches.remove(image);
@@ -78,59 +79,66 @@
         }
     }
 
-    /// Records the task's exit, if it shows one that counts.
-    fn record_exit(&mut self, seen: &ObservedTask, job: &Job) {
-        let task = (seen.task.job.clone(), seen.task.index);
-        let stored = RecordedState::of(&self.tasks.wanted, &self.tasks.kept, &task, seen.attempt);
-        // A gang that is placed whole comes, whoever gave up waiting for it.
-        let comes = job.spec.kind == JobKind::Gang && job.placed == job.spec.task_count && !job.cancelled();
-        let is_gone = match compare(stored, ObservedState::of(seen.state, seen.cause), comes) {
+    /// Records a task's exit, if the heartbeat shows one that counts.
+    fn record_exit(&mut self, observed: &ObservedTask, job: &Job) {
+        let task = (observed.task.job.clone(), observed.task.index);
+        let recorded = RecordedState::of(&self.tasks.wanted, &self.tasks.kept, &task, observed.attempt);
+        // A gang that is placed completely is starting, even if one of its tasks gave up waiting.
+        let gang_is_starting = job.spec.kind == JobKind::Gang && job.placed == job.spec.task_count && !job.cancelled();
+        let is_gone = match compare(recorded, ObservedState::of(observed.state, observed.cause), gang_is_starting) {
             Difference::Finished => {
-                self.record_finished(seen, job);
-                job.cancelled() && stored == RecordedState::Ending
+                self.record_finished(observed, job);
+                job.cancelled() && recorded == RecordedState::Ending
             }
-            // A copy may show what was ordered again since.
+            // A delayed copy may show the exit of an attempt that was commanded to run again since.
             Difference::Failed => self.machine.sure,
             _ => false,
         };
         if is_gone {
-            self.record_gone(seen);
+            self.record_gone(observed);
         }
     }
 
-    fn record_finished(&mut self, seen: &ObservedTask, job: &Job) {
-        let (uid, index) = (&seen.task.job, seen.task.index);
+    /// Records that the task finished, and with it its whole gang.
+    fn record_finished(&mut self, observed: &ObservedTask, job: &Job) {
+        let (uid, index) = (&observed.task.job, observed.task.index);
         if index >= job.spec.task_count || job.is_done(index, self.state.checkpoint_size) || job.cancelled() {
             return;
         }
-        // A gang completes together: the heartbeats of the others may be lost with
-        // their machines.
+        // A gang finishes as a whole: the heartbeats of its other tasks may be lost with their
+        // machines.
         let is_gang = job.spec.kind == JobKind::Gang;
         let finished = if is_gang { 0..job.spec.task_count } else { index..index + 1 };
         for index in finished {
-            self.freed |= self.journal.record_done(uid, index, self.now);
+            self.capacity_freed |= self.journal.record_done(uid, index, self.now);
         }
         self.machine.failures.clear();
     }
 
-    fn record_gone(&mut self, seen: &ObservedTask) {
-        let uid = &seen.task.job;
-        if !self.journal.record_gone(uid, seen.task.index, seen.attempt, self.now) {
+    /// Records that the attempt ended without a result, and whether it failed.
+    fn record_gone(&mut self, observed: &ObservedTask) {
+        let uid = &observed.task.job;
+        if !self.journal.record_gone(uid, observed.task.index, observed.attempt, self.now) {
             return;
         }
-        self.freed = true;
-        self.machine.gone.insert(key_of(seen));
-        if seen.cause == Some(Cause::Error) {
-            self.failed = true;
+        self.capacity_freed = true;
+        self.machine.gone.insert(attempt_key(observed));
+        if observed.cause == Some(Cause::Error) {
+            self.tasks_failed = true;
             self.machine.failures.note(uid);
             let interval = Duration::from_secs_f64(self.heartbeat_interval_s);
             self.scheduler.record_failure(uid, self.name, self.now, interval);
         }
-        tracing::debug!(machine = %self.name, task = %seen.task, cause = ?seen.cause, "task_ended_without_result");
+        tracing::debug!(
+            machine = %self.name,
+            task = %observed.task,
+            cause = ?observed.cause,
+            "task ended without result"
+        );
     }
 
-    /// Forgets what concerns attempts that are no longer recorded here.
-    fn forget_stored(&mut self) {
+    /// Forgets the state of attempts that are no longer recorded for the machine.
+    fn prune_unrecorded_attempts(&mut self) {
         let kept = &self.tasks.kept;
         let is_kept = |key: &(String, u32, u64)| kept.get(&(key.0.clone(), key.1)) == Some(&key.2);
         let is_live = |uid: &str| self.state.jobs.get(uid).is_some_and(|job| !job.cancelled());
@@ -139,31 +147,32 @@
         self.machine.gone.retain(is_kept);
     }
 
-    /// Attempts that shall not run and are not there are gone: the heartbeat shows all
-    /// there is.
-    fn record_vanished(&mut self) {
+    /// Records that attempts are gone which shall not run here and are not in the heartbeat: that
+    /// lists all tasks on the machine.
+    fn record_missing_attempts(&mut self) {
         for ((uid, index), attempt) in &self.tasks.kept {
             let is_wanted = self.tasks.wanted.contains_key(&(uid.clone(), *index));
             if !is_wanted && self.machine.find(uid, *index, *attempt).is_none() {
                 self.journal.record_gone(uid, *index, *attempt, self.now);
                 self.machine.gone.insert((uid.clone(), *index, *attempt));
-                self.freed = true;
+                self.capacity_freed = true;
             }
         }
     }
 
-    /// Whether the machine is to blame for its failures: then it gets no tasks for a while.
-    fn judge_failures(&mut self) {
-        let done = |uid: &str| self.state.jobs.get(uid).map_or(0, |job| job.done);
-        let fails_everywhere = |uid: &str| self.scheduler.fails_everywhere(uid, done(uid));
-        match self.machine.failures.verdict(fails_everywhere, |uid| done(uid) > 0) {
+    /// Determines whether the machine is at fault for failed tasks: if so, it gets no tasks for a
+    /// while.
+    fn evaluate_failures(&mut self) {
+        let tasks_done = |uid: &str| self.state.jobs.get(uid).map_or(0, |job| job.done);
+        let fails_everywhere = |uid: &str| self.scheduler.fails_everywhere(uid, tasks_done(uid));
+        match self.machine.failures.verdict(fails_everywhere, |uid| tasks_done(uid) > 0) {
             Verdict::Healthy => {}
             Verdict::Undecided => {
-                let pause = Duration::from_secs_f64(self.heartbeat_interval_s * UNDECIDED_PAUSE);
+                let pause = Duration::from_secs_f64(self.heartbeat_interval_s * UNDECIDED_CORDON_INTERVALS);
                 self.machine.cordoned_until = self.now + pause;
             }
             Verdict::Faulty => {
-                tracing::info!(machine = %self.name, failures = ?self.machine.failures, "machine_quarantined");
+                tracing::info!(machine = %self.name, failures = ?self.machine.failures, "machine cordoned");
                 self.machine.cordoned_until = self.now + Duration::from_secs_f64(self.lease_s);
                 self.machine.failures.served();
             }
@@ -171,12 +180,13 @@
     }
 }
 
-fn key_of(seen: &ObservedTask) -> (String, u32, u64) {
-    (seen.task.job.clone(), seen.task.index, seen.attempt)
+/// The key of the attempt that the heartbeat shows.
+fn attempt_key(observed: &ObservedTask) -> (String, u32, u64) {
+    (observed.task.job.clone(), observed.task.index, observed.attempt)
 }
 
 impl Controller {
-    /// Works out what the machine's newest heartbeat says of the tasks recorded for it.
+    /// Compares the machine's newest heartbeat with the tasks that are recorded for it.
     pub(super) fn reconcile(&mut self, name: &str) {
         let tasks = self.machine_tasks(name);
         let Some(machine) = self.agents.machines.get_mut(name) else { return };
@@ -191,11 +201,11 @@
             machine,
             journal: &mut self.journal,
             scheduler: &mut self.scheduler,
-            freed: false,
-            failed: false,
+            capacity_freed: false,
+            tasks_failed: false,
         };
         reconciliation.run();
-        let freed = reconciliation.freed;
-        self.scheduler.request_round_if(freed);
+        let capacity_freed = reconciliation.capacity_freed;
+        self.scheduler.request_round_if(capacity_freed);
     }
 }
--- a/src/controller/agents/suspicion.rs
+++ b/src/controller/agents/suspicion.rs
@@ -1,8 +1,8 @@
-//! Which machines of this controller's shard are given up: those that fell silent,
-//! and those that nothing is needed of any more.
+//! Detection of machines to release: those that fell silent, and those that are not needed any
+//! more.
 
 use super::{CONTROLLER_SWITCH_S, CUT_OFF_LEASES, MAX_HEARTBEAT_GAP};
-use crate::connectivity::partition_diagnosis::{Group, SilenceCause, diagnose_silence};
+use crate::connectivity::partition_diagnosis::{LivenessCount, SilenceCause, diagnose_silence};
 use crate::controller::{Controller, DRIFT};
 use crate::coordination::machine::Machine;
 use crate::effects::Instant;
@@ -12,144 +12,155 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// So long must a machine be silent that the cloud no longer lists, in heartbeat
-/// intervals: it may have reported after the list was made.
-const UNLISTED_SILENCE: f64 = 1.25;
-/// Whoever reaches a silent machine says so within so many heartbeats of controllers.
-const PEER_HEARTBEATS: f64 = 2.5;
-/// The part of the shard that may be released within a lease.
-const RELEASED_SHARE: f64 = 1.0 / 4.0;
+/// A machine that the cloud no longer lists is released after this many heartbeat intervals of
+/// silence: it may have sent a heartbeat after the list was made.
+const UNLISTED_SILENCE_INTERVALS: f64 = 1.25;
+/// A controller that reaches a silent machine reports this within this many of its heartbeat
+/// intervals.
+const PEER_REPORT_INTERVALS: f64 = 2.5;
+/// The largest part of the shard that may be released within one lease.
+const MAX_RELEASED_SHARE: f64 = 1.0 / 4.0;
 
-/// Why a machine is given back.
+/// Why a machine is released.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum ReleaseReason {
-    /// It is drained, and nothing is left there.
+    /// It is drained, and nothing is left on it.
     Drained,
     /// The cloud no longer lists it.
     Unlisted,
     /// Its heartbeats stopped.
     Silent,
-    /// Its heartbeats come, but it does not hear the answers.
-    HearsNothing,
+    /// Its heartbeats arrive, but the answers do not reach it.
+    AnswersLost,
 }
 
 impl ReleaseReason {
+    /// The name of the reason in log events.
     fn name(self) -> &'static str {
         match self {
             ReleaseReason::Drained => "drained",
             ReleaseReason::Unlisted => "unlisted",
             ReleaseReason::Silent => "silent",
-            ReleaseReason::HearsNothing => "hears_nothing",
+            ReleaseReason::AnswersLost => "hears_nothing",
         }
     }
 
-    /// Whether the machine may still live, so that only a share of the shard is released.
+    /// Whether the machine may still be alive, so that only a part of the shard is released.
     fn is_limited(self) -> bool {
-        matches!(self, ReleaseReason::Silent | ReleaseReason::HearsNothing)
+        matches!(self, ReleaseReason::Silent | ReleaseReason::AnswersLost)
     }
 }
 
-/// How long a machine may be silent.
+/// How long a machine may be silent before it is released.
 #[derive(Debug, Clone, Copy)]
 struct SilenceLimits {
-    /// At least, of one that was heard before.
-    heard: Duration,
-    /// At least, of one that was not heard since its grant: it may still be waiting for
-    /// its old controller, and for others that do not hear it; nobody here knows its
+    /// At least this long, if it sent a heartbeat under the present grant.
+    after_heartbeat: Duration,
+    /// At least this long, if it sent none under the present grant. It may still be waiting for its
+    /// old controller, and for others that it does not reach, and no controller here knows its
     /// address yet.
-    never_heard: Duration,
+    without_heartbeat: Duration,
     /// Until its lease has expired.
     lease: Duration,
-    /// If it is cut off with others.
+    /// If it is cut off together with others.
     cut_off: Duration,
-    /// Since a grant, until no earlier owner's answer counts.
+    /// Time since a grant after which no answer of an earlier owner counts.
     cancel: Duration,
 }
 
-/// How much of the shard was heard of late.
-struct ShardSilence {
-    zones: BTreeMap<String, Group>,
-    shard: Group,
-    /// The other live controllers.
-    peers: Group,
+/// How much of the shard sent heartbeats recently.
+struct ShardLiveness {
+    /// The machines of the shard in each zone.
+    zones: BTreeMap<String, LivenessCount>,
+    /// All machines of the shard.
+    shard: LivenessCount,
+    /// The other live controllers, of which those are live that are connected to us.
+    peers: LivenessCount,
 }
 
-impl ShardSilence {
+impl ShardLiveness {
     /// Zones in which machines are cut off rather than dead.
     fn cut_off_zones(&self) -> impl Iterator<Item = &str> {
-        self.zones.iter().filter(|(_, group)| group.silent() || self.shard.silent()).map(|(zone, _)| zone.as_str())
+        self.zones
+            .iter()
+            .filter(|(_, group)| group.mostly_silent() || self.shard.mostly_silent())
+            .map(|(zone, _)| zone.as_str())
     }
 }
 
 impl Controller {
-    /// A machine that does not report is released: that alone proves at once
-    /// that its tasks are gone. It destroys what lives if it is we who are cut
-    /// off, or the machine with others: so only where death is the best explanation
-    /// of its silence, and only a share of the shard per lease time. Elsewhere
-    /// its lease is waited for, which ends its tasks all the same.
-    pub(super) fn release_silent(&mut self) {
+    /// Releases machines that are silent, drained or no longer listed by the cloud.
+    ///
+    /// The release of a silent machine is the only immediate proof that its tasks are gone. But it
+    /// destroys live tasks if this controller is cut off, or the machine together with others. So a
+    /// machine is released only if its death best explains its silence, and only a part of the
+    /// shard per lease. Otherwise its lease is waited for, at the end of which its tasks end too.
+    pub(super) fn release_due_machines(&mut self) {
         let limits = self.silence_limits();
         self.refill_release_tokens();
-        let silence = self.shard_silence();
-        // What was cut off comes back one by one: those that are last are not dead.
-        let back_at = self.now + limits.never_heard;
-        for zone in silence.cut_off_zones() {
-            self.connectivity.mark_cut_off(zone, back_at);
+        let liveness = self.shard_liveness();
+        // Machines of a zone that was cut off come back one by one: the last of them are not dead.
+        let until = self.now + limits.without_heartbeat;
+        for zone in liveness.cut_off_zones() {
+            self.connectivity.mark_zone_cut_off(zone, until);
         }
         let machines = self.agents.machines().filter(|(_, machine)| !machine.releasing);
         let due: Vec<(String, ReleaseReason)> = machines
-            .filter_map(|(name, machine)| Some((name.clone(), self.release_reason(name, machine, &limits, &silence)?)))
+            .filter_map(|(name, machine)| Some((name.clone(), self.release_reason(name, machine, &limits, &liveness)?)))
             .collect();
         if self.may_call_cloud(Retry::Release) {
-            self.release_due(due);
+            self.release_within_limits(due);
         }
     }
 
+    /// How long machines may be silent, by the present settings.
     fn silence_limits(&self) -> SilenceLimits {
         let workers = &self.config.settings.workers;
-        // Whoever reaches it has to have had the time to say so.
-        let peers_say = self.heartbeat_intervals(MAX_HEARTBEAT_GAP)
-            + Self::heartbeat_interval(self.heartbeat_intervals(1.0)).mul_f64(PEER_HEARTBEATS);
-        let heard = self.heartbeat_intervals(self.config.operator.silent_reports).max(peers_say);
+        // A controller that reaches the machine must have had the time to report it.
+        let peer_report_time = self.heartbeat_intervals(MAX_HEARTBEAT_GAP)
+            + Self::heartbeat_interval(self.heartbeat_intervals(1.0)).mul_f64(PEER_REPORT_INTERVALS);
+        let after_heartbeat = self.heartbeat_intervals(self.config.operator.silent_reports).max(peer_report_time);
         SilenceLimits {
-            heard,
-            never_heard: (heard + self.secs(CONTROLLER_SWITCH_S)).max(self.full_retry_round()),
+            after_heartbeat,
+            without_heartbeat: (after_heartbeat + self.secs(CONTROLLER_SWITCH_S)).max(self.full_retry_round()),
             lease: self.secs(workers.lease_s * DRIFT + workers.heartbeat_interval_s),
             cut_off: self.secs(workers.lease_s * CUT_OFF_LEASES),
             cancel: self.secs(workers.cancel_s * DRIFT + workers.heartbeat_interval_s),
         }
     }
 
+    /// Refills the tokens that limit how much of the shard is released per lease.
     fn refill_release_tokens(&mut self) {
-        let most = (self.agents.machines.len() as f64 * RELEASED_SHARE).max(1.0);
-        self.releases.refill(self.now, most, self.config.settings.workers.lease_s);
+        let max_tokens = (self.agents.machines.len() as f64 * MAX_RELEASED_SHARE).max(1.0);
+        self.releases.refill(self.now, max_tokens, self.config.settings.workers.lease_s);
     }
 
-    /// How much of the shard, and of its part in each zone, was heard of late.
-    fn shard_silence(&self) -> ShardSilence {
-        let recent = self.heartbeat_intervals(MAX_HEARTBEAT_GAP);
-        let mut zones: BTreeMap<String, Group> = BTreeMap::new();
+    /// How much of the shard, and of its part in each zone, sent heartbeats recently.
+    fn shard_liveness(&self) -> ShardLiveness {
+        let max_silence = self.heartbeat_intervals(MAX_HEARTBEAT_GAP);
+        let mut zones: BTreeMap<String, LivenessCount> = BTreeMap::new();
         for (name, machine) in self.agents.machines().filter(|(_, machine)| machine.heard_at.is_some()) {
             let group = zones.entry(self.zone_of(name).to_string()).or_default();
-            group.all += 1;
-            group.heard += usize::from(silent_for(machine, self.now) < recent);
+            group.total += 1;
+            group.live += usize::from(silent_for(machine, self.now) < max_silence);
         }
-        let sum = |count: fn(&Group) -> usize| zones.values().map(count).sum();
-        let shard = Group { heard: sum(|group| group.heard), all: sum(|group| group.all) };
-        ShardSilence { zones, shard, peers: self.reachable_peers() }
+        let sum = |count: fn(&LivenessCount) -> usize| zones.values().map(count).sum();
+        let shard = LivenessCount { live: sum(|group| group.live), total: sum(|group| group.total) };
+        ShardLiveness { zones, shard, peers: self.reachable_peers() }
     }
 
+    /// The zone of the machine; empty if it has no record.
     fn zone_of(&self, name: &str) -> &str {
         self.state.machines.get(name).map_or("", |machine| machine.rec.zone.as_str())
     }
 
-    /// Why the machine is to be given back now, if it is.
+    /// Why the machine is to be released now; `None` if it is not.
     fn release_reason(
         &self,
         name: &str,
         machine: &Machine,
         limits: &SilenceLimits,
-        silence: &ShardSilence,
+        liveness: &ShardLiveness,
     ) -> Option<ReleaseReason> {
         let silent = silent_for(machine, self.now);
         let is_placed = self.state.placed.contains_key(name);
@@ -157,56 +168,57 @@
         if is_drained && machine.tasks.is_empty() && !is_placed {
             return Some(ReleaseReason::Drained);
         }
-        if machine.unlisted && silent > self.heartbeat_intervals(UNLISTED_SILENCE) {
+        if machine.unlisted && silent > self.heartbeat_intervals(UNLISTED_SILENCE_INTERVALS) {
             return Some(ReleaseReason::Unlisted);
         }
         let limit = self.silence_limit(name, machine, limits);
-        if silent <= limit || !self.is_suspect(name, machine, limits, is_placed) {
+        if silent <= limit || !self.may_be_dead(name, machine, limits, is_placed) {
             return None;
         }
-        let wait = match self.explain_silence(self.zone_of(name), silence) {
+        let min_silence = match self.silence_cause(self.zone_of(name), liveness) {
             SilenceCause::Dead => limit,
-            SilenceCause::Likely => limit.max(limits.lease.min(limit * 2)),
+            SilenceCause::ProbablyDead => limit.max(limits.lease.min(limit * 2)),
             SilenceCause::Undecided => limit.max(limits.lease),
-            SilenceCause::Cut => limit.max(limits.cut_off),
+            SilenceCause::Partition => limit.max(limits.cut_off),
         };
-        let reason = if machine.answers_are_lost() { ReleaseReason::HearsNothing } else { ReleaseReason::Silent };
-        (silent > wait).then_some(reason)
+        let reason = if machine.answers_are_lost() { ReleaseReason::AnswersLost } else { ReleaseReason::Silent };
+        (silent > min_silence).then_some(reason)
     }
 
-    /// After how long silence the machine is given up, if it alone is silent.
+    /// After how long a silence the machine is released, if it alone is silent.
     fn silence_limit(&self, name: &str, machine: &Machine, limits: &SilenceLimits) -> Duration {
-        let limit = if machine.heard_at.is_some() { limits.heard } else { limits.never_heard };
-        let limit = self.given_up_after(name, limit);
-        // What runs on a machine that hears nothing may run on to its lease's end.
+        let limit = if machine.heard_at.is_some() { limits.after_heartbeat } else { limits.without_heartbeat };
+        let limit = self.silence_limit_with_image_pull(name, limit);
+        // Tasks on a machine that gets no answers may run on until its lease expires.
         if machine.answers_are_lost() { limit.max(limits.lease) } else { limit }
     }
 
-    /// Whether a silent machine may be held to be dead.
-    fn is_suspect(&self, name: &str, machine: &Machine, limits: &SilenceLimits, is_placed: bool) -> bool {
+    /// Whether a silent machine may be taken for dead.
+    fn may_be_dead(&self, name: &str, machine: &Machine, limits: &SilenceLimits, is_placed: bool) -> bool {
         if !self.startup.fleet_known() || self.connectivity.is_unhearing(&self.process.member, self.now) {
             return false;
         }
-        if !machine.answers_are_lost() && self.peers_hear(name) {
+        if !machine.answers_are_lost() && self.any_controller_reaches(name) {
             return false;
         }
         if machine.heard_at.is_some() {
             return true;
         }
-        // Without places it was rented and may be booting: the leader waits for it.
+        // Without placements it was just provisioned and may be booting: the leader waits for it.
         is_placed
             && (!self.may_be_answered_by_previous_owner(name) || machine.lapsed(self.now, limits.lease, limits.cancel))
     }
 
-    fn explain_silence(&self, zone: &str, silence: &ShardSilence) -> SilenceCause {
-        if self.connectivity.is_cut_off(zone, self.now) {
-            return SilenceCause::Cut;
+    /// The most likely cause of the silence of a machine in the zone.
+    fn silence_cause(&self, zone: &str, liveness: &ShardLiveness) -> SilenceCause {
+        if self.connectivity.is_zone_cut_off(zone, self.now) {
+            return SilenceCause::Partition;
         }
-        diagnose_silence(silence.shard, silence.zones.get(zone).copied().unwrap_or_default(), silence.peers)
+        diagnose_silence(liveness.shard, liveness.zones.get(zone).copied().unwrap_or_default(), liveness.peers)
     }
 
-    /// Gives machines back, as many at once as is allowed.
-    fn release_due(&mut self, due: Vec<(String, ReleaseReason)>) {
+    /// Releases machines, as many at once as is allowed.
+    fn release_within_limits(&mut self, due: Vec<(String, ReleaseReason)>) {
         let mut names = Vec::new();
         for (name, reason) in due {
             if names.len() == RELEASE_LIMIT {
@@ -215,7 +227,7 @@
             if reason.is_limited() && !self.releases.try_acquire() {
                 continue;
             }
-            tracing::info!(machine = %name, reason = reason.name(), "machine_released");
+            tracing::info!(machine = %name, reason = reason.name(), "machine released");
             self.agents.set_releasing(&name, true);
             names.push(name);
         }
@@ -224,8 +236,9 @@
         }
     }
 
-    /// After how long silence this machine is given up; `limit` at least.
-    fn given_up_after(&self, name: &str, limit: Duration) -> Duration {
+    /// After how long a silence this machine is released, with regard to the time that its tasks
+    /// would need to pull their images elsewhere; at least `limit`.
+    fn silence_limit_with_image_pull(&self, name: &str, limit: Duration) -> Duration {
         let (Some(load), Some(machine)) = (self.state.loads.get(name), self.state.machines.get(name)) else {
             return limit;
         };
@@ -236,21 +249,23 @@
         self.secs(declared_lost_after_s(limit.as_secs_f64(), largest_gb / pull_gb_per_s, lease_s))
     }
 
-    fn peers_hear(&self, name: &str) -> bool {
+    /// Whether some controller recently got a heartbeat or a probe answer of a silent machine.
+    fn any_controller_reaches(&self, name: &str) -> bool {
         let limit = self.full_retry_round();
-        let answered_us = self.agents.probed_at(name).is_some_and(|at| self.now.saturating_sub(at) < limit);
-        answered_us || self.reported_newer_elsewhere(name, limit)
+        let answered_probe = self.agents.probed_at(name).is_some_and(|at| self.now.saturating_sub(at) < limit);
+        answered_probe || self.reported_newer_elsewhere(name, limit)
     }
 
-    /// Whether a peer heard it within `limit` say more than the last that came here.
+    /// Whether a peer received, within `limit`, a heartbeat of the machine that is newer than the
+    /// last one received here.
     pub(in crate::controller) fn reported_newer_elsewhere(&self, name: &str, limit: Duration) -> bool {
         let known = self.agents.machine(name).map_or((0, 0), |machine| machine.at);
-        self.connectivity.peers().hears(name, known, limit, self.now)
+        self.connectivity.peers().any_reaches(name, known, limit, self.now)
     }
 }
 
-/// How long the machine has been silent. One that hears nothing is as good as silent,
-/// though its heartbeats come.
+/// How long the machine has been silent. One that gets no answers counts as silent from the
+/// last answer that reached it, although its heartbeats arrive.
 fn silent_for(machine: &Machine, now: Instant) -> Duration {
     let last = if machine.answers_are_lost() { machine.reached_at } else { machine.heard_at };
     now.saturating_sub(last.unwrap_or(machine.owned_since))
--- a/src/controller/agents/tests.rs
+++ b/src/controller/agents/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the component's own state.
+//! Unit tests of `Agents`, without a controller around it.
 
 use super::*;
 
@@ -6,7 +6,7 @@
     Duration::from_secs(seconds)
 }
 
-fn with_machine(name: &str) -> Agents {
+fn agents_with_machine(name: &str) -> Agents {
     let mut agents = Agents::default();
     agents.machines.insert(name.to_string(), Machine::new(7, 1, 1, at(1)));
     agents
@@ -21,21 +21,21 @@
 }
 
 #[test]
-fn images_are_known_of_machines_of_any_shard() {
-    let mut agents = with_machine("host-1");
+fn images_are_known_for_machines_of_any_shard() {
+    let mut agents = agents_with_machine("host-1");
     let image = "image-1".to_string();
     agents.add_images("host-1", std::iter::once(&image));
     agents.add_images("host-2", std::iter::once(&image));
     for name in ["host-1", "host-2"] {
         assert!(agents.known_images(name).is_some_and(|images| images.contains(&image)), "{name}");
     }
-    assert!(agents.images_elsewhere("host-1").is_none(), "it is our own");
+    assert!(agents.images_elsewhere("host-1").is_none(), "it is in our own shard");
     assert!(agents.known_images("host-3").is_none());
 }
 
 #[test]
 fn a_preempted_task_gets_its_grace_period() {
-    let mut agents = with_machine("host-1");
+    let mut agents = agents_with_machine("host-1");
     let key = ("run-1".to_string(), 3, 2);
     agents.mark_preempted(Preemption::of_task("host-1", key.clone(), 30.0));
     agents.mark_preempted(Preemption::of_task("host-2", key.clone(), 30.0));
@@ -44,7 +44,7 @@
 
 #[test]
 fn only_our_own_machines_are_marked_as_unlisted() {
-    let mut agents = with_machine("host-1");
+    let mut agents = agents_with_machine("host-1");
     agents.mark_unlisted(&["host-1".to_string(), "host-2".to_string()]);
     assert!(agents.machine("host-1").expect("it is ours").unlisted);
     assert!(agents.machine("host-2").is_none());
--- a/src/controller/connectivity/mod.rs
+++ b/src/controller/connectivity/mod.rs
@@ -1,14 +1,16 @@
-//! Which controllers and machines reach each other: heartbeats between controllers, and
-//! from them which controllers do not hear their machines and which machines are cut off
-//! from their owner. Hints only; no rule rests on them, but for the confirmation that a
-//! replica is current, whose proof is in `connectivity::peer_table`.
+//! Which controllers and machines reach each other, as far as this controller knows.
+//!
+//! The controllers send each other heartbeats. From these follows which controllers are cut
+//! off from their machines, and which machines are cut off from their owner. Such diagnoses are
+//! hints, and no safety rule rests on them. The exception is the confirmation that a replica
+//! is current, which is proved in `connectivity::peer_table`.
 
 mod heartbeats;
 mod partitions;
 mod probes;
 
 use super::Controller;
-use crate::connectivity::partition_diagnosis::{Account, Deaf, Group};
+use crate::connectivity::partition_diagnosis::{CutOffControllers, LivenessCount, OwnerReachability};
 use crate::connectivity::peer_table::PeerTable;
 use crate::effects::Instant;
 use crate::protocol::peer::{Acknowledgement, PeerHeartbeat};
@@ -18,67 +20,70 @@
 /// Which controllers and machines reach each other, as far as is known here.
 #[derive(Debug)]
 pub(super) struct Connectivity {
-    /// The other controllers, by their heartbeats.
+    /// The last heartbeats of the other controllers.
     peers: PeerTable,
-    /// Heartbeats came since the last diagnosis.
-    changed: bool,
-    /// Controllers that do not hear their machines.
-    unhearing: Deaf,
-    /// Zones of which most of our machines were silent, until when they count as cut off.
-    cut_off_until: HashMap<String, Instant>,
-    /// Machines that came here though others own them, and when first.
+    /// Whether heartbeats were received since the last diagnosis.
+    received_since_diagnosis: bool,
+    /// Controllers that are cut off from their machines.
+    cut_off_controllers: CutOffControllers,
+    /// Zones in which most of our machines were silent, and until when they count as cut off.
+    zones_cut_off_until: HashMap<String, Instant>,
+    /// Machines that contacted this controller though others own them, and when they did first.
     misdirected: HashMap<String, Instant>,
-    /// The grant of each machine, as it became known here.
+    /// The owner of each machine, with the grant as it became known here.
     ownership: HashMap<String, Ownership>,
-    /// The state of the replica's machine records that `ownership` follows.
-    followed_records: Option<u64>,
+    /// The version of the replica's machine records that `ownership` reflects.
+    applied_records_version: Option<u64>,
     /// Machines that do not reach their owner, and since when that is known.
     unreached_since: HashMap<String, Instant>,
-    /// Heartbeats sent.
-    heartbeats: usize,
-    /// When the next heartbeat goes out.
+    /// Number of heartbeats sent.
+    heartbeats_sent: usize,
+    /// When the next heartbeat is due.
     next_heartbeat: Instant,
 }
 
-/// A machine's grant, as this process came to know it.
+/// The grant of a machine, as it became known to this process.
 #[derive(Debug)]
 struct Ownership {
     /// Revision of the grant.
-    grant: u64,
-    since: Instant,
+    granted_revision: u64,
+    /// When the grant became known here.
+    known_since: Instant,
+    /// The controller that owns the machine by this grant.
     owner: String,
+    /// The owner by the grant that was known before, if one was.
     previous_owner: Option<String>,
 }
 
 impl Connectivity {
-    /// Nothing is known of the other controllers yet.
+    /// The state before anything is known of the other controllers.
     pub(super) fn new(peers: PeerTable) -> Connectivity {
         Connectivity {
             peers,
-            changed: false,
-            unhearing: Deaf::default(),
-            cut_off_until: HashMap::new(),
+            received_since_diagnosis: false,
+            cut_off_controllers: CutOffControllers::default(),
+            zones_cut_off_until: HashMap::new(),
             misdirected: HashMap::new(),
             ownership: HashMap::new(),
-            followed_records: None,
+            applied_records_version: None,
             unreached_since: HashMap::new(),
-            heartbeats: 0,
+            heartbeats_sent: 0,
             next_heartbeat: Duration::ZERO,
         }
     }
 
-    /// The other controllers, by their heartbeats.
+    /// The last heartbeats of the other controllers.
     pub(super) fn peers(&self) -> &PeerTable {
         &self.peers
     }
 
-    /// Another controller's heartbeat came.
+    /// Records a heartbeat of another controller.
     pub(super) fn receive(&mut self, member: &str, heartbeat: &PeerHeartbeat, now: Instant) {
         self.peers.receive(member, heartbeat, now);
-        self.changed = true;
+        self.received_since_diagnosis = true;
     }
 
-    /// Whether a heartbeat is due now; the next one follows after `interval`.
+    /// Whether a heartbeat is due now; if so, the next one is due after `interval`.
     pub(super) fn begin_heartbeat(&mut self, now: Instant, interval: Duration) -> bool {
         let due = now >= self.next_heartbeat;
         if due {
@@ -87,44 +92,50 @@
         due
     }
 
-    /// The next heartbeat goes out at this time at the latest.
+    /// Makes the next heartbeat due at this time at the latest.
     pub(super) fn hasten_heartbeat(&mut self, by: Instant) {
         self.next_heartbeat = self.next_heartbeat.min(by);
     }
 
-    /// A heartbeat goes out: its number, and what it acknowledges.
+    /// Numbers a heartbeat that is sent now, and returns what it acknowledges.
     fn number_heartbeat(&mut self, now: Instant) -> (u64, Vec<Acknowledgement>) {
         self.peers.send(now)
     }
 
-    /// Whether the controller was found not to hear its machines.
+    /// Whether the controller counts as cut off from its machines.
     pub(super) fn is_unhearing(&self, member: &str, now: Instant) -> bool {
-        self.unhearing.is(member, now)
+        self.cut_off_controllers.contains(member, now)
     }
 
-    /// Controllers that were found not to hear their machines.
+    /// The controllers that count as cut off from their machines.
     pub(super) fn unhearing_members(&self, now: Instant) -> impl Iterator<Item = &str> {
-        self.unhearing.names(now)
+        self.cut_off_controllers.names(now)
     }
 
-    /// Takes in a diagnosis of a controller; whether it is news that it does not hear
-    /// its machines.
-    fn record_account(&mut self, member: &str, account: Account, now: Instant, pause: Duration) -> bool {
-        self.unhearing.note(member, account, now, pause)
+    /// Records the diagnosis of a controller, and returns whether it is newly cut off from its
+    /// machines.
+    fn record_reachability(
+        &mut self,
+        member: &str,
+        reachability: OwnerReachability,
+        now: Instant,
+        pause: Duration,
+    ) -> bool {
+        self.cut_off_controllers.record(member, reachability, now, pause)
     }
 
-    /// The zone counts as cut off until then.
-    pub(super) fn mark_cut_off(&mut self, zone: &str, until: Instant) {
-        self.cut_off_until.insert(zone.to_string(), until);
+    /// Lets the zone count as cut off until this time.
+    pub(super) fn mark_zone_cut_off(&mut self, zone: &str, until: Instant) {
+        self.zones_cut_off_until.insert(zone.to_string(), until);
     }
 
-    /// Whether most of our machines in the zone were silent of late.
-    pub(super) fn is_cut_off(&self, zone: &str, now: Instant) -> bool {
-        self.cut_off_until.get(zone).is_some_and(|until| *until > now)
+    /// Whether most of our machines in the zone were silent recently.
+    pub(super) fn is_zone_cut_off(&self, zone: &str, now: Instant) -> bool {
+        self.zones_cut_off_until.get(zone).is_some_and(|until| *until > now)
     }
 
-    /// A machine of another controller came here; whether that is news, given that it
-    /// is forgotten after `keep`.
+    /// Records that a machine of another controller contacted this one, and returns whether that
+    /// is news. It is forgotten after `keep`.
     fn record_misdirected(&mut self, machine: &str, now: Instant, keep: Duration) -> bool {
         if self.misdirected.get(machine).is_some_and(|at| now.saturating_sub(*at) < keep) {
             return false;
@@ -133,42 +144,42 @@
         true
     }
 
-    /// Whether there is anything new to diagnose; misdirected machines are forgotten
-    /// after `keep`.
+    /// Whether there is anything new to diagnose. Misdirected machines are forgotten after `keep`.
     fn begin_diagnosis(&mut self, now: Instant, keep: Duration) -> bool {
         self.misdirected.retain(|_, at| now.saturating_sub(*at) < keep);
-        std::mem::take(&mut self.changed) || !self.misdirected.is_empty()
+        std::mem::take(&mut self.received_since_diagnosis) || !self.misdirected.is_empty()
     }
 }
 
 impl Controller {
-    /// Whom an agent should go to while we may not act or should not: somebody
-    /// who reaches the store, if we do not.
+    /// The controller to which agents are redirected while this one may not act or should not: one
+    /// that removed us from the live controllers, or one that reaches the store if we do not.
     pub(super) fn better_connected_peer(&self) -> Option<String> {
         if self.fresh() {
             return None;
         }
         let peers = self.connectivity.peers();
-        let is_served = || peers.served(self.now, self.heartbeat_intervals(1.0)).filter(|_| !self.entitled());
-        peers.removed_by(self.now).or_else(is_served).map(Into::into)
+        let with_store_access =
+            || peers.find_with_store_access(self.now, self.heartbeat_intervals(1.0)).filter(|_| !self.entitled());
+        peers.find_that_removed_us(self.now).or_else(with_store_access).map(Into::into)
     }
 
-    /// How long an agent that can reach few of the controllers may take to come
-    /// round to one of them.
+    /// How long an agent that reaches only few of the controllers may take until it has tried
+    /// them all.
     pub(super) fn full_retry_round(&self) -> Duration {
         let round_s = super::agents::CONTROLLER_SWITCH_S * self.config.controllers() as f64;
         self.secs(round_s.min(self.config.settings.workers.lease_s)).max(self.heartbeat_intervals(3.0))
     }
 
-    /// The other live controllers, and how many of them are heard both ways.
-    pub(super) fn reachable_peers(&self) -> Group {
+    /// How many other controllers are live, and how many of them are connected in both directions.
+    pub(super) fn reachable_peers(&self) -> LivenessCount {
         let others = || self.state.members.keys().filter(|member| **member != self.process.member);
-        let is_heard = |member: &&String| self.connectivity.peers.both_ways(member, self.now);
-        Group { heard: others().filter(is_heard).count(), all: others().count() }
+        let is_connected = |member: &&String| self.connectivity.peers.is_connected(member, self.now);
+        LivenessCount { live: others().filter(is_connected).count(), total: others().count() }
     }
 
-    /// When this controller's replica was last known to be the newest there is: by
-    /// its own read of the store, or by the word of all others.
+    /// When this controller's replica was last known to be the newest: by its own read of the
+    /// store, or because all other controllers attested it.
     pub(super) fn surely_fresh_at(&self) -> Option<Instant> {
         let others = self.config.others.iter().map(|other| &other.member);
         let has_applied = |revocations: &_| self.has_applied(revocations);
--- a/src/controller/connectivity/tests.rs
+++ b/src/controller/connectivity/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the component's own state.
+//! Unit tests of `Connectivity`, without a controller around it.
 
 use super::*;
 
@@ -17,7 +17,7 @@
     assert!(!connectivity.begin_heartbeat(at(3), at(4)));
     connectivity.hasten_heartbeat(at(3));
     connectivity.hasten_heartbeat(at(9));
-    assert!(connectivity.begin_heartbeat(at(3), at(4)), "a later time does not put it off");
+    assert!(connectivity.begin_heartbeat(at(3), at(4)), "a later time does not delay it");
 }
 
 #[test]
@@ -38,16 +38,16 @@
 }
 
 #[test]
-fn a_zone_is_cut_off_until_its_time() {
+fn a_zone_counts_as_cut_off_until_the_given_time() {
     let mut connectivity = connectivity();
-    connectivity.mark_cut_off("north", at(5));
-    assert!(connectivity.is_cut_off("north", at(4)));
-    assert!(!connectivity.is_cut_off("north", at(5)));
-    assert!(!connectivity.is_cut_off("south", at(4)));
+    connectivity.mark_zone_cut_off("north", at(5));
+    assert!(connectivity.is_zone_cut_off("north", at(4)));
+    assert!(!connectivity.is_zone_cut_off("north", at(5)));
+    assert!(!connectivity.is_zone_cut_off("south", at(4)));
 }
 
 #[test]
-fn machines_keep_the_time_since_when_they_are_unreached() {
+fn machines_keep_the_time_at_which_they_became_unreached() {
     let mut connectivity = connectivity();
     connectivity.record_unreached(["host-1".to_string()].into_iter(), at(1));
     connectivity.record_unreached(["host-1", "host-2"].map(String::from).into_iter(), at(3));
