--- a/src/controller/autoscaler/mod.rs
+++ b/src/controller/autoscaler/mod.rs
@@ -1,5 +1,7 @@
-//! The autoscaler, run by the leader: rents machines for what is wanted beyond those
-//! that are there, and returns those that never came up or stood idle.
+//! The autoscaler, which runs on the leader. It rents machines for demand that the fleet
+//! cannot hold, and releases machines that never came up or have been idle for long.
+
+#![warn(missing_docs)]
 
 mod demand;
 mod free_cores;
@@ -12,79 +14,83 @@
 use demand::FleetDemand;
 use free_cores::FreeCoresHistory;
 
-/// The fleet is looked at this often while the machine list grows old.
-const FLEET_LAG_SHARE: f64 = 0.1;
+/// Longest interval between two checks of the fleet, in lags of the cloud's machine list.
+const CHECK_INTERVAL_LAGS: f64 = 0.1;
 
-/// Rentals, and what is remembered of the fleet between two looks at it.
+/// State of the autoscaler: rentals, and observations of the fleet kept between two checks.
 #[derive(Debug, Default)]
 pub(super) struct Autoscaler {
-    /// Machines that were rented and are not known to be up.
+    /// Rented machines that are not known to be up yet, by name.
     rented: BTreeMap<String, Rented>,
-    /// Machines that were rented while the cluster began, by us or as the leader reports.
+    /// Machines rented while the cluster was starting for the first time, either by this
+    /// controller or, as the leader reports, by the leader.
     newly_provisioned: BTreeSet<String>,
-    /// Rentals whose machines shall be recorded together.
+    /// Large rentals whose machines are still to be recorded, each rental as a whole.
     unrecorded: VecDeque<(Offer, Vec<String>)>,
-    /// Rental requests under way.
+    /// Number of rental requests that the cloud has not answered yet.
     requests_in_flight: u32,
-    /// Offers that the cloud had none of, and until when they are not asked for.
+    /// Offers of which the cloud had no machine left, and until when they are not requested again.
     unavailable: BTreeMap<Offer, Instant>,
     /// When each recorded machine was last known to be up.
-    up_at: HashMap<String, Instant>,
-    /// Recorded machines that nobody hears, and since when.
+    last_up_at: HashMap<String, Instant>,
+    /// Recorded machines that are not up, and since when this has been so.
     unseen_since: HashMap<String, Instant>,
+    /// Free cores of the fleet at each check.
     free_cores: FreeCoresHistory,
-    /// When array tasks last waited.
-    arrays_waited_at: Option<Instant>,
-    check_next: Instant,
+    /// When tasks of arrays or gangs were last seen waiting.
+    batch_waited_at: Option<Instant>,
+    /// When the next check of the fleet is due.
+    next_check_at: Instant,
 }
 
 impl Autoscaler {
-    /// Machines that were rented while the cluster began.
+    /// Machines rented while the cluster was starting for the first time.
     pub(super) fn newly_provisioned(&self) -> &BTreeSet<String> {
         &self.newly_provisioned
     }
 
-    /// These machines were rented while the cluster began.
+    /// Adds machines rented while the cluster is starting for the first time.
     pub(super) fn add_newly_provisioned(&mut self, machines: &[String]) {
         self.newly_provisioned.extend(machines.iter().cloned());
     }
 
-    /// The cluster has begun: what comes up from now on is recorded as rented anyway.
+    /// Forgets the newly provisioned machines once the cluster has started: a machine that
+    /// comes up from then on is recorded as rented anyway.
     pub(super) fn clear_newly_provisioned(&mut self) {
         self.newly_provisioned.clear();
     }
 
-    /// Whether machines of a large rental wait to be recorded.
+    /// Whether a large rental is still to be recorded.
     pub(super) fn has_unrecorded(&self) -> bool {
         !self.unrecorded.is_empty()
     }
 
-    /// The next large rental that is to be recorded.
+    /// Takes the next large rental to record from the queue.
     pub(super) fn pop_unrecorded(&mut self) -> Option<(Offer, Vec<String>)> {
         self.unrecorded.pop_front()
     }
 
-    /// A rented machine was returned.
+    /// Removes a machine that was released from the rentals.
     pub(super) fn forget_rental(&mut self, machine: &str) {
         self.rented.remove(machine);
     }
 
-    /// The cloud has no more machines of this offer until then.
+    /// Marks an offer as unavailable: no machine of it is requested before `until`.
     fn mark_unavailable(&mut self, offer: Offer, until: Instant) {
         self.unavailable.insert(offer, until);
     }
 }
 
 impl Controller {
-    /// Looks at the fleet: returns what never came up, rents what is wanted, and marks
-    /// idle machines for return.
+    /// Checks the fleet when this is due: releases machines that never came up, rents
+    /// machines for the demand that does not fit, and marks idle machines as draining.
     pub(super) fn scale_fleet(&mut self) {
         let now = self.now;
-        if now < self.autoscaler.check_next {
+        if now < self.autoscaler.next_check_at {
             return;
         }
-        let lag = self.secs(self.config.settings.cloud.list_lag_s * FLEET_LAG_SHARE);
-        self.autoscaler.check_next = now + self.heartbeat_intervals(0.25).min(lag);
+        let lag = self.secs(self.config.settings.cloud.list_lag_s * CHECK_INTERVAL_LAGS);
+        self.autoscaler.next_check_at = now + self.heartbeat_intervals(0.25).min(lag);
         self.read_machine_list();
         self.store_catalog();
         if !self.cloud.has_list() || self.cloud.catalog().is_empty() {
@@ -92,13 +98,13 @@
         }
         self.autoscaler.unavailable.retain(|_, until| *until > now);
         self.update_up_times();
-        // A machine is known to have failed only once every worker had the time to come.
+        // A machine counts as failed only once every worker has had time to report.
         if self.startup.all_came() {
-            self.return_failed_machines();
+            self.release_failed_machines();
         }
-        self.rent();
+        self.rent_machines();
         if self.startup.fleet_known() {
-            self.return_idle();
+            self.drain_idle_machines();
         }
     }
 }
--- a/src/controller/autoscaler/scale_in.rs
+++ b/src/controller/autoscaler/scale_in.rs
@@ -1,37 +1,42 @@
-//! Scaling in: machines that never came up, and those that stood idle for long.
+//! Scaling in: releases machines that never came up, and drains machines that have been
+//! idle for long.
+
+#![warn(missing_docs)]
 
 use super::*;
 use crate::placement::MachineCapacity;
 use crate::protocol::cloud::{Phase, RELEASE_LIMIT};
 use crate::protocol::store::{Condition, Op};
 use crate::protocol::user::JobKind;
-use crate::scaling::fits;
+use crate::scaling::all_fit;
 use records::MachineRecord;
 
-/// Tasks that waited this many boot times ago still count as waiting; the
-/// second holds while cost is saved.
-const WAITING_ARRAYS_BOOTS: [f64; 2] = [4.0, 1.0];
-/// Idle machines are kept this many times longer while objectives are missed.
-const OBJECTIVES_MISSED_KEEP: [f64; 2] = [20.0, 4.0];
+/// Tasks of arrays and gangs that waited up to this many boot times ago still count as
+/// waiting. The second value applies while cost is saved.
+const RECENT_WAIT_BOOTS: [f64; 2] = [4.0, 1.0];
+/// Idle machines are kept this many times longer while objectives are being missed. The
+/// second value applies while cost is saved.
+const MISSED_OBJECTIVES_KEEP_FACTOR: [f64; 2] = [20.0, 4.0];
 
-/// The least that stayed free, over the time for which idle machines are kept.
+/// The smallest number of free cores over the time for which idle machines are kept.
 #[derive(Debug)]
 struct LeastFreeCores {
-    /// For on-demand machines where cost is saved.
-    ordinary: f64,
-    /// For machines that are cheap beside what stands there.
+    /// For on-demand machines while cost is saved.
+    on_demand: f64,
+    /// For spot machines, and for all machines while rentals are cheap compared with the
+    /// base fleet.
     cheap: f64,
 }
 
-/// Machines that shall be returned.
+/// Idle machines chosen to be drained.
 #[derive(Debug, Default)]
 struct IdleMachines {
     machines: Vec<IdleMachine>,
-    /// Their names by machine group.
+    /// The names of the machines by machine group.
     groups: BTreeMap<String, Vec<String>>,
 }
 
-/// A machine that shall be returned, and what is free of it.
+/// An idle machine chosen to be drained, and its free cores.
 #[derive(Debug)]
 struct IdleMachine {
     name: String,
@@ -39,46 +44,51 @@
 }
 
 impl Controller {
-    pub(super) fn late_s(&self, machine_type: &str) -> f64 {
-        self.machine_type(machine_type).map_or(f64::MAX, |t| t.startup_s * self.config.operator.late_boots)
+    /// Seconds after its rental at which a machine of this type that is not up counts as
+    /// failed. Practically infinite for an unknown type.
+    pub(super) fn boot_limit_s(&self, machine_type: &str) -> f64 {
+        self.machine_type(machine_type)
+            .map_or(f64::MAX, |machine_type| machine_type.startup_s * self.config.operator.late_boots)
     }
 
-    /// Which machines are up, or were before they fell silent.
+    /// Records which machines are up now, and forgets those without a record.
     pub(super) fn update_up_times(&mut self) {
         let now = self.now;
-        let mut up_at = std::mem::take(&mut self.autoscaler.up_at);
-        up_at.retain(|name, _| self.state.machines.contains_key(name));
+        let mut last_up_at = std::mem::take(&mut self.autoscaler.last_up_at);
+        last_up_at.retain(|name, _| self.state.machines.contains_key(name));
         for name in self.state.machines.keys().filter(|name| self.is_up(name)) {
-            match up_at.get_mut(name) {
+            match last_up_at.get_mut(name) {
                 Some(at) => *at = now,
-                None => _ = up_at.insert(name.clone(), now),
+                None => _ = last_up_at.insert(name.clone(), now),
             }
         }
-        self.autoscaler.up_at = up_at;
+        self.autoscaler.last_up_at = last_up_at;
     }
 
-    /// Whether the machine was up before it fell silent, not long ago: it is not coming,
-    /// and its owner, which knows what fell silent with it, decides what becomes of it.
+    /// Whether the machine is up or was up recently, before it fell silent. A machine that
+    /// fell silent is not one that is still booting. Its owner decides what becomes of it,
+    /// since the owner knows which other machines fell silent at the same time.
     pub(super) fn fell_silent(&self, name: &str) -> bool {
-        let long = self.secs(self.config.settings.workers.lease_s * agents::CUT_OFF_LEASES);
+        let recent = self.secs(self.config.settings.workers.lease_s * agents::CUT_OFF_LEASES);
         let listed = !self.cloud.unlisted().contains(name);
-        listed && self.autoscaler.up_at.get(name).is_some_and(|t| self.now.saturating_sub(*t) < long)
+        listed && self.autoscaler.last_up_at.get(name).is_some_and(|at| self.now.saturating_sub(*at) < recent)
     }
 
-    /// Machines that failed, or were rented and never came up, are returned.
-    pub(super) fn return_failed_machines(&mut self) {
+    /// Releases machines that failed, and machines that were rented and never came up.
+    pub(super) fn release_failed_machines(&mut self) {
         let mut names = Vec::new();
-        // Recorded, but neither listed nor heard: it never comes up either.
+        // A recorded machine that stays silent for too long is not going to come up either,
+        // even if the cloud does not list it.
         let now = self.now;
-        let before = std::mem::take(&mut self.autoscaler.unseen_since);
-        let mut left = Vec::new();
+        let unseen_before = std::mem::take(&mut self.autoscaler.unseen_since);
+        let mut already_released = Vec::new();
         let mut unseen = HashMap::new();
-        for (name, h) in self.state.machines.iter().filter(|(name, _)| !self.is_up(name)) {
-            let since = before.get(name).copied().unwrap_or(now);
+        for (name, machine) in self.state.machines.iter().filter(|(name, _)| !self.is_up(name)) {
+            let since = unseen_before.get(name).copied().unwrap_or(now);
             unseen.insert(name.clone(), since);
             if self.releases.is_released(name) {
-                left.push(name.clone());
-            } else if now.saturating_sub(since).as_secs_f64() > self.late_s(&h.rec.machine_type)
+                already_released.push(name.clone());
+            } else if now.saturating_sub(since).as_secs_f64() > self.boot_limit_s(&machine.rec.machine_type)
                 && !self.releases.is_released_or_in_flight(name)
                 && !self.fell_silent(name)
             {
@@ -86,28 +96,29 @@
             }
         }
         self.autoscaler.unseen_since = unseen;
-        self.forget_machines(left);
-        for (name, l) in self.cloud.machines() {
-            let known = self.is_up(name) || names.contains(name) || self.fell_silent(name);
-            let late = l.phase != Phase::Failed && l.rented_s > self.late_s(&l.machine_type);
-            if !known && (late || l.phase == Phase::Failed) && !self.releases.is_released_or_in_flight(name) {
+        self.forget_machines(already_released);
+        for (name, listed) in self.cloud.machines() {
+            let excluded = self.is_up(name) || names.contains(name) || self.fell_silent(name);
+            let late = listed.phase != Phase::Failed && listed.rented_s > self.boot_limit_s(&listed.machine_type);
+            if !excluded && (late || listed.phase == Phase::Failed) && !self.releases.is_released_or_in_flight(name) {
                 names.push(name.clone());
             }
         }
         names.truncate(RELEASE_LIMIT);
         if !names.is_empty() && self.may_call_cloud(Retry::Release) {
-            tracing::info!(machines = names.len(), reason = "never came up", "machines are returned");
+            tracing::info!(machines = names.len(), reason = "never came up", "machine release requested");
             self.release(names);
         }
     }
 
-    /// Marks machines for return once their room, or as much, stayed free for
-    /// long: they take nothing new and go when they are empty. The time is the
-    /// boot time, at which keeping a machine has cost as much as renting again.
-    /// While objectives are missed cheap ones are kept for longer.
-    pub(super) fn return_idle(&mut self) {
+    /// Drains machines once at least as many cores as theirs have been free for long. A
+    /// draining machine takes no new tasks and is released when it is empty. The time follows
+    /// from what replacing the machine would take, since keeping it for a boot time costs as
+    /// much as renting it again. Cheap machines are kept for longer while objectives are being
+    /// missed.
+    pub(super) fn drain_idle_machines(&mut self) {
         let with_owners = self.capacities(true);
-        let capacities: Vec<MachineCapacity> = with_owners.into_iter().map(|(_, r)| r).collect();
+        let capacities: Vec<MachineCapacity> = with_owners.into_iter().map(|(_, capacity)| capacity).collect();
         let saves_cost = self.saves_cost(&capacities);
         let least_free = self.update_free_cores(&capacities, saves_cost);
         let removable = self.removable_machines(&capacities, &least_free, saves_cost);
@@ -116,52 +127,55 @@
             return;
         }
         for (group, names) in &chosen.groups {
-            if self.mark_drain(group, names, true) {
+            if self.set_drain(group, names, true) {
                 let in_group = chosen.machines.iter().filter(|machine| names.contains(&machine.name));
                 self.autoscaler.free_cores.remove_cores(in_group.map(|machine| machine.free_cores).sum());
             }
         }
     }
 
-    /// Records how many cores are free; the least that stayed free of late.
+    /// Records how many cores are free now, and returns the smallest numbers of free cores
+    /// over the times for which idle machines are kept.
     fn update_free_cores(&mut self, capacities: &[MachineCapacity], saves_cost: bool) -> LeastFreeCores {
         let now = self.now;
-        if self.state.jobs.values().any(|j| j.waiting_count() > 0 && j.spec.kind != JobKind::Service) {
-            self.autoscaler.arrays_waited_at = Some(now);
+        if self.state.jobs.values().any(|job| job.waiting_count() > 0 && job.spec.kind != JobKind::Service) {
+            self.autoscaler.batch_waited_at = Some(now);
         }
-        let free_cores = capacities.iter().map(|r| r.free_cores()).sum();
+        let free_cores = capacities.iter().map(|capacity| capacity.free_cores()).sum();
         self.autoscaler.free_cores.record(now, free_cores);
-        let ordinary = self.idle_window(1.0);
-        let cheap = self.idle_window(self.keep_cheap_times(saves_cost));
-        let longest = self.idle_window(OBJECTIVES_MISSED_KEEP[0]);
+        let on_demand = self.idle_window(1.0);
+        let cheap = self.idle_window(self.cheap_keep_factor(saves_cost));
+        let longest = self.idle_window(MISSED_OBJECTIVES_KEEP_FACTOR[0]);
         self.autoscaler.free_cores.drop_older_than(now, longest);
         let tolerance = self.heartbeat_intervals(1.0);
         let least = |window| self.autoscaler.free_cores.least_over(now, window, tolerance);
-        LeastFreeCores { ordinary: least(ordinary), cheap: least(cheap) }
+        LeastFreeCores { on_demand: least(on_demand), cheap: least(cheap) }
     }
 
-    /// How many times longer cheap machines are kept. Missed objectives are a reason to
-    /// keep machines only where tasks waited of late.
-    fn keep_cheap_times(&self, saves_cost: bool) -> f64 {
+    /// How many times longer than others cheap machines are kept. Missed objectives are a
+    /// reason to keep machines only if tasks of arrays or gangs have waited recently.
+    fn cheap_keep_factor(&self, saves_cost: bool) -> f64 {
         let policy = usize::from(saves_cost);
-        let recent = self.secs(self.cloud.longest_startup_s() * WAITING_ARRAYS_BOOTS[policy]);
-        let arrays_waited = self.autoscaler.arrays_waited_at.is_some_and(|t| self.now.saturating_sub(t) < recent);
-        let missed = arrays_waited && self.service_levels.objectives.behind();
-        if missed { OBJECTIVES_MISSED_KEEP[policy] } else { 1.0 }
+        let recent = self.secs(self.cloud.longest_startup_s() * RECENT_WAIT_BOOTS[policy]);
+        let batch_waited = self.autoscaler.batch_waited_at.is_some_and(|at| self.now.saturating_sub(at) < recent);
+        let missed = batch_waited && self.service_levels.objectives.behind();
+        if missed { MISSED_OBJECTIVES_KEEP_FACTOR[policy] } else { 1.0 }
     }
 
-    /// How long room stays free before its machine is returned. Whatever replaces a
-    /// machine has to wait for a boot and an image.
-    fn idle_window(&self, times: f64) -> Duration {
+    /// How long capacity has to be free before its machine is drained: `factor` times the
+    /// setting `idle_boots` times what a replacement would take, which is the boot of a
+    /// machine and the fetch of an image.
+    fn idle_window(&self, factor: f64) -> Duration {
         let pull_gb_per_s = self.cloud.fastest_pull_gb_per_s();
-        let image_s = self.state.jobs.values().map(|j| j.spec.image_gb / pull_gb_per_s);
+        let image_s = self.state.jobs.values().map(|job| job.spec.image_gb / pull_gb_per_s);
         let mean_image_s = image_s.sum::<f64>() / (self.state.jobs.len() as f64).max(1.0);
         let replacement_s = self.cloud.longest_startup_s() + mean_image_s;
-        self.secs(replacement_s * self.config.operator.idle_boots * times)
+        self.secs(replacement_s * self.config.operator.idle_boots * factor)
     }
 
-    /// Machines that may be returned, in the order in which they are: services are not
-    /// moved for this; of the rest, the dearer kind goes first, and then the least used.
+    /// Machines that may be drained, in the order in which they are chosen. Machines with
+    /// services are left out, since services are not moved for this. On-demand machines,
+    /// which cost more, come before spot machines, and less used machines before others.
     fn removable_machines<'a>(
         &self,
         capacities: &'a [MachineCapacity],
@@ -173,19 +187,22 @@
             |machine: &MachineRecord| self.transactions.is_locked(&records::machine_group_key(&machine.group));
         let mut removable: Vec<&MachineCapacity> = capacities
             .iter()
-            .filter(|r| r.total_cores <= if r.spot || !saves_cost { least_free.cheap } else { least_free.ordinary })
-            .filter(|r| !has_services(&r.machine))
-            .filter(|r| self.state.machines.get(&r.machine).is_some_and(|h| !h.rec.base && !group_locked(&h.rec)))
+            .filter(|c| c.total_cores <= if c.spot || !saves_cost { least_free.cheap } else { least_free.on_demand })
+            .filter(|c| !has_services(&c.machine))
+            .filter(|c| {
+                let machine = self.state.machines.get(&c.machine);
+                machine.is_some_and(|machine| !machine.rec.base && !group_locked(&machine.rec))
+            })
             .collect();
         removable.sort_by(|a, b| {
-            let used = |r: &MachineCapacity| r.total_cores - r.free_cores();
+            let used = |c: &MachineCapacity| c.total_cores - c.free_cores();
             a.spot.cmp(&b.spot).then(used(a).total_cmp(&used(b))).then_with(|| b.machine.cmp(&a.machine))
         });
         removable
     }
 
-    /// As many of the machines as were free all the time, and as many groups as may be
-    /// written now.
+    /// Chooses machines to drain: no more cores than have been free all the time, and no
+    /// more machine groups than there are writes to spare for now.
     fn choose_idle(
         &self,
         removable: &[&MachineCapacity],
@@ -193,19 +210,19 @@
         saves_cost: bool,
     ) -> IdleMachines {
         let spare_writes = self.transactions.unspent_writes(self.now) - self.transactions.write_rate() * SPARE_WRITES;
-        let most_groups = if self.may_write(0.0) { spare_writes.max(0.0) as usize } else { 0 };
-        // Machines beside a standing fleet go one by one: room that several
-        // free at once may be wanted again before new ones are up.
-        let most_machines = if saves_cost { usize::MAX } else { 1 };
-        let mut cores_left = least_free.ordinary.max(least_free.cheap);
+        let max_groups = if self.may_write(0.0) { spare_writes.max(0.0) as usize } else { 0 };
+        // Unless cost is saved, machines are drained one at a time: the capacity of several
+        // might be needed again before replacements are up.
+        let max_machines = if saves_cost { usize::MAX } else { 1 };
+        let mut cores_left = least_free.on_demand.max(least_free.cheap);
         let mut chosen = IdleMachines::default();
         for capacity in removable {
-            if chosen.machines.len() >= most_machines {
+            if chosen.machines.len() >= max_machines {
                 break;
             }
             let Some(machine) = self.state.machines.get(&capacity.machine) else { continue };
             let group = &machine.rec.group;
-            let over_groups = chosen.groups.len() >= most_groups && !chosen.groups.contains_key(group);
+            let over_groups = chosen.groups.len() >= max_groups && !chosen.groups.contains_key(group);
             if capacity.total_cores > cores_left || over_groups {
                 continue;
             }
@@ -217,43 +234,47 @@
         chosen
     }
 
-    /// Whether all demand fits without these machines, and nothing would be rented in
-    /// their place.
+    /// Whether all demand fits in the fleet without these machines, so that nothing would
+    /// be rented in their place.
     fn demand_fits_without(&self, chosen: &IdleMachines, capacities: &[MachineCapacity]) -> bool {
         let demand = self.demand(capacities);
         let leaving: BTreeSet<&str> = chosen.machines.iter().map(|machine| machine.name.as_str()).collect();
-        let stays = |r: &MachineCapacity| !leaving.contains(r.machine.as_str());
-        let lasting = self.capacities_counting(true, Counted::Lasting).into_iter().map(|(_, r)| r);
+        let stays = |capacity: &MachineCapacity| !leaving.contains(capacity.machine.as_str());
+        let lasting = self.capacities_counting(true, Counted::Lasting).into_iter().map(|(_, c)| c);
         let mut for_services: Vec<MachineCapacity> = lasting.filter(stays).collect();
-        let mut for_arrays: Vec<MachineCapacity> = capacities.iter().filter(|r| stays(r)).cloned().collect();
-        fits(&demand.services, &mut for_services) && fits(&demand.arrays, &mut for_arrays)
+        let mut for_others: Vec<MachineCapacity> = capacities.iter().filter(|c| stays(c)).cloned().collect();
+        all_fit(&demand.services, &mut for_services) && all_fit(&demand.others, &mut for_others)
     }
 
-    /// Marks machines of one machine group.
-    pub(super) fn mark_drain(&mut self, group: &str, names: &[String], drain: bool) -> bool {
-        let Some((conditions, op)) = self.marked_group(group, names, drain) else { return false };
-        tracing::debug!(machines = ?names, drain, "machines marked");
+    /// Sets or clears the drain mark of machines of one machine group. False if the group's
+    /// record cannot be written now.
+    pub(super) fn set_drain(&mut self, group: &str, names: &[String], drain: bool) -> bool {
+        let Some((conditions, op)) = self.drain_change(group, names, drain) else { return false };
+        tracing::debug!(machines = ?names, drain, "drain marks changed");
         let mut txn = Txn { conditions: vec![self.leader_condition()], ops: vec![op] };
         txn.conditions.extend(conditions);
         self.txn_keyed(txn, Why::Mark);
         true
     }
 
-    /// The change that marks machines of one machine group; none while another is under way.
-    pub(in crate::controller) fn marked_group(
+    /// The write that sets or clears the drain mark of machines of one machine group, with
+    /// its conditions. None if the group has no record, or while another write of its record
+    /// is in flight.
+    pub(in crate::controller) fn drain_change(
         &self,
         group: &str,
         names: &[String],
         drain: bool,
     ) -> Option<([Condition; 2], Op)> {
         let key = records::machine_group_key(group);
-        let p = self.state.machine_groups.get(group).filter(|_| !self.transactions.is_locked(&key))?;
-        let mut rec = self.state.with_current_grant(p);
-        rec.drain.retain(|m| !names.contains(m));
+        let stored = self.state.machine_groups.get(group).filter(|_| !self.transactions.is_locked(&key))?;
+        let mut rec = self.state.with_current_grant(stored);
+        rec.drain.retain(|name| !names.contains(name));
         if drain {
             rec.drain.extend_from_slice(names);
         }
-        let conditions = [Condition { key: key.clone(), version: p.version }, self.shard_condition_of(&p.rec.owner)];
+        let conditions =
+            [Condition { key: key.clone(), version: stored.version }, self.shard_condition_of(&stored.rec.owner)];
         Some((conditions, Op::Put { key, data: records::to_value(&rec), lease: None }))
     }
 }
--- a/src/controller/autoscaler/scale_out.rs
+++ b/src/controller/autoscaler/scale_out.rs
@@ -1,51 +1,56 @@
-//! Scaling out: what is wanted beyond the machines that are there, and its rentals.
+//! Scaling out: rents machines for the demand that does not fit in the machines that are
+//! up or expected.
+
+#![warn(missing_docs)]
 
 use super::*;
 use crate::placement::MachineCapacity;
 use crate::protocol::cloud::{Phase, RENT, RENT_LIMIT, RentRequest, RentResponse};
 use crate::protocol::{decode, encode};
-use crate::scaling::{Offer, Rental, take_up, wanted_rentals};
+use crate::scaling::{Offer, Rental, plan_rentals, reserve_for_waiting};
 use records::MachineGroupRecord;
 
-/// A rental is waited for during so many heartbeat intervals.
+/// Timeout of a rental request, in heartbeat intervals.
 const RENT_TIMEOUT_INTERVALS: f64 = 2.0;
 
 impl Controller {
-    /// Free room that is there or on its way.
+    /// Free capacity of all machines that are up, booting or just rented, spot machines first.
     pub(in crate::controller) fn expected_capacities(&self, counted: Counted) -> Vec<MachineCapacity> {
         let mut capacities: Vec<MachineCapacity> =
-            self.capacities_counting(true, counted).into_iter().map(|(_, r)| r).collect();
-        let coming = |name: &str| !self.is_up(name) && !self.releases.is_released(name) && !self.fell_silent(name);
-        for (name, l) in self.cloud.machines() {
-            if matches!(l.phase, Phase::Booting | Phase::Running)
-                && coming(name)
-                && let Some(t) = self.machine_type(&l.machine_type)
+            self.capacities_counting(true, counted).into_iter().map(|(_, capacity)| capacity).collect();
+        let expected = |name: &str| !self.is_up(name) && !self.releases.is_released(name) && !self.fell_silent(name);
+        for (name, listed) in self.cloud.machines() {
+            if matches!(listed.phase, Phase::Booting | Phase::Running)
+                && expected(name)
+                && let Some(machine_type) = self.machine_type(&listed.machine_type)
             {
-                capacities.push(MachineCapacity::empty(name, t, &l.zone, l.spot));
+                capacities.push(MachineCapacity::empty(name, machine_type, &listed.zone, listed.spot));
             }
         }
-        for (name, r) in &self.autoscaler.rented {
-            let newly_rented = self.now.saturating_sub(r.at) < self.secs(self.late_s(&r.offer.machine_type).min(1e6));
+        for (name, rented) in &self.autoscaler.rented {
+            let boot_limit = self.secs(self.boot_limit_s(&rented.offer.machine_type).min(1e6));
+            let newly_rented = self.now.saturating_sub(rented.at) < boot_limit;
             if newly_rented
-                && coming(name)
+                && expected(name)
                 && !self.cloud.machines().contains_key(name)
-                && let Some(t) = self.machine_type(&r.offer.machine_type)
+                && let Some(machine_type) = self.machine_type(&rented.offer.machine_type)
             {
-                capacities.push(MachineCapacity::empty(name, t, &r.offer.zone, r.offer.spot));
+                let Offer { zone, spot, .. } = &rented.offer;
+                capacities.push(MachineCapacity::empty(name, machine_type, zone, *spot));
             }
         }
-        // What may use spot machines counts on those first.
-        capacities.sort_by_key(|r| !r.spot);
+        // Tasks that may use spot machines are assigned to those first.
+        capacities.sort_by_key(|capacity| !capacity.spot);
         capacities
     }
 
-    /// Rents machines for what does not fit in those that are there or on their way.
-    pub(super) fn rent(&mut self) {
+    /// Rents machines for the demand that does not fit in the expected capacity.
+    pub(super) fn rent_machines(&mut self) {
         if self.autoscaler.requests_in_flight > 0 || !self.may_call_cloud(Retry::Rent) {
             return;
         }
         for mut rental in self.wanted_rentals().into_iter().flat_map(split_into_requests) {
-            rental.number -= self.keep_draining(&rental);
+            rental.number -= self.cancel_drains(&rental);
             if rental.number == 0 {
                 continue;
             }
@@ -56,31 +61,32 @@
         }
     }
 
-    /// Rentals for all demand, as many as the cloud's rate limit allows.
+    /// Rentals for all demand, up to what the cloud's rate limit allows now.
     fn wanted_rentals(&self) -> Vec<Rental> {
         let unavailable: BTreeSet<Offer> = self.autoscaler.unavailable.keys().cloned().collect();
-        let mut for_arrays = self.expected_capacities(Counted::All);
-        let FleetDemand { services, arrays } = self.demand(&for_arrays);
-        let most = RENT_LIMIT * (self.cloud.available_requests(self.now) as u32).max(1);
+        let mut for_others = self.expected_capacities(Counted::All);
+        let FleetDemand { services, others } = self.demand(&for_others);
+        let max_machines = RENT_LIMIT * (self.cloud.available_requests(self.now) as u32).max(1);
         let for_services = self.expected_capacities(Counted::Lasting);
         let types = self.cloud.catalog();
-        let mut rentals = wanted_rentals(&services, for_services, types, &unavailable, most);
-        // What stands free for arrays is not known before the fleet is.
-        let arrays = if self.startup.fleet_known() { arrays } else { Vec::new() };
-        let left = most - rentals.iter().map(|r| r.number).sum::<u32>().min(most);
-        take_up(&services, &mut for_arrays);
-        rentals.extend(wanted_rentals(&arrays, for_arrays, types, &unavailable, left));
+        let mut rentals = plan_rentals(&services, for_services, types, &unavailable, max_machines);
+        // The free capacity for other jobs is known only once the fleet is.
+        let others = if self.startup.fleet_known() { others } else { Vec::new() };
+        let planned = rentals.iter().map(|rental| rental.number).sum::<u32>();
+        let machines_left = max_machines - planned.min(max_machines);
+        reserve_for_waiting(&services, &mut for_others);
+        rentals.extend(plan_rentals(&others, for_others, types, &unavailable, machines_left));
         rentals
     }
 
-    /// Machines that are being drained are the quickest to have: takes back the mark of as
-    /// many as are wanted. How many there were.
-    fn keep_draining(&mut self, rental: &Rental) -> u32 {
+    /// Cancels the drain of as many machines of the rental's offer as are wanted, since this
+    /// is quicker than renting new ones. Returns for how many this was possible.
+    fn cancel_drains(&mut self, rental: &Rental) -> u32 {
         let mut kept = 0;
         while kept < rental.number && self.may_write(1.0) {
-            let Some((group, mut names)) = self.draining(&rental.offer) else { break };
+            let Some((group, mut names)) = self.draining_machines(&rental.offer) else { break };
             names.truncate((rental.number - kept) as usize);
-            if !self.mark_drain(&group, &names, false) {
+            if !self.set_drain(&group, &names, false) {
                 break;
             }
             kept += names.len() as u32;
@@ -88,6 +94,7 @@
         kept
     }
 
+    /// Sends a rental request to the cloud.
     fn request_rental(&mut self, rental: Rental) {
         self.cloud.charge_request(self.now);
         self.autoscaler.requests_in_flight += 1;
@@ -104,27 +111,34 @@
         self.call(Target::Cloud, "POST", RENT.into(), Some(body), timeout, purpose);
     }
 
-    /// Machines of a kind, in one machine group, that are being drained and not released yet.
-    fn draining(&self, offer: &Offer) -> Option<(String, Vec<String>)> {
-        let campaign = |m: &String| self.state.maintenance.as_ref().is_some_and(|u| u.rec.wave.contains(m));
-        let same = |p: &MachineGroupRecord| {
-            p.machine_type == offer.machine_type && p.zone == offer.zone && p.spot == offer.spot
+    /// A machine group with draining machines of the offer that are not released yet, and
+    /// these machines. Machines of a campaign's wave are left out.
+    fn draining_machines(&self, offer: &Offer) -> Option<(String, Vec<String>)> {
+        let in_campaign =
+            |name: &String| self.state.maintenance.as_ref().is_some_and(|stored| stored.rec.wave.contains(name));
+        let same_offer = |group: &MachineGroupRecord| {
+            group.machine_type == offer.machine_type && group.zone == offer.zone && group.spot == offer.spot
         };
-        let mut machine_groups = self
-            .state
-            .machine_groups
-            .iter()
-            .filter(|(_, p)| !p.rec.drain.is_empty() && same(&p.rec) && self.state.held(p));
-        machine_groups.find_map(|(group, p)| {
+        let mut machine_groups =
+            self.state.machine_groups.iter().filter(|(_, stored)| {
+                !stored.rec.drain.is_empty() && same_offer(&stored.rec) && self.state.held(stored)
+            });
+        machine_groups.find_map(|(group, stored)| {
+            let draining = stored.rec.drain.iter();
             let kept: Vec<String> =
-                p.rec.drain.iter().filter(|m| self.state.placed.contains_key(*m) && !campaign(m)).cloned().collect();
-            let free = !self.transactions.is_locked(&records::machine_group_key(group));
-            (free && !kept.is_empty()).then(|| (group.clone(), kept))
+                draining.filter(|name| self.state.placed.contains_key(*name) && !in_campaign(name)).cloned().collect();
+            let unlocked = !self.transactions.is_locked(&records::machine_group_key(group));
+            (unlocked && !kept.is_empty()).then(|| (group.clone(), kept))
         })
     }
 
-    /// The cloud's answer to a rental.
-    pub(in crate::controller) fn rent_answer(&mut self, offer: Offer, number: u32, result: Result<Reply, NoAnswer>) {
+    /// Handles the cloud's answer to a rental request, or the lack of one.
+    pub(in crate::controller) fn handle_rent_answer(
+        &mut self,
+        offer: Offer,
+        number: u32,
+        result: Result<Reply, NoAnswer>,
+    ) {
         self.autoscaler.requests_in_flight = self.autoscaler.requests_in_flight.saturating_sub(1);
         let Ok(reply) = result else { return };
         let unavailable_until = self.now + self.secs(self.config.settings.workers.lease_s);
@@ -132,7 +146,7 @@
             200 => {
                 let names = decode::<RentResponse>(&reply.body).map(|body| body.machines).unwrap_or_default();
                 if (names.len() as u32) < number {
-                    // Filled in part: there are no more for now.
+                    // The request was filled only in part: the cloud has no more for now.
                     self.autoscaler.mark_unavailable(offer.clone(), unavailable_until);
                 }
                 self.add_rented(offer, names);
@@ -142,6 +156,7 @@
         }
     }
 
+    /// Adds machines that the cloud has rented out to this controller.
     fn add_rented(&mut self, offer: Offer, names: Vec<String>) {
         tracing::info!(machine_type = %offer.machine_type, zone = %offer.zone, spot = offer.spot, machines = names.len(), "machines rented");
         if names.len() as f64 >= self.transactions.write_rate() * GROUP_FROM {
@@ -149,7 +164,7 @@
             self.enrol_rentals();
         }
         if self.beginning() {
-            // The others hear of it before one of them is up.
+            // The other controllers have to know of these machines before one of them is up.
             self.update_newly_provisioned(&names);
             self.connectivity.hasten_heartbeat(self.now);
         }
@@ -158,21 +173,22 @@
         }
     }
 
-    /// A later list may be an older one, so a rental is remembered until its machine
-    /// reports or is given up.
-    pub(in crate::controller) fn forget_rentals_that_came_up(&mut self) {
+    /// Forgets the rentals whose machines are up or have exceeded their boot limit. A rental
+    /// is not forgotten when the cloud lists its machine, because a list that is read later
+    /// may show an older state.
+    pub(in crate::controller) fn forget_finished_rentals(&mut self) {
         let mut rented = std::mem::take(&mut self.autoscaler.rented);
         rented.retain(|name, rental| {
             let age_s = self.now.saturating_sub(rental.at).as_secs_f64();
-            !self.is_up(name) && age_s < self.late_s(&rental.offer.machine_type)
+            !self.is_up(name) && age_s < self.boot_limit_s(&rental.offer.machine_type)
         });
         self.autoscaler.rented = rented;
     }
 }
 
-/// One request asks for so many machines at most.
+/// Splits a rental into requests of at most `RENT_LIMIT` machines each.
 fn split_into_requests(rental: Rental) -> impl Iterator<Item = Rental> {
     let requests = rental.number.div_ceil(RENT_LIMIT);
     let number = rental.number;
-    (0..requests).map(move |i| Rental { number: (number - i * RENT_LIMIT).min(RENT_LIMIT), ..rental.clone() })
+    (0..requests).map(move |index| Rental { number: (number - index * RENT_LIMIT).min(RENT_LIMIT), ..rental.clone() })
 }
--- a/src/controller/capacity.rs
+++ b/src/controller/capacity.rs
@@ -1,4 +1,6 @@
-//! Free capacity on this controller's machines and on those of the others.
+//! Free capacity of this controller's machines and of the other controllers' machines.
+
+#![warn(missing_docs)]
 
 use super::Controller;
 use crate::coordination::machine::Machine;
@@ -9,22 +11,23 @@
 use crate::state::records::{MachineRecord, Versioned};
 use crate::state::{Images, MachineLoad};
 
-/// Which of the tasks placed on a machine take up its capacity.
+/// Which of the tasks placed on a machine count as using its capacity.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Counted {
+    /// All tasks.
     All,
-    /// Not arrays: those make room for services that must start soon.
+    /// All tasks but those of arrays, which are preempted for services with a start objective.
     Lasting,
 }
 
-/// Of an image that should have come, this part is taken to be still missing:
-/// rates vary by a third.
+/// Share of an image that counts as still to be fetched even if the fetch should be complete
+/// by now, since fetch rates vary by a third.
 const MIN_MISSING_SHARE: f64 = 0.2;
-/// An agent that was silent for longer gets no tasks, in heartbeat intervals.
-const SILENCE_LIMIT: f64 = 2.5;
+/// An agent that has been silent for this many heartbeat intervals gets no tasks.
+const SILENCE_LIMIT_INTERVALS: f64 = 2.5;
 
-/// Which tasks count when capacity for the job is sought: a service goes where its image
-/// is, even if arrays must make room there.
+/// Which tasks count when capacity for the job is sought. A service with a start objective
+/// is placed where its image is, even if arrays have to be preempted there.
 pub(super) fn counted_for(spec: &JobSpec, objectives: &Objectives) -> Counted {
     let starts_soon = spec.kind == JobKind::Service && objectives.start_within(spec).is_some();
     if starts_soon { Counted::Lasting } else { Counted::All }
@@ -36,15 +39,16 @@
         self.capacities(false).into_iter().map(|(_, capacity)| capacity).collect()
     }
 
-    /// Free capacity, with its owner, of this controller's machines or of everyone's.
-    pub(super) fn capacities(&self, everyone: bool) -> Vec<(String, MachineCapacity)> {
-        self.capacities_counting(everyone, Counted::All)
+    /// Free capacity, with its owner, of this controller's machines or of the machines of all
+    /// controllers.
+    pub(super) fn capacities(&self, all_owners: bool) -> Vec<(String, MachineCapacity)> {
+        self.capacities_counting(all_owners, Counted::All)
     }
 
-    /// The same, counting only some of the tasks.
-    pub(super) fn capacities_counting(&self, everyone: bool, counted: Counted) -> Vec<(String, MachineCapacity)> {
+    /// Free capacity as from [`Self::capacities`], where only the `counted` tasks use capacity.
+    pub(super) fn capacities_counting(&self, all_owners: bool, counted: Counted) -> Vec<(String, MachineCapacity)> {
         let with_owner = |(name, machine): (&String, &Versioned<MachineRecord>)| {
-            let capacity = self.capacity_of(name, machine, everyone, counted)?;
+            let capacity = self.capacity_of(name, machine, all_owners, counted)?;
             Some((machine.rec.owner.clone(), capacity))
         };
         self.state.machines.iter().filter_map(with_owner).collect()
@@ -55,18 +59,18 @@
         counted_for(spec, &self.service_levels.objectives)
     }
 
-    /// The machine's free capacity, if it may take tasks.
+    /// The machine's free capacity; none if it may not take tasks.
     fn capacity_of(
         &self,
         name: &str,
         machine: &Versioned<MachineRecord>,
-        everyone: bool,
+        all_owners: bool,
         counted: Counted,
     ) -> Option<MachineCapacity> {
         let record = &machine.rec;
         let is_own = self.owns(machine);
         let machine_type = self.machine_type(&record.machine_type)?;
-        if record.drain || !is_own && !everyone || !self.state.owned(record) || !self.is_up(name) {
+        if record.drain || !is_own && !all_owners || !self.state.owned(record) || !self.is_up(name) {
             return None;
         }
         let mut capacity = MachineCapacity::empty(name, machine_type, &record.zone, record.spot);
@@ -78,7 +82,7 @@
             return Some(capacity);
         }
         let agent = self.agents.machine(name)?;
-        if !self.may_take_tasks(agent, everyone) {
+        if !self.may_take_tasks(agent, all_owners) {
             return None;
         }
         self.subtract_unplaced_tasks(&mut capacity, agent);
@@ -91,32 +95,35 @@
         Some(capacity)
     }
 
-    /// Whether an agent of ours may get tasks. One that has just joined cannot take any
-    /// yet, but it is there: not counted among everyone's it would be rented again.
-    fn may_take_tasks(&self, agent: &Machine, everyone: bool) -> bool {
-        let limit = self.heartbeat_intervals(SILENCE_LIMIT);
+    /// Whether one of this controller's agents may get tasks. An agent that has just joined
+    /// cannot take any yet, but its machine counts in the capacity of all controllers, since
+    /// otherwise the autoscaler would rent another one in its place.
+    fn may_take_tasks(&self, agent: &Machine, all_owners: bool) -> bool {
+        let silence_limit = self.heartbeat_intervals(SILENCE_LIMIT_INTERVALS);
         let silent = self.now.saturating_sub(agent.heard_at.unwrap_or(agent.owned_since));
-        let is_ready = agent.heard_at.is_some() && silent < limit && agent.fencing_token == agent.token();
-        let is_there = if everyone { silent < limit * 2 } else { is_ready };
+        let is_ready = agent.heard_at.is_some() && silent < silence_limit && agent.fencing_token == agent.token();
+        let is_there = if all_owners { silent < silence_limit * 2 } else { is_ready };
         let is_leaving = agent.preemption_notice_s.is_some() || agent.releasing;
         is_there && !is_leaving && agent.cordoned_until <= self.now
     }
 
-    /// What runs there though it should not takes room as well.
+    /// Subtracts tasks that run on the machine without being placed there. If the job of such
+    /// a task is unknown, no cores count as free.
     fn subtract_unplaced_tasks(&self, capacity: &mut MachineCapacity, agent: &Machine) {
         let placed = self.state.placed.get(&capacity.machine);
-        for seen in agent.tasks.iter().filter(|seen| seen.state != TaskState::Exited) {
-            let key = (seen.task.job.clone(), seen.task.index);
+        for reported in agent.tasks.iter().filter(|reported| reported.state != TaskState::Exited) {
+            let key = (reported.task.job.clone(), reported.task.index);
             if placed.is_some_and(|placed| placed.contains_key(&key)) {
                 continue;
             }
-            match self.state.jobs.get(&seen.task.job) {
+            match self.state.jobs.get(&reported.task.job) {
                 Some(job) => capacity.take(&job.spec, 1),
                 None => capacity.cores = 0.0,
             }
         }
     }
 
+    /// Subtracts what the `counted` tasks placed on the machine use.
     fn subtract_placed_tasks(&self, capacity: &mut MachineCapacity, counted: Counted) {
         let Some(load) = self.state.loads.get(&capacity.machine) else { return };
         let mut used = load.all;
@@ -132,7 +139,7 @@
         capacity.images[0] = Images::clone(&load.images);
     }
 
-    /// What is still to come of the images that the machine fetches.
+    /// Estimates how many gigabytes the machine still has to fetch of its tasks' images.
     fn still_to_fetch_gb(&self, agent: &Machine, load: &MachineLoad, pull_gb_per_s: f64) -> f64 {
         let missing = load.by_image.iter().filter(|(image, _)| !agent.images.contains(*image));
         let to_fetch = missing.map(|(image, tasks)| {
@@ -143,7 +150,8 @@
         to_fetch.sum()
     }
 
-    /// Freed capacity counts at once, not only when the exit is stored.
+    /// Adds back the capacity of tasks that have ended on the machine, so that it counts as
+    /// free at once and not only when the exit is stored.
     fn add_ended_tasks(&self, capacity: &mut MachineCapacity, agent: &Machine, counted: Counted) {
         let Some(placed) = self.state.placed.get(&capacity.machine) else { return };
         for (uid, index, attempt) in agent.over() {
--- a/src/controller/cloud.rs
+++ b/src/controller/cloud.rs
@@ -1,5 +1,7 @@
 //! Access to the cloud: its catalog of machine types, its list of machines, and this
-//! controller's part of the cloud's request limit.
+//! controller's share of the cloud's request limit.
+
+#![warn(missing_docs)]
 
 use super::*;
 use crate::protocol::cloud::{CATALOG, Catalog, Page, Phase, list_path};
@@ -8,53 +10,57 @@
 use crate::state::records::Versions;
 use records::MachineRecord;
 
-/// A machine that was listed for so many lags of the list is in any later list,
-/// unless it is gone: lists are at most two lags old.
+/// A machine that was first listed more than this many list lags ago appears in every later
+/// list unless it is gone, since a list is at most two lags old.
 const ABSENCE_PROOF_LAGS: f64 = 2.5;
-/// A machine type takes no more than this of a record.
-const CATALOG_ENTRY_BYTES: usize = 512;
-/// Pages of the catalog and the list are waited for during so many heartbeat intervals.
+/// Upper bound on the size of one machine type in the stored catalog.
+const MAX_CATALOG_ENTRY_BYTES: usize = 512;
+/// Timeout of reading the catalog or a page of the list, in heartbeat intervals.
 const READ_TIMEOUT_INTERVALS: f64 = 2.0;
-/// The list is read again after this part of the time that it may lag behind.
+/// Interval between two reads of the list, in lags of the list.
 const LIST_INTERVAL_LAGS: f64 = 0.5;
-/// The cloud's answer to a request that it carried out.
+/// Status of a request that the cloud carried out.
 const OK: u16 = 200;
-/// The cloud's answer above its rate limit.
+/// Status of a request that the cloud rejected because of its rate limit.
 const TOO_MANY_REQUESTS: u16 = 429;
 
-/// The cloud's catalog and list of machines, and this controller's part of its rate limit.
+/// The cloud's catalog and list of machines, and this controller's share of its rate limit.
 #[derive(Debug)]
 pub(super) struct CloudAccess {
     request_rate: RateLimiter,
     catalog: Vec<MachineType>,
-    catalog_read_next: Instant,
+    /// When the next read of the catalog is due.
+    next_catalog_read_at: Instant,
     catalog_read_in_flight: bool,
-    /// Machines by the newest complete list.
+    /// The machines of the newest complete list, by name.
     machines: BTreeMap<String, ListedMachine>,
     /// When each machine was first listed.
     first_listed: HashMap<String, Instant>,
-    /// Recorded machines that the cloud lists no more, or as failed.
+    /// Recorded machines that the cloud no longer lists, or lists as failed.
     unlisted: BTreeSet<String>,
+    /// The read of the list that is in progress.
     list_read: ListRead,
-    /// When the newest list was complete.
+    /// When the newest complete list was received.
     list_complete_at: Option<Instant>,
-    list_read_next: Instant,
+    /// When the next read of the list is due.
+    next_list_read_at: Instant,
     list_read_in_flight: bool,
 }
 
-/// A list of machines of which some pages may have been read.
+/// A read of the list of machines, of which some pages may have arrived.
 #[derive(Debug, Default)]
 struct ListRead {
     machines: BTreeMap<String, ListedMachine>,
-    /// When the cloud first refused a later page for its rate limit: the pages before it
-    /// are kept, and the read is resumed there.
+    /// When the cloud first rejected a later page because of its rate limit. The pages before
+    /// it are kept, and the read is resumed after them.
     interrupted_at: Option<Instant>,
 }
 
 impl ListRead {
-    /// After which machine the read goes on: from the beginning, or on from where the
-    /// cloud's rate limit cut it short. A list of more pages than the cloud takes in one
-    /// burst would otherwise never come to its end.
+    /// The machine after which the read continues: empty for a read from the beginning,
+    /// otherwise the last machine before the cloud's rate limit interrupted the read. Without
+    /// resuming, a list with more pages than the cloud allows in one burst of requests would
+    /// never be read to its end.
     fn resume_after(&mut self) -> String {
         if self.interrupted_at.is_none() {
             self.machines.clear();
@@ -62,7 +68,7 @@
         self.machines.keys().next_back().cloned().unwrap_or_default()
     }
 
-    /// Adds a page; the machine after which the next one begins, if there is one.
+    /// Adds a page, and returns the machine after which the next page begins, if there is one.
     fn add_page(&mut self, page: Page) -> Option<String> {
         let last = page.machines.last().map(|machine| machine.uid.clone());
         for machine in page.machines {
@@ -72,46 +78,47 @@
     }
 }
 
-/// How a read of the list stands after a page was answered.
+/// The state of a read of the list after a page was requested.
 #[derive(Debug)]
 enum ListProgress {
-    /// No page: the read is begun anew, or resumed, when it is due.
+    /// No page was received. The read starts again or is resumed when it is next due.
     Stopped,
     /// The next page begins after this machine.
     NextPage(String),
-    /// That was the last page. The first pages had been read at this time.
+    /// The last page was received. The first pages had been read by `read_at`.
     Complete { read_at: Instant },
 }
 
 impl CloudAccess {
-    /// Nothing was read yet; `requests_per_s` is this controller's part of the limit.
+    /// Creates the state before any read; `requests_per_s` is this controller's share of the
+    /// cloud's request limit.
     pub(super) fn new(requests_per_s: f64) -> CloudAccess {
         CloudAccess {
             request_rate: RateLimiter::new(requests_per_s),
             catalog: Vec::new(),
-            catalog_read_next: Duration::ZERO,
+            next_catalog_read_at: Duration::ZERO,
             catalog_read_in_flight: false,
             machines: BTreeMap::new(),
             first_listed: HashMap::new(),
             unlisted: BTreeSet::new(),
             list_read: ListRead::default(),
             list_complete_at: None,
-            list_read_next: Duration::ZERO,
+            next_list_read_at: Duration::ZERO,
             list_read_in_flight: false,
         }
     }
 
-    /// Changes this controller's part of the cloud's request limit.
+    /// Changes this controller's share of the cloud's request limit.
     pub(super) fn set_request_rate(&mut self, requests_per_s: f64) {
         self.request_rate.rate = requests_per_s;
     }
 
-    /// Whether the rate limit has room for a request.
-    pub(super) fn has_request(&self, now: Instant) -> bool {
+    /// Whether the rate limit allows a request now.
+    pub(super) fn allows_request(&self, now: Instant) -> bool {
         self.request_rate.has(now, 1.0)
     }
 
-    /// Requests that the rate limit has room for.
+    /// The number of requests that the rate limit allows now.
     pub(super) fn available_requests(&self, now: Instant) -> f64 {
         self.request_rate.level(now)
     }
@@ -121,54 +128,55 @@
         self.request_rate.charge(now, 1.0);
     }
 
-    /// Machine types of the catalog; none until it was read.
+    /// The machine types of the catalog; empty until it was read or loaded from the store.
     pub(super) fn catalog(&self) -> &[MachineType] {
         &self.catalog
     }
 
-    /// The machine type of this label.
+    /// The machine type with this label.
     pub(super) fn machine_type(&self, label: &str) -> Option<&MachineType> {
         self.catalog.iter().find(|machine_type| machine_type.label == label)
     }
 
-    /// Boot time of the fastest machine type; infinite without a catalog.
+    /// Boot time of the machine type that boots fastest; infinite without a catalog.
     pub(super) fn shortest_startup_s(&self) -> f64 {
-        self.catalog.iter().map(|t| t.startup_s).fold(f64::INFINITY, f64::min)
+        self.catalog.iter().map(|machine_type| machine_type.startup_s).fold(f64::INFINITY, f64::min)
     }
 
-    /// Boot time of the slowest machine type; zero without a catalog.
+    /// Boot time of the machine type that boots slowest; zero without a catalog.
     pub(super) fn longest_startup_s(&self) -> f64 {
-        self.catalog.iter().map(|t| t.startup_s).fold(0.0, f64::max)
+        self.catalog.iter().map(|machine_type| machine_type.startup_s).fold(0.0, f64::max)
     }
 
-    /// The lowest rate at which a machine fetches images; infinite without a catalog.
+    /// The lowest rate at which any machine type fetches images; infinite without a catalog.
     pub(super) fn slowest_pull_gb_per_s(&self) -> f64 {
-        self.catalog.iter().map(|t| t.pull_gb_per_s).fold(f64::INFINITY, f64::min)
+        self.catalog.iter().map(|machine_type| machine_type.pull_gb_per_s).fold(f64::INFINITY, f64::min)
     }
 
-    /// The highest rate at which a machine fetches images; never zero.
+    /// The highest rate at which any machine type fetches images; never zero.
     pub(super) fn fastest_pull_gb_per_s(&self) -> f64 {
-        self.catalog.iter().map(|t| t.pull_gb_per_s).fold(f64::MIN_POSITIVE, f64::max)
+        self.catalog.iter().map(|machine_type| machine_type.pull_gb_per_s).fold(f64::MIN_POSITIVE, f64::max)
     }
 
-    /// Uses the stored catalog until the cloud answers, which is asked all the same.
+    /// Uses the stored catalog until the cloud answers. The catalog is still read from the
+    /// cloud when it is due.
     pub(super) fn load_stored_catalog(&mut self, types: &[MachineType]) {
         self.catalog = types.to_vec();
     }
 
-    /// Whether the catalog should be read: there is none, or it has grown old.
+    /// Whether the catalog should be read: there is none, or its next read is due.
     pub(super) fn catalog_due(&self, now: Instant) -> bool {
-        now >= self.catalog_read_next || self.catalog.is_empty()
+        now >= self.next_catalog_read_at || self.catalog.is_empty()
     }
 
-    /// A read of the catalog is sent; the next is due after `interval`.
+    /// Records that a read of the catalog is sent; the next is due after `interval`.
     fn begin_catalog_read(&mut self, now: Instant, interval: Duration) {
         self.catalog_read_in_flight = true;
         self.request_rate.charge(now, 1.0);
-        self.catalog_read_next = now + interval;
+        self.next_catalog_read_at = now + interval;
     }
 
-    /// A read of the catalog was answered; whether there is a new one.
+    /// Handles the answer to a read of the catalog. True if it contains a catalog.
     fn finish_catalog_read(&mut self, now: Instant, result: Result<Reply, NoAnswer>) -> bool {
         self.catalog_read_in_flight = false;
         let reply = result.ok().filter(|reply| reply.status == OK);
@@ -178,52 +186,55 @@
                 true
             }
             None => {
-                self.catalog_read_next = now; // as soon as the retry policy allows
+                self.next_catalog_read_at = now; // as soon as the retry policy allows
                 false
             }
         }
     }
 
-    /// Machines by the newest complete list.
+    /// The machines of the newest complete list, by name.
     pub(super) fn machines(&self) -> &BTreeMap<String, ListedMachine> {
         &self.machines
     }
 
-    /// Whether a complete list was read, in its term by a leader.
+    /// Whether a complete list was read since [`Self::require_new_list`] was last called.
     pub(super) fn has_list(&self) -> bool {
         self.list_complete_at.is_some()
     }
 
-    /// The list has to be read anew before anything is decided by it.
+    /// Requires the list to be read again before any decision is based on it. A new leader
+    /// calls this, so that it decides by a list of its own term.
     pub(super) fn require_new_list(&mut self) {
         self.list_complete_at = None;
         self.list_read.interrupted_at = None;
     }
 
-    /// Recorded machines that the cloud lists no more, or as failed.
+    /// Recorded machines that the cloud no longer lists, or lists as failed.
     pub(super) fn unlisted(&self) -> &BTreeSet<String> {
         &self.unlisted
     }
 
+    /// Whether the list should be read: no read is in flight and the next one is due.
     fn list_due(&self, now: Instant) -> bool {
-        !self.list_read_in_flight && now >= self.list_read_next
+        !self.list_read_in_flight && now >= self.next_list_read_at
     }
 
-    /// A read of the list is sent; the machine after which it begins.
+    /// Records that a read of the list is sent, and returns the machine after which it begins.
     fn begin_list_read(&mut self, now: Instant) -> String {
         self.list_read_in_flight = true;
         self.request_rate.charge(now, 1.0);
         self.list_read.resume_after()
     }
 
-    /// A page of the list was answered, or was not. The next list is due after `interval`.
+    /// Handles the answer to a request for a page of the list, or the lack of one. The next
+    /// read of the list is due after `interval`.
     fn receive_list_page(&mut self, now: Instant, interval: Duration, result: Result<Reply, NoAnswer>) -> ListProgress {
         self.list_read_in_flight = false;
-        self.list_read_next = now + interval;
+        self.next_list_read_at = now + interval;
         let rate_limited = result.as_ref().is_ok_and(|reply| reply.status == TOO_MANY_REQUESTS);
         if rate_limited && !self.list_read.machines.is_empty() {
             self.list_read.interrupted_at.get_or_insert(now);
-            self.list_read_next = now; // as soon as the retry policy allows
+            self.next_list_read_at = now; // as soon as the retry policy allows
             return ListProgress::Stopped;
         }
         let Some(reply) = result.ok().filter(|reply| reply.status == OK) else {
@@ -241,10 +252,15 @@
         ListProgress::Complete { read_at: read.interrupted_at.unwrap_or(now) }
     }
 
-    /// Machines that were listed and are no more are gone: once listed, they stay so.
-    /// A list may be older than the one before it, by twice the lag at most, so a machine
-    /// has to have been listed for `absence_proof`, which is longer than that. `read_at`:
-    /// when the first pages of the list had been read. Whether there are new ones.
+    /// Updates the set of unlisted machines, and tells whether any machine is newly unlisted.
+    ///
+    /// A machine that was listed and is now missing is gone, because a machine stays listed
+    /// for as long as it exists. But a list may be older than the one read before it, by at
+    /// most twice the lag, and may then miss a machine that has just appeared. So a missing
+    /// machine counts as gone only if it was first listed more than `absence_proof` before
+    /// `read_at`, the time by which the first pages of the list had been read;
+    /// `absence_proof` is longer than twice the lag. A machine listed as failed counts as gone
+    /// at once.
     fn update_unlisted(
         &mut self,
         now: Instant,
@@ -259,19 +275,19 @@
         self.first_listed.retain(|name, _| listed.contains_key(name) || recorded.contains_key(name));
         let gone = |name: &String| match listed.get(name) {
             Some(machine) => machine.phase == Phase::Failed,
-            None => self.first_listed.get(name).is_some_and(|t| read_at.saturating_sub(*t) > absence_proof),
+            None => self.first_listed.get(name).is_some_and(|at| read_at.saturating_sub(*at) > absence_proof),
         };
         let unlisted: BTreeSet<String> = recorded.keys().filter(|name| gone(name)).cloned().collect();
-        let grew = !unlisted.is_subset(&self.unlisted);
+        let newly_unlisted = !unlisted.is_subset(&self.unlisted);
         self.unlisted = unlisted;
-        grew
+        newly_unlisted
     }
 }
 
 impl Controller {
     /// Whether the retry policy and the rate limit allow a request to the cloud now.
     pub(super) fn may_call_cloud(&self, purpose: Retry) -> bool {
-        self.retry.may(purpose, self.now) && self.cloud.has_request(self.now)
+        self.retry.may(purpose, self.now) && self.cloud.allows_request(self.now)
     }
 
     /// Reads the catalog when it is due.
@@ -286,15 +302,15 @@
         self.call(Target::Cloud, "GET", CATALOG.into(), None, timeout, Purpose::Catalog);
     }
 
-    /// Keeps the catalog in the store, so that whoever starts while the cloud does not
-    /// answer knows what can run.
+    /// Keeps the catalog in the store, so that a controller that starts while the cloud does
+    /// not answer knows what can run.
     pub(super) fn store_catalog(&mut self) {
         let stored = self.state.catalog.as_ref();
         let types = self.cloud.catalog();
-        let limit = (self.config.settings.state.value_kb * 1024.0) as usize / CATALOG_ENTRY_BYTES;
+        let max_types = (self.config.settings.state.value_kb * 1024.0) as usize / MAX_CATALOG_ENTRY_BYTES;
         let unchanged = stored.is_some_and(|catalog| catalog.rec.has(types));
         if types.is_empty()
-            || types.len() > limit
+            || types.len() > max_types
             || unchanged
             || self.transactions.is_locked(records::CATALOG_KEY)
             || !self.may_write(1.0 + self.transactions.write_rate() * ACCEPT_RESERVE)
@@ -319,45 +335,46 @@
         }
     }
 
+    /// Requests the page of the list that begins after this machine.
     fn request_list_page(&mut self, after: &str) {
         let timeout = self.heartbeat_intervals(READ_TIMEOUT_INTERVALS);
         self.call(Target::Cloud, "GET", list_path(after), None, timeout, Purpose::List);
     }
 
-    /// Handles the cloud's answers: its catalog, pages of its list, and rentals.
+    /// Handles an answer of the cloud: its catalog, a page of its list, or a rental.
     pub(super) fn cloud_answer(&mut self, purpose: Purpose, result: Result<Reply, NoAnswer>) {
         match purpose {
-            Purpose::Catalog => self.catalog_answer(result),
-            Purpose::List => self.list_answer(result),
-            Purpose::Rent { offer, number } => self.rent_answer(offer, number, result),
+            Purpose::Catalog => self.handle_catalog_answer(result),
+            Purpose::List => self.handle_list_answer(result),
+            Purpose::Rent { offer, number } => self.handle_rent_answer(offer, number, result),
             _ => {}
         }
     }
 
-    fn catalog_answer(&mut self, result: Result<Reply, NoAnswer>) {
+    fn handle_catalog_answer(&mut self, result: Result<Reply, NoAnswer>) {
         if self.cloud.finish_catalog_read(self.now, result) {
             self.scheduler.request_round();
         }
     }
 
-    fn list_answer(&mut self, result: Result<Reply, NoAnswer>) {
+    fn handle_list_answer(&mut self, result: Result<Reply, NoAnswer>) {
         let interval = self.secs(self.config.settings.cloud.list_lag_s * LIST_INTERVAL_LAGS);
         match self.cloud.receive_list_page(self.now, interval, result) {
             ListProgress::Stopped => {}
             ListProgress::NextPage(after) => self.request_list_page(&after),
             ListProgress::Complete { read_at } => {
                 self.update_unlisted_machines(read_at);
-                self.forget_rentals_that_came_up();
+                self.forget_finished_rentals();
             }
         }
     }
 
-    /// Owners of machines that are listed no more are informed, and ask the cloud
-    /// themselves before anything rests on it.
+    /// Updates the set of unlisted machines. The owners of newly unlisted machines are told
+    /// of them, and confirm with the cloud that a machine is gone before they act on it.
     fn update_unlisted_machines(&mut self, read_at: Instant) {
         let absence_proof = self.secs(self.config.settings.cloud.list_lag_s * ABSENCE_PROOF_LAGS);
         if self.cloud.update_unlisted(self.now, read_at, absence_proof, &self.state.machines) {
-            // Their owners can prove it, and start their tasks elsewhere.
+            // The owners can then confirm it soon and start the machines' tasks elsewhere.
             self.connectivity.hasten_heartbeat(self.now);
         }
         self.agents.mark_unlisted(self.cloud.unlisted());
--- a/src/controller/cloud/tests.rs
+++ b/src/controller/cloud/tests.rs
@@ -39,12 +39,12 @@
 }
 
 #[test]
-fn a_list_that_the_rate_limit_cut_short_is_resumed() {
+fn a_list_read_interrupted_by_the_rate_limit_is_resumed() {
     let mut cloud = CloudAccess::new(10.0);
     cloud.begin_list_read(seconds(1));
     let progress = cloud.receive_list_page(seconds(1), INTERVAL, page(&["m-1", "m-2"], true));
     assert!(matches!(progress, ListProgress::NextPage(after) if after == "m-2"));
-    assert!(!cloud.list_due(seconds(9)), "a page is under way");
+    assert!(!cloud.list_due(seconds(9)), "a page is in flight");
     assert!(matches!(cloud.receive_list_page(seconds(2), INTERVAL, refused()), ListProgress::Stopped));
     assert!(cloud.list_due(seconds(2)) && !cloud.has_list());
     assert_eq!(cloud.begin_list_read(seconds(3)), "m-2");
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_read_without_an_answer_begins_anew() {
+fn a_list_read_without_an_answer_starts_from_the_beginning() {
     let mut cloud = CloudAccess::new(10.0);
     cloud.begin_list_read(seconds(1));
     cloud.receive_list_page(seconds(1), INTERVAL, page(&["m-1"], true));
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn a_machine_is_unlisted_once_no_older_list_can_explain_its_absence() {
+fn a_machine_is_unlisted_once_a_stale_list_cannot_explain_its_absence() {
     let mut cloud = CloudAccess::new(10.0);
     let machine = MachineRecord {
         granted: 1,
@@ -81,9 +81,9 @@
     };
     let recorded: Versions<MachineRecord> =
         [("m-1".to_string(), Versioned { rec: machine, version: 1 })].into_iter().collect();
-    for (at, names, gone) in [(0, vec!["m-1"], false), (25, vec![], false), (26, vec![], true)] {
+    for (at, names, unlisted) in [(0, vec!["m-1"], false), (25, vec![], false), (26, vec![], true)] {
         let read_at = read_list(&mut cloud, seconds(at), &names);
-        assert_eq!(cloud.update_unlisted(seconds(at), read_at, ABSENCE_PROOF, &recorded), gone);
-        assert_eq!(cloud.unlisted().contains("m-1"), gone);
+        assert_eq!(cloud.update_unlisted(seconds(at), read_at, ABSENCE_PROOF, &recorded), unlisted);
+        assert_eq!(cloud.unlisted().contains("m-1"), unlisted);
     }
 }
--- a/src/controller/service_levels.rs
+++ b/src/controller/service_levels.rs
@@ -1,25 +1,28 @@
-//! How well jobs are served: ends and missed objectives, and the summary in the log.
+//! Service levels: how well jobs meet their objectives, and the periodic summary in the log.
+
+#![warn(missing_docs)]
 
 use super::*;
+use crate::placement::MachineCapacity;
 use crate::protocol::user::JobSpec;
 use crate::state::Job;
 use crate::state::service_levels::{HARDLY_SERVED_SHARE, Served, ServiceTally};
 
-/// Ends and missed objectives as this process saw them.
+/// Completed jobs and missed objectives as observed by this process.
 #[derive(Debug)]
 pub(super) struct ServiceLevels {
-    /// The objectives of the settings, and how well they are met of late.
+    /// The objectives of the settings, and how well they have been met recently.
     pub(super) objectives: Objectives,
-    /// Shares served, by class, team and the largest jobs.
+    /// Tallies of the jobs served, by class, by team and for the largest jobs.
     served: Served,
-    /// When the first machine was seen, by the time of day.
+    /// When the first machine was seen to be up, in wall-clock time.
     fleet_since_ms: Option<u64>,
-    /// It was seen only after a boot time: the fleet began with nothing.
-    fleet_began_empty: bool,
-    /// Live jobs whose objective has passed.
-    missed: BTreeSet<String>,
+    /// Whether the first machine came up so late that the fleet must have started empty.
+    fleet_started_empty: bool,
+    /// Live jobs that have been counted as missing their objective.
+    counted_missed: BTreeSet<String>,
     /// When the next summary is logged.
-    summary_next: Instant,
+    next_summary_at: Instant,
 }
 
 /// A live job that has missed its objective.
@@ -30,27 +33,28 @@
     submitted_ms: u64,
 }
 
-/// A process that sees its first machine after this part of a boot time began with none.
+/// If a process sees its first machine later than this share of a boot time after its start,
+/// the fleet started empty.
 const EMPTY_FLEET_BOOTS: f64 = 0.5;
 
 impl ServiceLevels {
-    /// No job has ended yet.
+    /// Creates the state before any job has ended.
     pub(super) fn new(objectives: Objectives) -> ServiceLevels {
         ServiceLevels {
             objectives,
             served: Served::default(),
             fleet_since_ms: None,
-            fleet_began_empty: false,
-            missed: BTreeSet::new(),
-            summary_next: Duration::ZERO,
+            fleet_started_empty: false,
+            counted_missed: BTreeSet::new(),
+            next_summary_at: Duration::ZERO,
         }
     }
 
     /// Whether a summary should be logged now; the next is due after `interval`.
     pub(super) fn summary_due(&mut self, now: Instant, interval: Duration) -> bool {
-        let due = now >= self.summary_next;
+        let due = now >= self.next_summary_at;
         if due {
-            self.summary_next = now + interval;
+            self.next_summary_at = now + interval;
         }
         due
     }
@@ -60,29 +64,29 @@
         self.fleet_since_ms.is_some()
     }
 
-    /// The first machine is up, so long after this process started.
+    /// Records that the first machine is up. `now` is the time since this process started.
     pub(super) fn record_first_machine(&mut self, now: Instant, wall_ms: u64, startup_s: f64) {
         self.fleet_since_ms = Some(wall_ms);
-        self.fleet_began_empty = now.as_secs_f64() > startup_s * EMPTY_FLEET_BOOTS;
+        self.fleet_started_empty = now.as_secs_f64() > startup_s * EMPTY_FLEET_BOOTS;
     }
 
-    /// A job is over or has missed its objective, so long after it was submitted at
-    /// `submitted_ms`. `startup_s`: the boot time of the slowest machines.
+    /// Records a job that completed or missed its objective `took_s` seconds after it was
+    /// submitted at `submitted_ms`. `startup_s` is the boot time of the slowest machine type.
     fn record_end(&mut self, spec: &JobSpec, submitted_ms: u64, took_s: f64, startup_s: f64) {
         if let Some(objective_s) = self.objectives.end_within(spec) {
             self.served.note(spec, took_s <= objective_s);
         }
-        // What came while the first machines were still to boot says nothing
-        // of their number.
-        let boot_ms = if self.fleet_began_empty { (startup_s * 1000.0) as u64 } else { 0 };
+        // Jobs submitted while the first machines were still booting do not show whether the
+        // fleet is large enough.
+        let boot_ms = if self.fleet_started_empty { (startup_s * 1000.0) as u64 } else { 0 };
         if self.fleet_since_ms.is_some_and(|since| submitted_ms >= since + boot_ms) {
             self.objectives.note_end(spec, took_s);
         }
     }
 
-    /// Live jobs whose objective has passed and that were not counted yet.
+    /// Live jobs that have missed their objective and are not counted yet.
     fn newly_overdue(&self, jobs: &BTreeMap<String, Job>, now_ms: u64) -> Vec<OverdueJob> {
-        let uncounted = jobs.iter().filter(|(uid, job)| !job.cancelled() && !self.missed.contains(*uid));
+        let uncounted = jobs.iter().filter(|(uid, job)| !job.cancelled() && !self.counted_missed.contains(*uid));
         let overdue = uncounted.filter(|(_, job)| {
             let age_s = now_ms.saturating_sub(job.rec.rec.at_ms) as f64 / 1000.0;
             self.objectives.end_within(&job.spec).is_some_and(|objective_s| age_s > objective_s)
@@ -97,7 +101,7 @@
 }
 
 impl Controller {
-    /// Logs what was written, and from the leader the state of the whole cluster.
+    /// Logs a summary of store writes and failed calls and, on the leader, of the cluster.
     pub(super) fn log_summary(&mut self) {
         self.log_calls();
         if self.am_leader() {
@@ -106,22 +110,24 @@
         }
     }
 
+    /// Logs the store writes and the calls that failed since the last summary.
     fn log_calls(&mut self) {
         self.transactions.log_summary();
         let failed = self.retry.take_counts();
         if !failed.is_empty() {
-            tracing::debug!(?failed, "calls that failed");
+            tracing::debug!(?failed, "failed calls");
         }
     }
 
+    /// Logs the waiting tasks and the machines of the whole cluster.
     fn log_cluster(&self) {
         let capacities = self.capacities(true);
-        let sum = |f: fn(&crate::placement::MachineCapacity) -> f64| capacities.iter().map(|(_, r)| f(r)).sum::<f64>();
+        let sum = |cores_of: fn(&MachineCapacity) -> f64| capacities.iter().map(|(_, c)| cores_of(c)).sum::<f64>();
         let mut waiting: BTreeMap<&str, u32> = BTreeMap::new();
-        for j in self.state.jobs.values() {
-            let n = j.waiting_count();
-            if n > 0 {
-                *waiting.entry(&j.spec.class).or_default() += n;
+        for job in self.state.jobs.values() {
+            let waiting_tasks = job.waiting_count();
+            if waiting_tasks > 0 {
+                *waiting.entry(&job.spec.class).or_default() += waiting_tasks;
             }
         }
         let booting = self.expected_capacities(Counted::All).len() - capacities.len();
@@ -130,18 +136,20 @@
             ?waiting,
             machines = capacities.len(),
             booting,
-            cores = sum(|r| r.total_cores),
-            free_cores = sum(crate::placement::MachineCapacity::free_cores),
+            cores = sum(|capacity| capacity.total_cores),
+            free_cores = sum(MachineCapacity::free_cores),
             behind = self.service_levels.objectives.behind(),
             "cluster"
         );
     }
 
+    /// Logs how well each class, team and large job is served, with a warning for those that
+    /// are hardly served.
     fn log_service_levels(&self) {
-        for (who, t) in self.service_levels.served.tallies(self.state.jobs.values(), self.wall_ms()) {
-            let ServiceTally { judged, in_time, live, untouched, waits_s, replicas, placed } = t;
+        for (who, tally) in self.service_levels.served.tallies(self.state.jobs.values(), self.wall_ms()) {
+            let ServiceTally { judged, in_time, live, untouched, waits_s, replicas, placed } = tally;
             tracing::debug!(?who, judged, in_time, live, untouched, waits_s, replicas, placed, "served");
-            if let Some(share) = t.least_share().filter(|s| *s < HARDLY_SERVED_SHARE) {
+            if let Some(share) = tally.least_share().filter(|share| *share < HARDLY_SERVED_SHARE) {
                 tracing::warn!(
                     ?who,
                     share,
@@ -158,34 +166,37 @@
         }
     }
 
-    /// Counts a job that was carried out, unless it was counted as a miss before.
+    /// Records a job that completed, unless it has already been counted as missing its
+    /// objective.
     pub(super) fn record_finished(&mut self, spec: &JobSpec, submitted_ms: u64) {
         if self.am_leader() {
             let took_s = self.seconds_since(submitted_ms);
-            let aim_s = self.service_levels.objectives.end_within(spec);
-            tracing::debug!(job = %spec.uid, class = %spec.class, took_s, aim_s, "done");
+            let objective_s = self.service_levels.objectives.end_within(spec);
+            tracing::debug!(job = %spec.uid, class = %spec.class, took_s, aim_s = objective_s, "done");
         }
-        if !self.service_levels.missed.remove(&spec.uid) {
+        if !self.service_levels.counted_missed.remove(&spec.uid) {
             self.record_end(spec, submitted_ms);
         }
     }
 
-    /// A job whose objective has passed is a miss now: in an overload the late ones
-    /// wait longest, and counting ends alone would see only the good ones.
+    /// Counts live jobs as misses as soon as their objective has passed. In an overload, late
+    /// jobs wait longest, so that counting only completed jobs would see mostly those in time.
     pub(super) fn record_overdue(&mut self) {
         for job in self.service_levels.newly_overdue(&self.state.jobs, self.wall_ms()) {
-            self.service_levels.missed.insert(job.uid);
+            self.service_levels.counted_missed.insert(job.uid);
             self.record_end(&job.spec, job.submitted_ms);
         }
-        self.service_levels.missed.retain(|uid| self.state.jobs.contains_key(uid));
+        self.service_levels.counted_missed.retain(|uid| self.state.jobs.contains_key(uid));
     }
 
+    /// Records a job that has just completed or missed its objective.
     fn record_end(&mut self, spec: &JobSpec, submitted_ms: u64) {
         let took_s = self.seconds_since(submitted_ms);
         let startup_s = self.cloud.longest_startup_s();
         self.service_levels.record_end(spec, submitted_ms, took_s, startup_s);
     }
 
+    /// Seconds that have passed since a wall-clock time in milliseconds.
     fn seconds_since(&self, wall_ms: u64) -> f64 {
         self.wall_ms().saturating_sub(wall_ms) as f64 / 1000.0
     }
--- a/src/maintenance/budget.rs
+++ b/src/maintenance/budget.rs
@@ -1,15 +1,18 @@
-//! Budgets of disruption: how many of a team's replicas may be away at a time. What
-//! fails by itself counts first; what is left may be spent on purpose.
+//! Disruption budgets: how many of a team's replicas may be away at a time. Replicas that
+//! are away because of failures count first; only the rest of the budget may be used for
+//! maintenance.
+
+#![warn(missing_docs)]
 
 use serde::Deserialize;
 
-/// What a team agreed to. The larger of the two counts.
+/// The disruption budget that a team has agreed to. The larger of the two limits applies.
 #[derive(Debug, Clone, Copy, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Budget {
-    /// Replicas away at a time.
+    /// The number of replicas that may be away at a time.
     pub away: u32,
-    /// Share of all replicas that the team wants.
+    /// The share of all the team's wanted replicas that may be away at a time.
     pub share: f64,
 }
 
@@ -20,7 +23,8 @@
 }
 
 impl Budget {
-    pub fn allows(&self, wanted: u32) -> u32 {
+    /// The number of replicas that may be away at a time, of `wanted` ones.
+    pub fn allowed_away(&self, wanted: u32) -> u32 {
         self.away.max((f64::from(wanted) * self.share).floor() as u32)
     }
 }
@@ -28,15 +32,17 @@
 /// The replicas of one team's services.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct TeamReplicas {
+    /// The number of replicas that the team wants.
     pub wanted: u32,
-    /// Waiting, on a machine that nobody hears, just placed, or under a ticket.
+    /// The number of replicas that are away: waiting, on a machine that no controller hears,
+    /// just placed, or under a ticket.
     pub away: u32,
 }
 
 impl TeamReplicas {
-    /// What may still be spent.
-    pub fn left(&self, budget: &Budget) -> u32 {
-        budget.allows(self.wanted).saturating_sub(self.away)
+    /// The number of replicas that may be stopped within the budget, beside those away already.
+    pub fn remaining(&self, budget: &Budget) -> u32 {
+        budget.allowed_away(self.wanted).saturating_sub(self.away)
     }
 }
 
@@ -44,13 +50,14 @@
 mod tests {
     use super::*;
 
-    /// A zone was cut, and what was stopped on purpose came on top of it.
+    /// Guards against stopping replicas for maintenance in addition to those that are away
+    /// because a zone is partitioned.
     #[test]
-    fn what_fails_by_itself_is_spent_first() {
+    fn failures_count_against_the_budget_first() {
         let budget = Budget { away: 2, share: 0.1 };
-        assert_eq!(TeamReplicas { wanted: 50, away: 0 }.left(&budget), 5);
-        assert_eq!(TeamReplicas { wanted: 50, away: 4 }.left(&budget), 1);
-        assert_eq!(TeamReplicas { wanted: 50, away: 30 }.left(&budget), 0);
-        assert_eq!(TeamReplicas { wanted: 8, away: 0 }.left(&budget), 2);
+        assert_eq!(TeamReplicas { wanted: 50, away: 0 }.remaining(&budget), 5);
+        assert_eq!(TeamReplicas { wanted: 50, away: 4 }.remaining(&budget), 1);
+        assert_eq!(TeamReplicas { wanted: 50, away: 30 }.remaining(&budget), 0);
+        assert_eq!(TeamReplicas { wanted: 8, away: 0 }.remaining(&budget), 2);
     }
 }
--- a/src/maintenance/campaign.rs
+++ b/src/maintenance/campaign.rs
@@ -1,24 +1,31 @@
-//! Campaigns: machines of a kind are emptied and returned, a few first and then in
-//! growing waves. A wave ends when its machines are gone and every replica runs again.
+//! Maintenance campaigns: machines that match a selection are drained and released, a few
+//! at first and then in growing waves. A wave ends when its machines are gone and every
+//! replica runs again.
+
+#![warn(missing_docs)]
 
 use super::budget::{Budget, TeamReplicas};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Which machines go, as the operator states it. What is left out does not matter.
+/// The operator's selection of the machines to drain, and the sizes of the waves. A machine
+/// is selected if it matches every criterion that is given.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Campaign {
+    /// The machine type of the machines.
     #[serde(rename = "build")]
     pub machine_type: Option<String>,
+    /// The zone of the machines.
     #[serde(rename = "site")]
     pub zone: Option<String>,
+    /// Whether the machines are spot machines.
     pub spot: Option<bool>,
-    /// These alone, by name.
+    /// The names of the machines.
     pub machines: Option<Vec<String>>,
-    /// Machines of the first wave; each further one has twice as many.
+    /// The number of machines in the first wave. Each further wave has twice as many.
     pub first: u32,
-    /// Machines of a wave at the most.
+    /// The largest number of machines in a wave.
     pub wave: u32,
 }
 
@@ -29,142 +36,157 @@
 }
 
 impl Campaign {
-    pub fn takes(&self, name: &str, machine_type: &str, zone: &str, spot: bool) -> bool {
-        self.machine_type.as_ref().is_none_or(|b| b == machine_type)
-            && self.zone.as_ref().is_none_or(|s| s == zone)
-            && self.spot.is_none_or(|s| s == spot)
-            && self.machines.as_ref().is_none_or(|m| m.iter().any(|n| n == name))
+    /// Whether the campaign selects this machine.
+    pub fn selects(&self, name: &str, machine_type: &str, zone: &str, spot: bool) -> bool {
+        self.machine_type.as_ref().is_none_or(|wanted| wanted == machine_type)
+            && self.zone.as_ref().is_none_or(|wanted| wanted == zone)
+            && self.spot.is_none_or(|wanted| wanted == spot)
+            && self.machines.as_ref().is_none_or(|names| names.iter().any(|wanted| wanted == name))
     }
 
-    /// Machines of the wave after `waves` of them.
-    fn size(&self, waves: u32) -> usize {
-        let grown = u64::from(self.first) << waves.min(16);
-        grown.min(u64::from(self.wave)) as usize
+    /// The number of machines in the next wave after `waves` finished ones.
+    fn next_wave_size(&self, waves: u32) -> usize {
+        let doubled = u64::from(self.first) << waves.min(16);
+        doubled.min(u64::from(self.wave)) as usize
     }
 }
 
-/// One replica that may be stopped, from the moment it is written until the replica
-/// is proved gone and runs elsewhere.
+/// A permit to stop one replica for a campaign. It counts against the team's disruption
+/// budget from the moment it is written until the replica is proved gone from its machine
+/// and runs elsewhere.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Ticket {
+    /// The job of the replica.
     pub job: String,
+    /// The index of the replica in its job.
     pub index: u32,
+    /// The attempt that may be stopped.
     pub attempt: u64,
+    /// The machine on which the attempt was placed.
     pub machine: String,
 }
 
-/// How far the campaign has come: one record, written by the leader alone.
+/// The progress of the current campaign, kept in one record that only the leader writes.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct MaintenanceRecord {
-    /// None is under way where it is empty.
+    /// The name of the current campaign; empty if there is none.
     pub name: String,
-    /// Machines up to this name, in order of their creation, were there when it began.
+    /// The last machine that existed when the campaign began. Names are in order of creation,
+    /// so machines with a later name do not belong to the campaign.
     pub upto: String,
-    /// Machines that take nothing new and are being emptied.
+    /// The machines of the current wave, which are draining.
     pub wave: Vec<String>,
-    /// Waves that are over, and machines that went with them.
+    /// The number of finished waves.
     pub waves: u32,
+    /// The number of machines that are gone so far.
     pub gone: u32,
+    /// The tickets that have been issued and not returned to the budget yet.
     pub tickets: Vec<Ticket>,
-    /// Campaigns that are over.
+    /// The names of finished campaigns.
     pub finished: Vec<String>,
 }
 
-/// A machine that the campaign takes.
+/// A machine that the campaign selects.
 #[derive(Debug, Clone, Default)]
 pub struct Candidate {
+    /// The name of the machine.
     pub name: String,
-    /// Replicas placed there, and their teams.
+    /// The service replicas placed on the machine, as tickets, and the team of each.
     pub standing: Vec<(Ticket, String)>,
-    /// CPUs that arrays use there.
-    pub arrays: f64,
-    /// Tasks of a gang are there: it is let end.
-    pub gang: bool,
-    /// Some controller hears it.
+    /// The number of cores that arrays use on the machine.
+    pub array_cores: f64,
+    /// Whether gang tasks run on the machine. Such a machine is not drained before they end.
+    pub has_gang: bool,
+    /// Whether some controller hears the machine.
     pub heard: bool,
 }
 
-/// Why nothing more is done at the moment.
+/// Why a campaign does not advance at the moment.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Wait {
-    /// The team's budget is spent.
-    Budget(String),
-    /// The team's budget allows no step, ever.
-    Never(String),
-    /// Machines of the wave still have tasks on them, or are being returned.
-    Wave(usize),
-    /// Replicas of a wave that is gone do not run yet.
-    Settling(usize),
-    /// All machines that are left run gangs, or are heard by nobody.
-    Machines(usize),
+pub enum WaitReason {
+    /// The budget of this team is used up.
+    BudgetUsedUp(String),
+    /// The budget of this team never allows stopping a replica.
+    BudgetForbids(String),
+    /// This many machines of the wave still have tasks on them or are being released.
+    WaveInProgress(usize),
+    /// The machines of the wave are gone, but this many replicas under a ticket do not run yet.
+    ReplicasStarting(usize),
+    /// All of the remaining machines, this many, run gang tasks or are not heard by any
+    /// controller.
+    NoDrainableMachine(usize),
 }
 
-/// What is to be written next.
+/// The changes to the maintenance record that a step makes.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Step {
+    /// The machines of a new wave.
     pub wave: Vec<String>,
+    /// The tickets to issue.
     pub tickets: Vec<Ticket>,
-    pub over: bool,
-    pub wait: Option<Wait>,
+    /// Whether the campaign is finished.
+    pub finished: bool,
+    /// Why the campaign does not advance any further at the moment.
+    pub wait: Option<WaitReason>,
 }
 
-/// The next step. `left` are all machines that the campaign takes and that are there,
-/// those of the wave among them; `most` tickets may be written at a time.
+/// The next step of a campaign. `remaining` holds all existing machines that the campaign
+/// selects, including those of the current wave. At most `max_tickets` tickets are issued.
 pub fn next(
     rec: &MaintenanceRecord,
     campaign: &Campaign,
-    left: &[Candidate],
+    remaining: &[Candidate],
     teams: &BTreeMap<String, TeamReplicas>,
     budget: impl Fn(&str) -> Budget,
-    most: usize,
+    max_tickets: usize,
 ) -> Step {
     let mut step = Step::default();
     if rec.wave.is_empty() {
         if !rec.tickets.is_empty() {
-            step.wait = Some(Wait::Settling(rec.tickets.len()));
+            step.wait = Some(WaitReason::ReplicasStarting(rec.tickets.len()));
             return step;
         }
-        if left.is_empty() {
-            step.over = true;
+        if remaining.is_empty() {
+            step.finished = true;
             return step;
         }
-        let spent = teams.iter().find(|(t, s)| s.away > 0 && s.left(&budget(t)) == 0);
-        if let Some((team, _)) = spent {
-            step.wait = Some(Wait::Budget(team.clone()));
+        let used_up = teams.iter().find(|(team, replicas)| replicas.away > 0 && replicas.remaining(&budget(team)) == 0);
+        if let Some((team, _)) = used_up {
+            step.wait = Some(WaitReason::BudgetUsedUp(team.clone()));
             return step;
         }
-        let mut able: Vec<&Candidate> = left.iter().filter(|c| c.heard && !c.gang).collect();
-        able.sort_by(|a, b| {
-            let fewest = a.standing.len().cmp(&b.standing.len());
-            fewest.then(a.arrays.total_cmp(&b.arrays)).then_with(|| a.name.cmp(&b.name))
+        let mut drainable: Vec<&Candidate> = remaining.iter().filter(|c| c.heard && !c.has_gang).collect();
+        drainable.sort_by(|a, b| {
+            let by_replicas = a.standing.len().cmp(&b.standing.len());
+            by_replicas.then(a.array_cores.total_cmp(&b.array_cores)).then_with(|| a.name.cmp(&b.name))
         });
-        able.truncate(campaign.size(rec.waves));
-        if able.is_empty() {
-            step.wait = Some(Wait::Machines(left.len()));
+        drainable.truncate(campaign.next_wave_size(rec.waves));
+        if drainable.is_empty() {
+            step.wait = Some(WaitReason::NoDrainableMachine(remaining.len()));
         }
-        step.wave = able.into_iter().map(|c| c.name.clone()).collect();
+        step.wave = drainable.into_iter().map(|c| c.name.clone()).collect();
         return step;
     }
-    let mut spent: BTreeMap<&str, u32> = BTreeMap::new();
-    let wave = || left.iter().filter(|c| rec.wave.contains(&c.name));
+    let mut issued: BTreeMap<&str, u32> = BTreeMap::new();
+    let wave = || remaining.iter().filter(|c| rec.wave.contains(&c.name));
     for (ticket, team) in wave().flat_map(|c| &c.standing) {
         if rec.tickets.contains(ticket) {
             continue;
         }
-        let standing = teams.get(team).copied().unwrap_or_default();
+        let replicas = teams.get(team).copied().unwrap_or_default();
         let budget = budget(team);
-        let spent = spent.entry(team).or_default();
-        if step.tickets.len() < most && *spent < standing.left(&budget) {
-            *spent += 1;
+        let issued = issued.entry(team).or_default();
+        if step.tickets.len() < max_tickets && *issued < replicas.remaining(&budget) {
+            *issued += 1;
             step.tickets.push(ticket.clone());
-        } else if budget.allows(standing.wanted) == 0 {
-            step.wait = Some(Wait::Never(team.clone()));
+        } else if budget.allowed_away(replicas.wanted) == 0 {
+            step.wait = Some(WaitReason::BudgetForbids(team.clone()));
         } else if step.wait.is_none() {
-            step.wait = Some(Wait::Budget(team.clone()));
+            step.wait = Some(WaitReason::BudgetUsedUp(team.clone()));
         }
     }
     if step.wait.is_none() && step.tickets.is_empty() {
-        step.wait = Some(Wait::Wave(wave().count()));
+        step.wait = Some(WaitReason::WaveInProgress(wave().count()));
     }
     step
 }
@@ -182,51 +204,51 @@
         Candidate { name: name.into(), standing, heard: true, ..Candidate::default() }
     }
 
-    fn step(rec: &MaintenanceRecord, left: &[Candidate], wanted: u32, away: u32, budget: Budget) -> Step {
+    fn step(rec: &MaintenanceRecord, remaining: &[Candidate], wanted: u32, away: u32, budget: Budget) -> Step {
         let teams = BTreeMap::from([("t".to_string(), TeamReplicas { wanted, away })]);
-        next(rec, &Campaign::default(), left, &teams, |_| budget, 10)
+        next(rec, &Campaign::default(), remaining, &teams, |_| budget, 10)
     }
 
     #[test]
-    fn waves_grow_and_take_what_disturbs_least() {
+    fn waves_grow_and_start_with_the_machines_that_have_the_fewest_replicas() {
         let mut left = vec![machine("a", 0..3), machine("b", 3..4), machine("c", 4..4), machine("d", 5..7)];
         left[2].heard = false;
         let two = Budget { away: 2, share: 0.0 };
         assert_eq!(step(&MaintenanceRecord::default(), &left, 7, 0, two).wave, ["b"]);
         let rec = MaintenanceRecord { waves: 1, ..MaintenanceRecord::default() };
         assert_eq!(step(&rec, &left, 7, 0, two).wave, ["b", "d"]);
-        left.iter_mut().for_each(|c| c.gang = true);
-        assert_eq!(step(&rec, &left, 7, 0, two).wait, Some(Wait::Machines(4)));
-        assert!(step(&rec, &[], 7, 0, two).over);
+        left.iter_mut().for_each(|candidate| candidate.has_gang = true);
+        assert_eq!(step(&rec, &left, 7, 0, two).wait, Some(WaitReason::NoDrainableMachine(4)));
+        assert!(step(&rec, &[], 7, 0, two).finished);
     }
 
-    /// Two tickets at a time, whatever the wave holds; none while failures used them up,
-    /// and none twice.
+    /// At most two tickets are issued at a time, however many replicas are in the wave; none
+    /// while failures use up the budget, and none twice.
     #[test]
-    fn tickets_keep_to_what_the_budget_leaves() {
+    fn tickets_stay_within_the_remaining_budget() {
         let left = [machine("a", 0..3), machine("b", 3..5)];
         let rec = MaintenanceRecord { wave: vec!["a".into(), "b".into()], ..MaintenanceRecord::default() };
         let two = Budget { away: 2, share: 0.0 };
         let s = step(&rec, &left, 9, 0, two);
         assert_eq!(s.tickets, [ticket("a", 0), ticket("a", 1)]);
-        assert_eq!(s.wait, Some(Wait::Budget("t".into())));
+        assert_eq!(s.wait, Some(WaitReason::BudgetUsedUp("t".into())));
         assert_eq!(step(&rec, &left, 9, 1, two).tickets, [ticket("a", 0)]);
         assert_eq!(step(&rec, &left, 9, 2, two).tickets, []);
         let rec = MaintenanceRecord { tickets: vec![ticket("a", 0)], ..rec };
         assert_eq!(step(&rec, &left, 9, 1, two).tickets, [ticket("a", 1)]);
         let none = Budget { away: 0, share: 0.01 };
-        assert_eq!(step(&rec, &left, 9, 0, none).wait, Some(Wait::Never("t".into())));
+        assert_eq!(step(&rec, &left, 9, 0, none).wait, Some(WaitReason::BudgetForbids("t".into())));
     }
 
-    /// The next wave waits until the last one's replicas run, and while failures alone
-    /// have spent a budget.
+    /// The next wave waits until the replicas of the last one run, and while failures alone
+    /// use up a budget.
     #[test]
-    fn no_wave_begins_before_the_last_has_settled() {
+    fn no_wave_begins_before_the_replicas_of_the_last_one_run() {
         let left = [machine("a", 0..3)];
         let one = Budget::default();
         let rec = MaintenanceRecord { tickets: vec![ticket("z", 8)], ..MaintenanceRecord::default() };
-        assert_eq!(step(&rec, &left, 9, 1, one).wait, Some(Wait::Settling(1)));
+        assert_eq!(step(&rec, &left, 9, 1, one).wait, Some(WaitReason::ReplicasStarting(1)));
         let s = step(&MaintenanceRecord::default(), &left, 9, 4, one);
-        assert_eq!((s.wave.len(), s.wait), (0, Some(Wait::Budget("t".into()))));
+        assert_eq!((s.wave.len(), s.wait), (0, Some(WaitReason::BudgetUsedUp("t".into()))));
     }
 }
--- a/src/maintenance/mod.rs
+++ b/src/maintenance/mod.rs
@@ -1,11 +1,14 @@
-//! Emptying and replacing machines in steps, while people use what runs there: what
-//! a team agreed to miss at a time, and which machines go next. Pure: what is known
-//! of machines and teams comes in, steps come out; the leader alone writes them down.
-//! Why it is done so stands in `docs/notes/drains.md`.
+//! Maintenance: machines are drained and replaced in steps while the services on them stay
+//! in use. Disruption budgets limit how many of a team's replicas may be away at a time, and
+//! campaigns decide which machines are drained next. The code is pure: the state of machines
+//! and teams is passed in, steps are returned, and only the leader writes them to the store.
+//! `docs/notes/drains.md` gives the reasons for this design.
 //!
-//! Invariant: a replica is stopped for a campaign only under a ticket; tickets are
-//! written by the leader in the transaction that takes them from the budget, and a
-//! team never has more of them than its budget leaves beside what is away by itself.
+//! Invariant: a replica is stopped for a campaign only under a ticket. The leader writes
+//! tickets in the transaction that takes them from the budget. A team never has more tickets
+//! than its budget leaves beside the replicas that are away because of failures.
+
+#![warn(missing_docs)]
 
 pub mod budget;
 pub mod campaign;
--- a/src/scaling/mod.rs
+++ b/src/scaling/mod.rs
@@ -1,142 +1,172 @@
-//! Which machines to rent: pure functions over bookkeeping.
+//! Planning of rentals: which machines to rent for a given demand. The functions here are
+//! pure; demand, free capacity and the cloud's offers are passed in.
+
+#![warn(missing_docs)]
 
 use crate::placement::{MachineCapacity, zone_capacity};
 use crate::protocol::cloud::MachineType;
 use crate::protocol::user::JobSpec;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A silent machine is not given up before this part of the time that the
-/// images of its tasks would take to come elsewhere.
-const RESTART_SHARE: f64 = 0.5;
+/// A silent machine is not declared lost before this share of the time that fetching the
+/// images of its tasks elsewhere would take.
+const REFETCH_SHARE: f64 = 0.5;
 
-/// Tasks that have, or may soon have, nowhere to run.
+/// Tasks of one job that have, or may soon have, no machine to run on.
 #[derive(Debug)]
 pub struct Demand<'a> {
+    /// The job's specification.
     pub spec: &'a JobSpec,
+    /// The number of tasks to find capacity for.
     pub tasks: u32,
-    /// Rather wait than pay for ordinary machines where spot ones would do.
+    /// If the job may use spot machines, its tasks wait for one rather than get an on-demand
+    /// machine.
     pub spot_only: bool,
-    /// The job's tasks per zone that are, or may still be, on machines. Where
-    /// its tasks must be apart or together, room in the wrong zone is none.
-    pub zones: BTreeMap<String, u32>,
-    /// Tasks that the limits per zone count: the job's, or those of the room
-    /// to spare.
-    pub of: u32,
-    /// Room to spare, not tasks that wait.
-    pub spare: bool,
+    /// The number of the job's tasks that are, or may still be, on machines, by zone. If the
+    /// job has zone affinity or anti-affinity, capacity in a wrong zone does not count.
+    pub tasks_by_zone: BTreeMap<String, u32>,
+    /// The total number of tasks from which the limits per zone follow: those of the job, or
+    /// for headroom those of the headroom.
+    pub zone_limit_tasks: u32,
+    /// Whether this is headroom rather than waiting tasks.
+    pub is_headroom: bool,
 }
 
 impl<'a> Demand<'a> {
-    /// Room to spare for some tasks like the job's, in the zones as if they
-    /// were a job of their own.
-    pub fn spare(spec: &'a JobSpec, tasks: u32) -> Demand<'a> {
-        Demand { spec, tasks, spot_only: false, zones: BTreeMap::new(), of: tasks, spare: true }
+    /// Headroom for this many tasks like the job's, spread over zones as if they were a job
+    /// of their own.
+    pub fn headroom(spec: &'a JobSpec, tasks: u32) -> Demand<'a> {
+        Demand {
+            spec,
+            tasks,
+            spot_only: false,
+            tasks_by_zone: BTreeMap::new(),
+            zone_limit_tasks: tasks,
+            is_headroom: true,
+        }
     }
 
-    fn capacity_in(&self, zones: &BTreeMap<String, u32>, zone: &str) -> u32 {
-        zone_capacity(self.spec, self.of, zones, zone)
+    /// How many more tasks may be in this zone, given those in each zone.
+    fn capacity_in(&self, tasks_by_zone: &BTreeMap<String, u32>, zone: &str) -> u32 {
+        zone_capacity(self.spec, self.zone_limit_tasks, tasks_by_zone, zone)
     }
 }
 
-/// A type, zone and kind of machine.
+/// A kind of machine that the cloud rents out.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Offer {
+    /// The label of the machine type.
     pub machine_type: String,
+    /// The zone of the machine.
     pub zone: String,
+    /// Whether it is a spot machine, which the cloud may take back, rather than on-demand.
     pub spot: bool,
 }
 
+/// A number of machines to rent of one offer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Rental {
+    /// The kind of machine.
     pub offer: Offer,
+    /// How many machines of it to rent.
     pub number: u32,
 }
 
-/// After how long a silent machine is given up. One that was only cut off goes
-/// on if it comes back within its lease; if it was given up, its tasks wait
-/// elsewhere for their images, `image_s`. Where that is long, it is given up
-/// later than at the ordinary `limit_s`, at the end of its lease at the latest.
+/// The time after which a silent machine is declared lost. A machine that was only
+/// partitioned continues its tasks if it comes back within its lease. If it was declared
+/// lost before, its tasks start elsewhere, where fetching their images takes `image_s`.
+/// So if that is long, the machine is declared lost later than after the usual `limit_s`,
+/// but at the end of its lease at the latest unless `limit_s` is longer.
 pub fn declared_lost_after_s(limit_s: f64, image_s: f64, lease_s: f64) -> f64 {
-    limit_s.max((image_s * RESTART_SHARE).min(lease_s))
+    limit_s.max((image_s * REFETCH_SHARE).min(lease_s))
 }
 
-/// Whether everything in demand fits in the rooms; takes them up.
-pub fn fits(demand: &[Demand], capacities: &mut [MachineCapacity]) -> bool {
-    demand.iter().all(|d| absorb(d, capacities).0 == 0)
+/// Whether all the demand fits in these capacities, which are reduced by what it uses. Stops
+/// at the first demand that does not fit.
+pub fn all_fit(demand: &[Demand], capacities: &mut [MachineCapacity]) -> bool {
+    demand.iter().all(|one| assign_first_fit(one, capacities).0 == 0)
 }
 
-/// Takes up the room that those tasks will use which wait already.
-pub fn take_up(demand: &[Demand], capacities: &mut [MachineCapacity]) {
-    for d in demand.iter().filter(|d| !d.spare) {
-        absorb(d, capacities);
+/// Reduces these capacities by what the waiting tasks in the demand will use. Headroom
+/// reserves nothing.
+pub fn reserve_for_waiting(demand: &[Demand], capacities: &mut [MachineCapacity]) {
+    for waiting in demand.iter().filter(|one| !one.is_headroom) {
+        assign_first_fit(waiting, capacities);
     }
 }
 
-/// First-fit of one demand; what is left over, and its tasks per zone then.
-fn absorb(d: &Demand, capacities: &mut [MachineCapacity]) -> (u32, BTreeMap<String, u32>) {
-    let mut left = d.tasks;
-    let mut zones = d.zones.clone();
-    if d.spec.zone_affinity && zones.is_empty() {
-        // The zone that can hold most of it.
-        let mut by_zone: BTreeMap<&str, u32> = BTreeMap::new();
-        for r in capacities.iter() {
-            *by_zone.entry(&r.zone).or_default() += r.fits(d.spec).min(left);
+/// Assigns the tasks of one demand to capacities by first fit. Returns the number of tasks
+/// that did not fit, and the number of tasks by zone after the assignment.
+fn assign_first_fit(demand: &Demand, capacities: &mut [MachineCapacity]) -> (u32, BTreeMap<String, u32>) {
+    let spec = demand.spec;
+    let mut left = demand.tasks;
+    let mut tasks_by_zone = demand.tasks_by_zone.clone();
+    if spec.zone_affinity && tasks_by_zone.is_empty() {
+        // The zone that can hold most of the tasks is chosen.
+        let mut fitting_by_zone: BTreeMap<&str, u32> = BTreeMap::new();
+        for capacity in capacities.iter() {
+            *fitting_by_zone.entry(&capacity.zone).or_default() += capacity.fits(spec).min(left);
         }
-        if let Some((zone, _)) = by_zone.iter().filter(|z| *z.1 > 0).max_by_key(|z| *z.1) {
-            zones.insert(zone.to_string(), 0);
+        let fitting = fitting_by_zone.iter().filter(|(_, tasks)| **tasks > 0);
+        if let Some((zone, _)) = fitting.max_by_key(|(_, tasks)| **tasks) {
+            tasks_by_zone.insert(zone.to_string(), 0);
         }
     }
     for capacity in capacities.iter_mut() {
-        let n = capacity.fits(d.spec).min(left);
-        if n == 0 || (d.spec.zone_affinity && zones.keys().any(|z| *z != capacity.zone)) {
+        let fitting = capacity.fits(spec).min(left);
+        if fitting == 0 || (spec.zone_affinity && tasks_by_zone.keys().any(|zone| *zone != capacity.zone)) {
             continue;
         }
-        let n = n.min(d.capacity_in(&zones, &capacity.zone));
-        capacity.take(d.spec, n);
-        *zones.entry(capacity.zone.clone()).or_default() += n;
-        left -= n;
+        let assigned = fitting.min(demand.capacity_in(&tasks_by_zone, &capacity.zone));
+        capacity.take(spec, assigned);
+        *tasks_by_zone.entry(capacity.zone.clone()).or_default() += assigned;
+        left -= assigned;
         if left == 0 {
             break;
         }
     }
-    (left, zones)
+    (left, tasks_by_zone)
 }
 
-/// The cheapest rentals for what does not fit in `capacities`, which hold the free
-/// room of machines that are up and all of those that boot.
-pub fn wanted_rentals(
+/// Plans the cheapest rentals for the demand that does not fit in `capacities`, with at most
+/// `max_machines` machines and none of the `unavailable` offers. `capacities` holds the free
+/// capacity of machines that are up and the whole capacity of machines that are booting.
+pub fn plan_rentals(
     demand: &[Demand],
     mut capacities: Vec<MachineCapacity>,
     types: &[MachineType],
-    refused: &BTreeSet<Offer>,
-    most: u32,
+    unavailable: &BTreeSet<Offer>,
+    max_machines: u32,
 ) -> Vec<Rental> {
     let mut rentals: Vec<Rental> = Vec::new();
-    let mut budget = most;
-    let mut standing: BTreeMap<String, u32> = BTreeMap::new();
-    for r in &capacities {
-        *standing.entry(r.zone.clone()).or_default() += 1;
+    let mut machines_left = max_machines;
+    let mut machines_by_zone: BTreeMap<String, u32> = BTreeMap::new();
+    for capacity in &capacities {
+        *machines_by_zone.entry(capacity.zone.clone()).or_default() += 1;
     }
-    for d in demand {
-        let (mut left, mut zones) = absorb(d, &mut capacities);
-        while left > 0 && budget > 0 {
-            let Some((offer, t, each)) = cheapest(d, left, types, refused, &zones, &standing) else {
+    for one in demand {
+        let (mut left, mut tasks_by_zone) = assign_first_fit(one, &mut capacities);
+        while left > 0 && machines_left > 0 {
+            let Some((offer, machine_type, tasks_per_machine)) =
+                cheapest_offer(one, left, types, unavailable, &tasks_by_zone, &machines_by_zone)
+            else {
                 break;
             };
-            let here = left.min(d.capacity_in(&zones, &offer.zone));
-            let number = here.div_ceil(each).min(budget);
-            budget -= number;
+            let tasks_in_zone = left.min(one.capacity_in(&tasks_by_zone, &offer.zone));
+            let number = tasks_in_zone.div_ceil(tasks_per_machine).min(machines_left);
+            machines_left -= number;
             for _ in 0..number {
-                let mut capacity = MachineCapacity::empty("", t, &offer.zone, offer.spot);
-                let n = capacity.fits(d.spec).min(left).min(d.capacity_in(&zones, &offer.zone));
-                capacity.take(d.spec, n);
-                *zones.entry(offer.zone.clone()).or_default() += n;
-                left -= n;
+                let mut capacity = MachineCapacity::empty("", machine_type, &offer.zone, offer.spot);
+                let allowed = one.capacity_in(&tasks_by_zone, &offer.zone);
+                let assigned = capacity.fits(one.spec).min(left).min(allowed);
+                capacity.take(one.spec, assigned);
+                *tasks_by_zone.entry(offer.zone.clone()).or_default() += assigned;
+                left -= assigned;
                 capacities.push(capacity);
             }
-            *standing.entry(offer.zone.clone()).or_default() += number;
-            match rentals.iter_mut().find(|r| r.offer == offer) {
-                Some(r) => r.number += number,
+            *machines_by_zone.entry(offer.zone.clone()).or_default() += number;
+            match rentals.iter_mut().find(|rental| rental.offer == offer) {
+                Some(rental) => rental.number += number,
                 None => rentals.push(Rental { offer, number }),
             }
         }
@@ -144,43 +174,44 @@
     rentals
 }
 
-/// The offer with the lowest price for the tasks it would really hold; among
-/// equals the zone with the fewest machines, so that what fails in one zone
-/// takes no more than its part.
-fn cheapest<'a>(
-    d: &Demand,
+/// The offer with the lowest price per task that it would really hold, with its machine type
+/// and the number of tasks per machine. Among equals, the offer in the zone with the fewest
+/// machines is taken, so that the failure of a zone affects no more than its share.
+fn cheapest_offer<'a>(
+    demand: &Demand,
     left: u32,
     types: &'a [MachineType],
-    refused: &BTreeSet<Offer>,
-    zones: &BTreeMap<String, u32>,
-    standing: &BTreeMap<String, u32>,
+    unavailable: &BTreeSet<Offer>,
+    tasks_by_zone: &BTreeMap<String, u32>,
+    machines_by_zone: &BTreeMap<String, u32>,
 ) -> Option<(Offer, &'a MachineType, u32)> {
+    let spec = demand.spec;
     let mut best: Option<((f64, u32), Offer, &MachineType, u32)> = None;
-    for t in types {
-        for zone in &t.zones {
-            let here = left.min(d.capacity_in(zones, zone));
-            if here == 0 || (d.spec.zone_affinity && zones.keys().any(|z| z != zone)) {
+    for machine_type in types {
+        for zone in &machine_type.zones {
+            let tasks_in_zone = left.min(demand.capacity_in(tasks_by_zone, zone));
+            if tasks_in_zone == 0 || (spec.zone_affinity && tasks_by_zone.keys().any(|other| other != zone)) {
                 continue;
             }
             for spot in [true, false] {
-                let offer = Offer { machine_type: t.label.clone(), zone: zone.clone(), spot };
-                let each = MachineCapacity::empty("", t, zone, spot).fits(d.spec);
-                if d.spot_only && d.spec.spot_allowed && !spot {
+                let offer = Offer { machine_type: machine_type.label.clone(), zone: zone.clone(), spot };
+                let tasks_per_machine = MachineCapacity::empty("", machine_type, zone, spot).fits(spec);
+                if demand.spot_only && spec.spot_allowed && !spot {
                     continue;
                 }
-                if each == 0 || refused.contains(&offer) {
+                if tasks_per_machine == 0 || unavailable.contains(&offer) {
                     continue;
                 }
-                let price = if spot { t.spot_price } else { t.on_demand_price };
-                let cost = price * f64::from(here.div_ceil(each)) / f64::from(here);
-                let order = (cost, standing.get(zone).copied().unwrap_or(0));
-                if best.as_ref().is_none_or(|b| order < b.0) {
-                    best = Some((order, offer, t, each));
+                let price = if spot { machine_type.spot_price } else { machine_type.on_demand_price };
+                let cost = price * f64::from(tasks_in_zone.div_ceil(tasks_per_machine)) / f64::from(tasks_in_zone);
+                let order = (cost, machines_by_zone.get(zone).copied().unwrap_or(0));
+                if best.as_ref().is_none_or(|(best_order, ..)| order < *best_order) {
+                    best = Some((order, offer, machine_type, tasks_per_machine));
                 }
             }
         }
     }
-    best.map(|(_, offer, t, each)| (offer, t, each))
+    best.map(|(_, offer, machine_type, tasks_per_machine)| (offer, machine_type, tasks_per_machine))
 }
 
 #[cfg(test)]
@@ -202,84 +233,93 @@
         }]
     }
 
-    fn rentals(d: Demand, capacities: Vec<MachineCapacity>, refused: &[bool]) -> Vec<(bool, u32)> {
+    fn rentals(demand: Demand, capacities: Vec<MachineCapacity>, unavailable: &[bool]) -> Vec<(bool, u32)> {
         let offer = |spot| Offer { machine_type: "std".into(), zone: "a".into(), spot };
-        let refused = refused.iter().map(|s| offer(*s)).collect();
-        wanted_rentals(&[d], capacities, &types(), &refused, 50).iter().map(|r| (r.offer.spot, r.number)).collect()
+        let unavailable = unavailable.iter().map(|spot| offer(*spot)).collect();
+        plan_rentals(&[demand], capacities, &types(), &unavailable, 50)
+            .iter()
+            .map(|r| (r.offer.spot, r.number))
+            .collect()
     }
 
-    /// Room that boots must count, or each look rents the same machines again.
+    /// Guards against renting the same machines again at every check, which happens if the
+    /// capacity of booting machines does not count.
     #[test]
-    fn only_what_does_not_fit_is_rented() {
-        // Room to spare is asked for more tasks than the job at hand has.
-        let s = JobSpec::example("run-1");
-        let d = |tasks| Demand { tasks, ..Demand::spare(&s, tasks) };
-        let boots = || vec![MachineCapacity::empty("m", &types()[0], "a", true)];
-        assert_eq!(rentals(d(4), boots(), &[]), vec![]);
-        assert_eq!(rentals(d(9), boots(), &[]), vec![(true, 2)]);
-        assert_eq!(rentals(d(9), boots(), &[true]), vec![(false, 2)]);
+    fn machines_are_rented_only_for_demand_that_does_not_fit() {
+        // Headroom may be for more tasks than the job has.
+        let spec = JobSpec::example("run-1");
+        let demand = |tasks| Demand { tasks, ..Demand::headroom(&spec, tasks) };
+        let booting = || vec![MachineCapacity::empty("m", &types()[0], "a", true)];
+        assert_eq!(rentals(demand(4), booting(), &[]), vec![]);
+        assert_eq!(rentals(demand(9), booting(), &[]), vec![(true, 2)]);
+        assert_eq!(rentals(demand(9), booting(), &[true]), vec![(false, 2)]);
     }
 
     #[test]
-    fn cost_saving_waits_where_spot_would_do_and_pays_where_it_may_not() {
-        let (any, mut ordinary) = (JobSpec::example("run-1"), JobSpec::example("run-2"));
-        ordinary.spot_allowed = false;
+    fn spot_only_demand_gets_on_demand_machines_only_if_its_job_may_not_use_spot() {
+        let (spot_allowed, mut on_demand) = (JobSpec::example("run-1"), JobSpec::example("run-2"));
+        on_demand.spot_allowed = false;
         fn spot_only(spec: &JobSpec) -> Demand<'_> {
-            Demand { spot_only: true, ..Demand::spare(spec, 2) }
+            Demand { spot_only: true, ..Demand::headroom(spec, 2) }
         }
-        assert_eq!(rentals(spot_only(&any), vec![], &[true]), vec![]);
-        assert_eq!(rentals(spot_only(&ordinary), vec![], &[true]), vec![(false, 1)]);
+        assert_eq!(rentals(spot_only(&spot_allowed), vec![], &[true]), vec![]);
+        assert_eq!(rentals(spot_only(&on_demand), vec![], &[true]), vec![(false, 1)]);
     }
 
-    /// Services whose replicas must be apart waited for ever, half of them up,
-    /// while the one zone that looked cheapest had room for all: that room is
-    /// none for them, and the next machines come from another zone.
+    /// Guards against a service with zone anti-affinity that waits for ever with half of its
+    /// replicas up: the zone that looked cheapest had capacity for all of them, and this
+    /// counted although they may not use it. Machines must come from another zone.
     #[test]
     fn capacity_in_the_wrong_zone_does_not_count() {
         let mut types = types();
         types[0].zones = ["a", "b", "c"].map(String::from).to_vec();
         let capacity = |zone: &str| MachineCapacity::empty("m", &types[0], zone, false);
-        let mut s = JobSpec::example("run-1");
-        s.cores = 2.0;
-        s.task_count = 4;
-        s.zone_anti_affinity = true;
-        let d = Demand { of: 4, zones: BTreeMap::from([("a".into(), 2)]), ..Demand::spare(&s, 2) };
-        let zones = |d: Demand, capacities: Vec<MachineCapacity>| -> Vec<(String, u32)> {
-            let rentals = wanted_rentals(&[d], capacities, &types, &BTreeSet::new(), 50);
-            rentals.into_iter().map(|r| (r.offer.zone, r.number)).collect()
+        let mut spec = JobSpec::example("run-1");
+        spec.cores = 2.0;
+        spec.task_count = 4;
+        spec.zone_anti_affinity = true;
+        let demand = || Demand {
+            zone_limit_tasks: 4,
+            tasks_by_zone: BTreeMap::from([("a".into(), 2)]),
+            ..Demand::headroom(&spec, 2)
+        };
+        let rented = |demand: Demand, capacities: Vec<MachineCapacity>| -> Vec<(String, u32)> {
+            let rentals = plan_rentals(&[demand], capacities, &types, &BTreeSet::new(), 50);
+            rentals.into_iter().map(|rental| (rental.offer.zone, rental.number)).collect()
         };
-        assert_eq!(zones(d, vec![capacity("a"), capacity("a"), capacity("b")]), []);
-        let d = Demand { of: 4, zones: BTreeMap::from([("a".into(), 2)]), ..Demand::spare(&s, 2) };
-        // Not where most machines are already.
-        assert_eq!(zones(d, vec![capacity("a"), capacity("a")]), [("b".to_string(), 1)]);
-        s.zone_anti_affinity = false;
-        s.zone_affinity = true;
-        s.cores = 4.0;
-        let gang = || Demand::spare(&s, 2);
-        assert_eq!(zones(gang(), vec![capacity("a"), capacity("b"), capacity("b")]), []);
-        assert_eq!(zones(gang(), vec![capacity("a"), capacity("b")]).iter().map(|r| r.1).sum::<u32>(), 1);
+        assert_eq!(rented(demand(), vec![capacity("a"), capacity("a"), capacity("b")]), []);
+        // Among zones of the same price, the one with the fewest machines is chosen.
+        assert_eq!(rented(demand(), vec![capacity("a"), capacity("a")]), [("b".to_string(), 1)]);
+        spec.zone_anti_affinity = false;
+        spec.zone_affinity = true;
+        spec.cores = 4.0;
+        let gang = || Demand::headroom(&spec, 2);
+        assert_eq!(rented(gang(), vec![capacity("a"), capacity("b"), capacity("b")]), []);
+        let rentals = rented(gang(), vec![capacity("a"), capacity("b")]);
+        assert_eq!(rentals.iter().map(|(_, number)| number).sum::<u32>(), 1);
     }
 
-    /// Machines cut off for 20 s were given up after 15 s, and their tasks waited
-    /// 40 s and more for images elsewhere; with small images that is still right.
+    /// Guards against declaring machines that are partitioned for 20 s lost after 15 s, upon
+    /// which their tasks waited 40 s and more for their images elsewhere. With small images,
+    /// 15 s is still right.
     #[test]
-    fn machines_are_given_up_later_where_images_take_long() {
+    fn machines_are_declared_lost_later_if_images_take_long_to_fetch() {
         assert_eq!(declared_lost_after_s(5.0, 2.5, 18.0), 5.0);
         assert_eq!(declared_lost_after_s(15.0, 50.0, 28.0), 25.0);
         assert_eq!(declared_lost_after_s(15.0, 500.0, 28.0), 28.0);
         assert_eq!(declared_lost_after_s(30.0, 500.0, 28.0), 30.0);
     }
 
-    /// Machines that boot for services were room for gangs as well, which
-    /// therefore got none of their own until the services had taken it.
+    /// Guards against counting machines that boot for services as capacity for gangs as well:
+    /// gangs then got no machines of their own until the services had started.
     #[test]
-    fn capacity_that_services_will_take_does_not_count_for_others() {
-        let s = JobSpec::example("run-1");
-        let d = |spare| Demand { spare, ..Demand::spare(&s, 3) };
+    fn capacity_reserved_for_services_does_not_count_for_others() {
+        let spec = JobSpec::example("run-1");
+        let demand = |is_headroom| Demand { is_headroom, ..Demand::headroom(&spec, 3) };
         let mut capacities = vec![MachineCapacity::empty("m", &types()[0], "a", false)];
-        take_up(&[d(true)], &mut capacities);
+        reserve_for_waiting(&[demand(true)], &mut capacities);
         assert_eq!(capacities[0].cores, 4.0);
-        take_up(&[d(false)], &mut capacities);
+        reserve_for_waiting(&[demand(false)], &mut capacities);
         assert_eq!(capacities[0].cores, 1.0);
     }
 }
