--- a/src/controller/autoscaler/mod.rs
+++ b/src/controller/autoscaler/mod.rs
@@ -16,6 +16,8 @@
 
 /// Longest interval between two checks of the fleet, in lags of the cloud's machine list.
 const CHECK_INTERVAL_LAGS: f64 = 0.1;
+/// Longest interval between two checks of the fleet, in heartbeat intervals.
+const CHECK_INTERVAL_HEARTBEATS: f64 = 0.25;
 
 /// State of the autoscaler: rentals, and observations of the fleet kept between two checks.
 #[derive(Debug, Default)]
@@ -90,7 +92,7 @@
             return;
         }
         let lag = self.secs(self.config.settings.cloud.list_lag_s * CHECK_INTERVAL_LAGS);
-        self.autoscaler.next_check_at = now + self.heartbeat_intervals(0.25).min(lag);
+        self.autoscaler.next_check_at = now + self.heartbeat_intervals(CHECK_INTERVAL_HEARTBEATS).min(lag);
         self.read_machine_list();
         self.store_catalog();
         if !self.cloud.has_list() || self.cloud.catalog().is_empty() {
--- a/src/controller/autoscaler/scale_out.rs
+++ b/src/controller/autoscaler/scale_out.rs
@@ -12,6 +12,9 @@
 
 /// Timeout of a rental request, in heartbeat intervals.
 const RENT_TIMEOUT_INTERVALS: f64 = 2.0;
+/// Upper bound on the boot limit of a new rental. The limit of an unknown machine type is too
+/// large for a `Duration`.
+const MAX_BOOT_LIMIT_S: f64 = 1e6;
 
 impl Controller {
     /// Free capacity of all machines that are up, booting or just rented, spot machines first.
@@ -28,7 +31,7 @@
             }
         }
         for (name, rented) in &self.autoscaler.rented {
-            let boot_limit = self.secs(self.boot_limit_s(&rented.offer.machine_type).min(1e6));
+            let boot_limit = self.secs(self.boot_limit_s(&rented.offer.machine_type).min(MAX_BOOT_LIMIT_S));
             let newly_rented = self.now.saturating_sub(rented.at) < boot_limit;
             if newly_rented
                 && expected(name)
--- a/src/maintenance/campaign.rs
+++ b/src/maintenance/campaign.rs
@@ -8,6 +8,9 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
+/// Waves stop doubling after this many, so that the shift cannot overflow.
+const MAX_DOUBLINGS: u32 = 16;
+
 /// The operator's selection of the machines to drain, and the sizes of the waves. A machine
 /// is selected if it matches every criterion that is given.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
@@ -23,7 +26,8 @@
     pub spot: Option<bool>,
     /// The names of the machines.
     pub machines: Option<Vec<String>>,
-    /// The number of machines in the first wave. Each further wave has twice as many.
+    /// The number of machines in the first wave. Each further wave has twice as many as the
+    /// one before it, up to `wave`.
     pub first: u32,
     /// The largest number of machines in a wave.
     pub wave: u32,
@@ -46,7 +50,7 @@
 
     /// The number of machines in the next wave after `waves` finished ones.
     fn next_wave_size(&self, waves: u32) -> usize {
-        let doubled = u64::from(self.first) << waves.min(16);
+        let doubled = u64::from(self.first) << waves.min(MAX_DOUBLINGS);
         doubled.min(u64::from(self.wave)) as usize
     }
 }
