--- a/src/connectivity/heartbeat_tracking.rs
+++ b/src/connectivity/heartbeat_tracking.rs
@@ -18,7 +18,7 @@
 use std::time::Duration;
 
 /// Agent epoch and heartbeat sequence number of a worker's message, compared in this order.
-pub type At = (u64, u64);
+pub type HeartbeatCounters = (u64, u64);
 
 /// How a message compares with the newest known one of its machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -35,7 +35,7 @@
 #[derive(Debug, Default)]
 struct TrackedMachine {
     /// The counters of its newest message.
-    newest: At,
+    newest: HeartbeatCounters,
     /// When it last sent a message to this controller that proves it alive.
     alive_at: Option<Instant>,
     /// When it is known to have restarted: what others received before that is void.
@@ -52,7 +52,7 @@
 
 impl HeartbeatTracker {
     /// Records a heartbeat that was received here, and returns how new it is.
-    pub fn record_heartbeat(&mut self, machine: &str, counters: At, now: Instant) -> Freshness {
+    pub fn record_heartbeat(&mut self, machine: &str, counters: HeartbeatCounters, now: Instant) -> Freshness {
         let Some(tracked) = self.machines.get_mut(machine) else {
             self.machines.insert(machine.to_string(), TrackedMachine { newest: counters, ..TrackedMachine::default() });
             return Freshness::First;
@@ -67,7 +67,7 @@
 
     /// Records that the machine is proved alive: it presented our fencing token, or answered a
     /// probe.
-    pub fn record_alive(&mut self, machine: &str, counters: At, now: Instant) {
+    pub fn record_alive(&mut self, machine: &str, counters: HeartbeatCounters, now: Instant) {
         let tracked = self.machines.entry(machine.to_string()).or_default();
         tracked.newest = tracked.newest.max(counters);
         tracked.alive_at = Some(now);
@@ -75,7 +75,7 @@
 
     /// Records a restart of the machine: it answered our probe with counters below those that
     /// were known when the probe was sent.
-    pub fn record_restart(&mut self, machine: &str, counters: At, now: Instant) {
+    pub fn record_restart(&mut self, machine: &str, counters: HeartbeatCounters, now: Instant) {
         let tracked = self.machines.entry(machine.to_string()).or_default();
         *tracked = TrackedMachine {
             newest: counters,
@@ -86,7 +86,7 @@
     }
 
     /// Records that another controller received a message of the machine at `received_at`.
-    pub fn record_elsewhere(&mut self, machine: &str, counters: At, received_at: Instant) {
+    pub fn record_elsewhere(&mut self, machine: &str, counters: HeartbeatCounters, received_at: Instant) {
         let tracked = self.machines.entry(machine.to_string()).or_default();
         if tracked.restarted_at.is_none_or(|restarted_at| received_at > restarted_at) {
             tracked.newest = tracked.newest.max(counters);
@@ -104,7 +104,7 @@
     }
 
     /// The counters of the newest known message of the machine, `(0, 0)` if there is none.
-    pub fn newest_counters(&self, machine: &str) -> At {
+    pub fn newest_counters(&self, machine: &str) -> HeartbeatCounters {
         self.machines.get(machine).map_or((0, 0), |tracked| tracked.newest)
     }
 
@@ -115,7 +115,7 @@
 
     /// All machines that are proved alive by a message to this controller, each with the time of
     /// the last such message and the newest counters.
-    pub fn alive_machines(&self) -> impl Iterator<Item = (&str, Instant, At)> {
+    pub fn alive_machines(&self) -> impl Iterator<Item = (&str, Instant, HeartbeatCounters)> {
         self.machines
             .iter()
             .filter_map(|(machine, tracked)| Some((machine.as_str(), tracked.alive_at?, tracked.newest)))
--- a/src/connectivity/peer_table.rs
+++ b/src/connectivity/peer_table.rs
@@ -9,7 +9,7 @@
 #![warn(missing_docs)]
 
 use super::failure_detector::FailureDetector;
-use super::heartbeat_tracking::At;
+use super::heartbeat_tracking::HeartbeatCounters;
 use crate::protocol::peer::{Acknowledgement, PeerHeartbeat, Revocations};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::time::Duration;
@@ -28,7 +28,7 @@
     /// Tells from the intervals between the peer's heartbeats whether the next one is overdue.
     detector: FailureDetector,
     /// When the heartbeat was received.
-    pub at: Duration,
+    pub received_at: Duration,
     /// Incarnation (process) that sent the heartbeat.
     incarnation: u64,
     /// Earlier incarnations of the peer, the latest of them last.
@@ -36,9 +36,9 @@
     /// Sequence number of the heartbeat.
     seq: u64,
     /// How old the peer's replica of the store was.
-    pub stale: Duration,
+    pub replica_age: Duration,
     /// Machines that had sent a heartbeat to the peer: how long before, and with which counters.
-    recent_machines: HashMap<String, (Duration, At)>,
+    recent_machines: HashMap<String, (Duration, HeartbeatCounters)>,
     /// Machines that had answered a probe of the peer, and how long before.
     probe_answers: HashMap<String, Duration>,
     /// Machines of the peer's own shard that neither send heartbeats nor answer its probe.
@@ -60,11 +60,11 @@
     fn new(heartbeat: &PeerHeartbeat, interval: Duration, now: Duration) -> Peer {
         Peer {
             detector: FailureDetector::new(interval),
-            at: now,
+            received_at: now,
             incarnation: heartbeat.incarnation,
             earlier_incarnations: VecDeque::new(),
             seq: 0,
-            stale: Duration::MAX,
+            replica_age: Duration::MAX,
             recent_machines: HashMap::new(),
             probe_answers: HashMap::new(),
             missed_machines: BTreeSet::new(),
@@ -96,8 +96,8 @@
             }
         }
         self.detector.heartbeat(now);
-        (self.at, self.incarnation, self.seq) = (now, heartbeat.incarnation, heartbeat.seq);
-        self.stale = Duration::from_millis(heartbeat.stale_ms);
+        (self.received_at, self.incarnation, self.seq) = (now, heartbeat.incarnation, heartbeat.seq);
+        self.replica_age = Duration::from_millis(heartbeat.stale_ms);
         self.sent_after = sent_after;
         (self.revision, self.known_revision) = (heartbeat.revision, heartbeat.known_revision);
         self.revocations.clone_from(&heartbeat.revocations);
@@ -120,7 +120,7 @@
 
     /// Machines that had sent a heartbeat to the peer: each with the time from its last message
     /// to the peer's heartbeat, and the counters of that message.
-    pub fn recent_machines(&self) -> impl Iterator<Item = (&str, Duration, At)> {
+    pub fn recent_machines(&self) -> impl Iterator<Item = (&str, Duration, HeartbeatCounters)> {
         self.recent_machines.iter().map(|(machine, (age, counters))| (machine.as_str(), *age, *counters))
     }
 }
@@ -196,7 +196,7 @@
     /// The peer, if its last heartbeat is known to be recent. Such a peer receives ours.
     pub fn recent_peer(&self, member: &str) -> Option<&Peer> {
         let peer = self.peers.get(member)?;
-        let oldest_allowed = peer.at.saturating_sub(self.interval.mul_f64(MAX_ACKNOWLEDGEMENT_AGE_INTERVALS));
+        let oldest_allowed = peer.received_at.saturating_sub(self.interval.mul_f64(MAX_ACKNOWLEDGEMENT_AGE_INTERVALS));
         peer.sent_after.is_some_and(|sent_after| sent_after >= oldest_allowed).then_some(peer)
     }
 
@@ -208,7 +208,7 @@
     /// When a machine last sent a heartbeat to a peer, according to the peer's recent heartbeat.
     pub fn heartbeat_received_at(&self, member: &str, machine: &str) -> Option<Duration> {
         let peer = self.recent_peer(member)?;
-        Some(peer.at.saturating_sub(peer.recent_machines.get(machine)?.0))
+        Some(peer.received_at.saturating_sub(peer.recent_machines.get(machine)?.0))
     }
 
     /// Whether any peer reported the machine in its last heartbeat, recent or not.
@@ -230,25 +230,25 @@
     /// When a silent machine answered a peer's probe, according to the peer's recent heartbeat.
     pub fn probe_answered_at(&self, member: &str, machine: &str) -> Option<Duration> {
         let peer = self.recent_peer(member)?;
-        Some(peer.at.saturating_sub(*peer.probe_answers.get(machine)?))
+        Some(peer.received_at.saturating_sub(*peer.probe_answers.get(machine)?))
     }
 
     /// Whether some peer received a heartbeat or a probe answer of the machine within `limit`. The
     /// peer's own heartbeat need not be recent: a doubt is enough to spare the machine. The
     /// machine's heartbeat must be newer than `known`, or it was a delayed copy.
-    pub fn any_reaches(&self, machine: &str, known: At, limit: Duration, now: Duration) -> bool {
+    pub fn any_reaches(&self, machine: &str, known: HeartbeatCounters, limit: Duration, now: Duration) -> bool {
         self.peers.values().any(|peer| {
             let heartbeat_age =
                 peer.recent_machines.get(machine).filter(|(_, counters)| *counters > known).map(|(age, _)| *age);
             let probe_answer_age = peer.probe_answers.get(machine).copied();
-            let elapsed = now.saturating_sub(peer.at);
+            let elapsed = now.saturating_sub(peer.received_at);
             [heartbeat_age, probe_answer_age].iter().flatten().any(|age| *age + elapsed < limit)
         })
     }
 
     /// A peer that reaches the store now, as far as its heartbeats tell.
     pub fn find_with_store_access(&self, now: Duration, max_age: Duration) -> Option<&str> {
-        let reaches_store = |member: &str, peer: &Peer| peer.stale < max_age && self.is_connected(member, now);
+        let reaches_store = |member: &str, peer: &Peer| peer.replica_age < max_age && self.is_connected(member, now);
         self.peers().find(|(member, peer)| reaches_store(member, peer)).map(|(member, _)| member)
     }
 
@@ -263,7 +263,7 @@
     /// The revision that the replicas of all peers have reached, as far as they report it. Counts
     /// only peers that sent a heartbeat `within` this time.
     pub fn min_applied_revision(&self, now: Duration, within: Duration) -> Option<u64> {
-        let recent = self.peers.values().filter(|peer| now.saturating_sub(peer.at) < within);
+        let recent = self.peers.values().filter(|peer| now.saturating_sub(peer.received_at) < within);
         recent.filter_map(|peer| peer.revision).min()
     }
 
@@ -290,7 +290,7 @@
     /// its response is still on the way, is told and acted on after T. A controller that restarted
     /// has no replica until it has read everything that its predecessor can have acted on, and
     /// attests nothing before.
-    pub fn attested(
+    pub fn read_index_time(
         &self,
         others: impl IntoIterator<Item = impl AsRef<str>>,
         revision: u64,
--- a/src/connectivity/peer_table/tests.rs
+++ b/src/connectivity/peer_table/tests.rs
@@ -128,16 +128,16 @@
     let mut peers = peer_table();
     let (first, _) = peers.send(s(10.0));
     let (second, _) = peers.send(s(12.0));
-    let attested = |peers: &PeerTable, revision| peers.attested(["a", "b"], revision, |_| true);
+    let read_index_time = |peers: &PeerTable, revision| peers.read_index_time(["a", "b"], revision, |_| true);
     peers.receive("a", &heartbeat(1, Some(second), &[], Some(40)), s(12.1));
-    assert_eq!(attested(&peers, 50), None, "b sent nothing");
+    assert_eq!(read_index_time(&peers, 50), None, "b sent nothing");
     peers.receive("b", &heartbeat(1, Some(first), &[], None), s(12.2));
-    assert_eq!(attested(&peers, 50), None, "b has no replica");
+    assert_eq!(read_index_time(&peers, 50), None, "b has no replica");
     peers.receive("b", &heartbeat(2, Some(first), &[], Some(60)), s(12.3));
-    assert_eq!(attested(&peers, 50), None, "b has a newer replica");
-    assert_eq!(attested(&peers, 60), Some(s(10.0)));
+    assert_eq!(read_index_time(&peers, 50), None, "b has a newer replica");
+    assert_eq!(read_index_time(&peers, 60), Some(s(10.0)));
     peers.receive("b", &heartbeat(3, None, &[], Some(60)), s(12.4));
-    assert_eq!(attested(&peers, 60), None, "b does not receive ours");
+    assert_eq!(read_index_time(&peers, 60), None, "b does not receive ours");
 }
 
 /// A controller learned of a cancellation from the response to its own write and told the user
@@ -148,8 +148,8 @@
     let mut peers = peer_table();
     let (n, _) = peers.send(s(10.0));
     peers.receive("a", &PeerHeartbeat { known_revision: 41, ..heartbeat(1, Some(n), &[], Some(40)) }, s(10.1));
-    assert_eq!(peers.attested(["a"], 40, |_| true), None);
-    assert_eq!(peers.attested(["a"], 41, |_| true), Some(s(10.0)));
+    assert_eq!(peers.read_index_time(["a"], 40, |_| true), None);
+    assert_eq!(peers.read_index_time(["a"], 41, |_| true), Some(s(10.0)));
 }
 
 /// Revocations stand in for the changes that a replica lacks, but only if they start no later
@@ -165,9 +165,9 @@
         ..heartbeat(seq, Some(n), &[], Some(47))
     };
     peers.receive("a", &heartbeat_with(1, 40, &revocations), s(10.1));
-    assert_eq!(peers.attested(["a"], 40, |applied| *applied == revocations), Some(s(10.0)));
-    assert_eq!(peers.attested(["a"], 40, |applied| applied.cancelled.is_empty()), None, "not applied");
-    assert_eq!(peers.attested(["a"], 39, |_| true), None, "changes between 39 and 40 are unknown");
+    assert_eq!(peers.read_index_time(["a"], 40, |applied| *applied == revocations), Some(s(10.0)));
+    assert_eq!(peers.read_index_time(["a"], 40, |applied| applied.cancelled.is_empty()), None, "not applied");
+    assert_eq!(peers.read_index_time(["a"], 39, |_| true), None, "changes between 39 and 40 are unknown");
     assert_eq!(peers.min_applied_revision(s(11.0), s(18.0)), Some(47));
     assert_eq!(peers.min_applied_revision(s(40.0), s(18.0)), None, "no recent heartbeat");
 }
--- a/src/controller/agents/adoption.rs
+++ b/src/controller/agents/adoption.rs
@@ -9,7 +9,7 @@
 
 impl Agents {
     /// Has the machines compared with the replica again, after that was read anew.
-    pub(in crate::controller) fn forget_followed_records(&mut self) {
+    pub(in crate::controller) fn invalidate_machines(&mut self) {
         self.applied_records_version = None;
     }
 
@@ -43,7 +43,7 @@
             if let Some(machine) = self.machines.get_mut(name).filter(|machine| machine.is_under(term, epoch)) {
                 // The same grant in a newer version of the record: the fencing token keeps its
                 // counter.
-                machine.grant = record.version;
+                machine.grant_version = record.version;
                 continue;
             }
             let mut machine = Machine::new(record.version, term, epoch, now);
--- a/src/controller/agents/commands.rs
+++ b/src/controller/agents/commands.rs
@@ -31,7 +31,8 @@
         let mut wanted = placed.clone();
         wanted.retain(|(uid, index), attempt| {
             let key = (uid.clone(), *index, *attempt);
-            let has_stopped = |machine: &Machine| machine.preempted.contains_key(&key) || machine.gone.contains(&key);
+            let has_stopped =
+                |machine: &Machine| machine.preempted.contains_key(&key) || machine.proven_ended.contains(&key);
             state.jobs.get(uid).is_some_and(&may_run) && !machine.is_some_and(has_stopped)
         });
         let mut kept = placed;
@@ -98,23 +99,26 @@
             return;
         }
         let commands = machine.commands(&tasks.wanted, &tasks.kept);
-        let commands = machine.to_push(without_partly_placed(commands, &self.state, &self.config));
+        let commands = machine.select_pushes(without_partly_placed(commands, &self.state, &self.config));
         if commands.is_empty() {
             return;
         }
-        let request =
-            CommandRequest { fencing_token: machine.token(), agent_epoch: machine.at.0, commands: commands.into() };
+        let request = CommandRequest {
+            fencing_token: machine.token(),
+            agent_epoch: machine.newest_report.0,
+            commands: commands.into(),
+        };
         let purpose = Purpose::Push { machine: name.to_string(), grant: machine.epoch };
         let timeout = self.heartbeat_intervals(1.0);
         let id =
             self.call(Target::Worker(addr), "POST", COMMANDS_PATH.into(), Some(encode(&request)), timeout, purpose);
         if let Some(machine) = self.agents.machines.get_mut(name) {
-            machine.pushes(id, self.now);
+            machine.record_push(id, self.now);
         }
     }
 
     /// Processes the answer to pushed commands, or the lack of one.
-    pub(in crate::controller) fn push_answer(
+    pub(in crate::controller) fn handle_push_answer(
         &mut self,
         id: CallId,
         name: &str,
@@ -122,19 +126,19 @@
         result: Result<Reply, NoAnswer>,
     ) {
         let Some(machine) = self.agents.machines.get_mut(name) else { return };
-        if machine.push != Some(id) || machine.epoch != grant {
+        if machine.push_in_flight != Some(id) || machine.epoch != grant {
             return;
         }
         let answer = result.ok().filter(|reply| reply.status == 200 || reply.status == 409);
         let heartbeat = answer.and_then(|reply| crate::protocol::decode::<Heartbeat>(&reply.body).ok());
         let Some(heartbeat) = heartbeat.filter(|heartbeat| heartbeat.machine == name) else {
             tracing::debug!(machine = %name, "commands not answered");
-            return machine.push_lost();
+            return machine.record_lost_push();
         };
-        machine.push = None;
-        if machine.take(&heartbeat) {
+        machine.push_in_flight = None;
+        if machine.apply_report(&heartbeat) {
             machine.set_report_proven(true);
-            self.agents.heartbeat_tracker.record_alive(name, machine.at, self.now);
+            self.agents.heartbeat_tracker.record_alive(name, machine.newest_report, self.now);
         }
         self.reconcile(name);
     }
--- a/src/controller/agents/heartbeats.rs
+++ b/src/controller/agents/heartbeats.rs
@@ -1,6 +1,6 @@
 //! Heartbeats of agents: which controller answers them, and what they change.
 
-use super::{Agents, MAX_HEARTBEAT_GAP};
+use super::{Agents, MAX_HEARTBEAT_GAP_INTERVALS};
 use crate::connectivity::heartbeat_tracking::Freshness;
 use crate::controller::Controller;
 use crate::effects::{ConnId, Instant};
@@ -55,8 +55,8 @@
     ) -> Result<bool, &'static str> {
         let name = &heartbeat.machine;
         let machine = self.machines.get_mut(name).ok_or(NOT_GRANTED)?;
-        let is_new_epoch = machine.at.0 > 0 && heartbeat.agent_epoch > machine.at.0;
-        if !machine.take(heartbeat) {
+        let is_new_epoch = machine.newest_report.0 > 0 && heartbeat.agent_epoch > machine.newest_report.0;
+        if !machine.apply_report(heartbeat) {
             return Err(OLDER_REPORT);
         }
         if !machine.raise_token_above_agent() {
@@ -65,13 +65,13 @@
         machine.observe_report(freshness == Freshness::New, now);
         let silent_intervals = machine.heard_at.map(|at| now.saturating_sub(at).as_secs_f64() / heartbeat_interval_s);
         let wakes_scheduler = silent_intervals.is_none_or(|intervals| intervals > 1.0) || machine.answered_at.is_none();
-        if freshness == Freshness::New || machine.sure {
+        if freshness == Freshness::New || machine.report_proven {
             machine.heard_at = Some(now);
             machine.unlisted = false;
-            self.heartbeat_tracker.record_alive(name, machine.at, now);
+            self.heartbeat_tracker.record_alive(name, machine.newest_report, now);
         }
         machine.observe_report_timing(
-            silent_intervals.is_some_and(|intervals| intervals > MAX_HEARTBEAT_GAP),
+            silent_intervals.is_some_and(|intervals| intervals > MAX_HEARTBEAT_GAP_INTERVALS),
             is_new_epoch,
         );
         Ok(wakes_scheduler)
@@ -85,7 +85,7 @@
         if machine.is_some_and(|machine| machine.contradicts_token(heartbeat.fencing_token)) {
             // It is a delayed copy from before a restart of the agent, or the agent restarted
             // since.
-            self.call_back(&heartbeat);
+            self.probe_sender(&heartbeat);
             return self.refuse(conn, STATUS_UNAVAILABLE, OLDER_REPORT);
         }
         let freshness = self.agents.classify(&heartbeat, self.now);
@@ -146,7 +146,7 @@
         }
         if freshness == Freshness::NotNewer {
             // It is a delayed copy, or the machine was restarted.
-            self.call_back(heartbeat);
+            self.probe_sender(heartbeat);
             return Route::Refuse(OLDER_REPORT);
         }
         Route::Here
@@ -162,7 +162,7 @@
         }
         let name = &heartbeat.machine;
         let expiry = self.lease_expiry();
-        if self.agents.machine(name).is_some_and(|m| m.lapsed(self.now, expiry.lease, expiry.cancel)) {
+        if self.agents.machine(name).is_some_and(|m| m.lease_expired(self.now, expiry.lease, expiry.cancel)) {
             // This comes before the machine is answered again: what ran under the earlier answers
             // has ended, and the next answer starts none of it again.
             self.mark_placements_gone(name);
@@ -186,7 +186,7 @@
             &self.state,
             &self.config,
         );
-        let response = HeartbeatResponse { fencing_token: machine.answer(self.now), commands: commands.into() };
+        let response = HeartbeatResponse { fencing_token: machine.record_answer(self.now), commands: commands.into() };
         self.respond(conn, 200, encode(&response));
     }
 
--- a/src/controller/agents/mod.rs
+++ b/src/controller/agents/mod.rs
@@ -10,7 +10,7 @@
 mod suspicion;
 
 use super::Controller;
-use crate::connectivity::heartbeat_tracking::{At, Freshness, HeartbeatTracker};
+use crate::connectivity::heartbeat_tracking::{Freshness, HeartbeatCounters, HeartbeatTracker};
 use crate::coordination::machine::Machine;
 use crate::effects::Instant;
 use crate::protocol::store::Condition;
@@ -45,7 +45,7 @@
 pub(super) const CONTROLLER_SWITCH_S: f64 = 4.0 + 1.0 + 0.5;
 /// An agent that sent a heartbeat within this many intervals is not silent: heartbeats come at
 /// an interval that varies by up to a quarter.
-pub(super) const MAX_HEARTBEAT_GAP: f64 = 1.5;
+pub(super) const MAX_HEARTBEAT_GAP_INTERVALS: f64 = 1.5;
 /// Machines that are cut off together with others are waited for this many leases.
 pub(super) const CUT_OFF_LEASES: f64 = 2.0;
 
@@ -75,7 +75,7 @@
     }
 
     /// Images on a machine of another shard.
-    pub(super) fn images_elsewhere(&self, name: &str) -> Option<&Images> {
+    pub(super) fn images_in_other_shards(&self, name: &str) -> Option<&Images> {
         self.images_in_other_shards.get(name)
     }
 
@@ -112,7 +112,7 @@
     }
 
     /// Records that another controller received a message of the machine at `received_at`.
-    pub(super) fn heard_elsewhere(&mut self, name: &str, counters: At, received_at: Instant) {
+    pub(super) fn record_elsewhere(&mut self, name: &str, counters: HeartbeatCounters, received_at: Instant) {
         self.heartbeat_tracker.record_elsewhere(name, counters, received_at);
     }
 
@@ -123,12 +123,12 @@
 
     /// All machines that recently sent a message to this controller, each with the time of the
     /// last message and the newest counters.
-    pub(super) fn alive_machines(&self) -> impl Iterator<Item = (&str, Instant, At)> {
+    pub(super) fn alive_machines(&self) -> impl Iterator<Item = (&str, Instant, HeartbeatCounters)> {
         self.heartbeat_tracker.alive_machines()
     }
 
     /// The counters of the newest known message of the machine.
-    pub(super) fn newest_counters(&self, name: &str) -> At {
+    pub(super) fn newest_counters(&self, name: &str) -> HeartbeatCounters {
         self.heartbeat_tracker.newest_counters(name)
     }
 
@@ -144,7 +144,7 @@
     }
 
     /// When the machine last answered a probe of ours, if it did recently.
-    pub(super) fn probed_at(&self, name: &str) -> Option<Instant> {
+    pub(super) fn probe_answered_at(&self, name: &str) -> Option<Instant> {
         self.probe_answers.get(name).copied()
     }
 
@@ -161,14 +161,14 @@
     /// Records the answer to a probe that was sent when the newest counters of the machine were
     /// `known`. Returns whether it shows that the machine was restarted: its counters or its
     /// fencing token went back since.
-    pub(super) fn record_probe_answer(&mut self, answer: &Heartbeat, known: At, now: Instant) -> bool {
+    pub(super) fn record_probe_answer(&mut self, answer: &Heartbeat, known: HeartbeatCounters, now: Instant) -> bool {
         let name = &answer.machine;
         self.probe_answers.insert(name.clone(), now);
         let counters = (answer.agent_epoch, answer.heartbeat_seq);
         let contradicts_token = self
             .machines
             .get(name)
-            .is_some_and(|machine| counters > machine.at && machine.contradicts_token(answer.fencing_token));
+            .is_some_and(|machine| counters > machine.newest_report && machine.contradicts_token(answer.fencing_token));
         if counters >= known && !contradicts_token {
             return false;
         }
@@ -219,11 +219,11 @@
     /// Whether the machine has come up, as far as is known here: it runs a task, or some controller
     /// receives its heartbeats.
     pub(super) fn is_up(&self, name: &str) -> bool {
-        self.state.loads.contains_key(name) || self.heard_by_any(name)
+        self.state.loads.contains_key(name) || self.reaches_any_controller(name)
     }
 
     /// Whether some controller receives heartbeats of the machine, or did recently.
-    pub(super) fn heard_by_any(&self, name: &str) -> bool {
+    pub(super) fn reaches_any_controller(&self, name: &str) -> bool {
         self.agents.last_heartbeat_at(name).is_some()
             || self.agents.machine(name).is_some_and(|machine| machine.heard_at.is_some())
             || self.connectivity.peers().any_reports(name)
--- a/src/controller/agents/preemption.rs
+++ b/src/controller/agents/preemption.rs
@@ -1,7 +1,7 @@
 //! Preemption: stops tasks to place them again, for tasks of higher priority or because the
 //! cloud will take their machine away.
 
-use super::{Agents, MAX_HEARTBEAT_GAP};
+use super::{Agents, MAX_HEARTBEAT_GAP_INTERVALS};
 use crate::controller::Controller;
 use crate::placement::MachineCapacity;
 use crate::protocol::user::JobKind;
@@ -73,12 +73,12 @@
         let mut preemptions: Vec<Preemption> = Vec::new();
         let mut capacities: Option<Vec<MachineCapacity>> = None;
         for (name, machine) in self.agents.machines() {
-            let notice = machine.preemption_notice_s.filter(|_| machine.sure && machine.ready);
+            let notice = machine.preemption_notice_s.filter(|_| machine.report_proven && machine.token_confirmed);
             let Some(left_s) = notice else { continue };
             for ((uid, index), attempt) in self.state.placed.get(name).into_iter().flatten() {
                 let key = (uid.clone(), *index, *attempt);
                 let Some(job) = self.state.jobs.get(uid).filter(|job| !job.cancelled()) else { continue };
-                if machine.preempted.contains_key(&key) || machine.is_over(&key) {
+                if machine.preempted.contains_key(&key) || machine.has_ended(&key) {
                     continue;
                 }
                 let placement = Placement { machine: name.clone(), index: *index, attempt: *attempt };
@@ -126,7 +126,7 @@
 
     /// Whether all placed tasks of the job are observed to run on machines of this controller.
     fn all_tasks_run(&self, uid: &str, job: &Job) -> bool {
-        let max_silence = self.heartbeat_intervals(MAX_HEARTBEAT_GAP);
+        let max_silence = self.heartbeat_intervals(MAX_HEARTBEAT_GAP_INTERVALS);
         let is_running = |placement: &Placement| {
             self.agents.machine(&placement.machine).is_some_and(|machine| {
                 let observed = machine.find(uid, placement.index, placement.attempt);
--- a/src/controller/agents/reconciliation.rs
+++ b/src/controller/agents/reconciliation.rs
@@ -40,7 +40,7 @@
     fn run(&mut self) {
         // A machine that has just accepted our token can take tasks from now on.
         let has_token = self.machine.fencing_token == self.machine.token();
-        self.capacity_freed = has_token && !std::mem::replace(&mut self.machine.ready, true);
+        self.capacity_freed = has_token && !std::mem::replace(&mut self.machine.token_confirmed, true);
         let observed_tasks = std::mem::take(&mut self.machine.tasks);
         for observed in &observed_tasks {
             if let Some(job) = self.state.jobs.get(&observed.task.job) {
@@ -61,7 +61,7 @@
     /// Records what a task's state shows of its start and of the images on the machine.
     fn record_progress(&mut self, observed: &ObservedTask, job: &Job) {
         if observed.state == TaskState::Running {
-            self.machine.since.entry(attempt_key(observed)).or_insert(self.now);
+            self.machine.running_since.entry(attempt_key(observed)).or_insert(self.now);
         }
         let image = &job.spec.image;
         if self.machine.images.contains(image) {
@@ -91,7 +91,7 @@
                 job.cancelled() && recorded == RecordedState::Ending
             }
             // A delayed copy may show the exit of an attempt that was commanded to run again since.
-            Difference::Failed => self.machine.sure,
+            Difference::Failed => self.machine.report_proven,
             _ => false,
         };
         if is_gone {
@@ -112,7 +112,7 @@
         for index in finished {
             self.capacity_freed |= self.journal.record_done(uid, index, self.now);
         }
-        self.machine.failures.clear();
+        self.machine.failures.record_success();
     }
 
     /// Records that the attempt ended without a result, and whether it failed.
@@ -122,10 +122,10 @@
             return;
         }
         self.capacity_freed = true;
-        self.machine.gone.insert(attempt_key(observed));
+        self.machine.proven_ended.insert(attempt_key(observed));
         if observed.cause == Some(Cause::Error) {
             self.tasks_failed = true;
-            self.machine.failures.note(uid);
+            self.machine.failures.record_failure(uid);
             let interval = Duration::from_secs_f64(self.heartbeat_interval_s);
             self.scheduler.record_failure(uid, self.name, self.now, interval);
         }
@@ -142,9 +142,9 @@
         let kept = &self.tasks.kept;
         let is_kept = |key: &(String, u32, u64)| kept.get(&(key.0.clone(), key.1)) == Some(&key.2);
         let is_live = |uid: &str| self.state.jobs.get(uid).is_some_and(|job| !job.cancelled());
-        self.machine.since.retain(|key, _| is_kept(key));
+        self.machine.running_since.retain(|key, _| is_kept(key));
         self.machine.preempted.retain(|key, _| is_kept(key) && is_live(&key.0));
-        self.machine.gone.retain(is_kept);
+        self.machine.proven_ended.retain(is_kept);
     }
 
     /// Records that attempts are gone which shall not run here and are not in the heartbeat: that
@@ -154,7 +154,7 @@
             let is_wanted = self.tasks.wanted.contains_key(&(uid.clone(), *index));
             if !is_wanted && self.machine.find(uid, *index, *attempt).is_none() {
                 self.journal.record_gone(uid, *index, *attempt, self.now);
-                self.machine.gone.insert((uid.clone(), *index, *attempt));
+                self.machine.proven_ended.insert((uid.clone(), *index, *attempt));
                 self.capacity_freed = true;
             }
         }
@@ -174,7 +174,7 @@
             Verdict::Faulty => {
                 tracing::info!(machine = %self.name, failures = ?self.machine.failures, "machine cordoned");
                 self.machine.cordoned_until = self.now + Duration::from_secs_f64(self.lease_s);
-                self.machine.failures.served();
+                self.machine.failures.record_cordon();
             }
         }
     }
--- a/src/controller/agents/release.rs
+++ b/src/controller/agents/release.rs
@@ -35,7 +35,7 @@
 
 impl Controller {
     /// Releases machines to the cloud.
-    pub(in crate::controller) fn release(&mut self, machines: Vec<String>) {
+    pub(in crate::controller) fn release_machines(&mut self, machines: Vec<String>) {
         self.cloud.charge_request(self.now);
         self.releases.begin(&machines);
         let body = encode(&ReleaseRequest { machines: machines.as_slice().into() });
@@ -44,7 +44,11 @@
     }
 
     /// Processes the cloud's answer to a release, or the lack of one.
-    pub(in crate::controller) fn release_answer(&mut self, machines: Vec<String>, result: Result<Reply, NoAnswer>) {
+    pub(in crate::controller) fn handle_release_answer(
+        &mut self,
+        machines: Vec<String>,
+        result: Result<Reply, NoAnswer>,
+    ) {
         let is_released = result.is_ok_and(|reply| reply.status == 200);
         for name in machines {
             self.releases.finish(&name, is_released);
@@ -61,7 +65,7 @@
     pub(super) fn clear_empty_machines(&mut self) {
         let expiry = self.lease_expiry();
         let is_empty = |(name, machine): &(&String, &Machine)| {
-            self.releases.is_released(name) || machine.lapsed(self.now, expiry.lease, expiry.cancel)
+            self.releases.is_released(name) || machine.lease_expired(self.now, expiry.lease, expiry.cancel)
         };
         let empty: Vec<String> = self.agents.machines().filter(is_empty).map(|(name, _)| name.clone()).collect();
         let mut released = Vec::new();
@@ -70,7 +74,7 @@
                 released.push(name);
             }
         }
-        self.forget_machines(released);
+        self.remove_machines(released);
     }
 
     /// When the lease of a machine has certainly expired.
@@ -85,7 +89,7 @@
         let (Some(placed), Some(machine)) = (self.state.placed.get(name), self.agents.machine(name)) else {
             return false;
         };
-        placed.iter().any(|((uid, index), attempt)| !machine.gone.contains(&(uid.clone(), *index, *attempt)))
+        placed.iter().any(|((uid, index), attempt)| !machine.proven_ended.contains(&(uid.clone(), *index, *attempt)))
     }
 
     /// Marks all placements on a machine that is proved empty as gone, and returns whether there
@@ -97,14 +101,14 @@
         for ((uid, index), attempt) in placed {
             // The agent may send a heartbeat before this is written. If the task were then
             // commanded again, it would run here after all.
-            machine.gone.insert((uid.clone(), *index, *attempt));
+            machine.proven_ended.insert((uid.clone(), *index, *attempt));
             self.journal.record_gone(uid, *index, *attempt, self.now);
         }
         true
     }
 
     /// Removes machines that are gone and have no placements from the store.
-    pub(in crate::controller) fn forget_machines(&mut self, names: Vec<String>) {
+    pub(in crate::controller) fn remove_machines(&mut self, names: Vec<String>) {
         let mut names_by_group: BTreeMap<String, Vec<String>> = BTreeMap::new();
         for name in names {
             if let Some(machine) = self.state.machines.get(&name) {
--- a/src/controller/agents/suspicion.rs
+++ b/src/controller/agents/suspicion.rs
@@ -1,7 +1,7 @@
 //! Detection of machines to release: those that fell silent, and those that are not needed any
 //! more.
 
-use super::{CONTROLLER_SWITCH_S, CUT_OFF_LEASES, MAX_HEARTBEAT_GAP};
+use super::{CONTROLLER_SWITCH_S, CUT_OFF_LEASES, MAX_HEARTBEAT_GAP_INTERVALS};
 use crate::connectivity::partition_diagnosis::{LivenessCount, SilenceCause, diagnose_silence};
 use crate::controller::{Controller, DRIFT};
 use crate::coordination::machine::Machine;
@@ -117,8 +117,8 @@
     fn silence_limits(&self) -> SilenceLimits {
         let workers = &self.config.settings.workers;
         // A controller that reaches the machine must have had the time to report it.
-        let peer_report_time = self.heartbeat_intervals(MAX_HEARTBEAT_GAP)
-            + Self::heartbeat_interval(self.heartbeat_intervals(1.0)).mul_f64(PEER_REPORT_INTERVALS);
+        let peer_report_time = self.heartbeat_intervals(MAX_HEARTBEAT_GAP_INTERVALS)
+            + Self::peer_heartbeat_interval(self.heartbeat_intervals(1.0)).mul_f64(PEER_REPORT_INTERVALS);
         let after_heartbeat = self.heartbeat_intervals(self.config.operator.silent_reports).max(peer_report_time);
         SilenceLimits {
             after_heartbeat,
@@ -137,7 +137,7 @@
 
     /// How much of the shard, and of its part in each zone, sent heartbeats recently.
     fn shard_liveness(&self) -> ShardLiveness {
-        let max_silence = self.heartbeat_intervals(MAX_HEARTBEAT_GAP);
+        let max_silence = self.heartbeat_intervals(MAX_HEARTBEAT_GAP_INTERVALS);
         let mut zones: BTreeMap<String, LivenessCount> = BTreeMap::new();
         for (name, machine) in self.agents.machines().filter(|(_, machine)| machine.heard_at.is_some()) {
             let group = zones.entry(self.zone_of(name).to_string()).or_default();
@@ -195,7 +195,7 @@
 
     /// Whether a silent machine may be taken for dead.
     fn may_be_dead(&self, name: &str, machine: &Machine, limits: &SilenceLimits, is_placed: bool) -> bool {
-        if !self.startup.fleet_known() || self.connectivity.is_unhearing(&self.process.member, self.now) {
+        if !self.startup.fleet_known() || self.connectivity.is_controller_cut_off(&self.process.member, self.now) {
             return false;
         }
         if !machine.answers_are_lost() && self.any_controller_reaches(name) {
@@ -206,7 +206,8 @@
         }
         // Without placements it was just provisioned and may be booting: the leader waits for it.
         is_placed
-            && (!self.may_be_answered_by_previous_owner(name) || machine.lapsed(self.now, limits.lease, limits.cancel))
+            && (!self.may_be_answered_by_previous_owner(name)
+                || machine.lease_expired(self.now, limits.lease, limits.cancel))
     }
 
     /// The most likely cause of the silence of a machine in the zone.
@@ -232,7 +233,7 @@
             names.push(name);
         }
         if !names.is_empty() {
-            self.release(names);
+            self.release_machines(names);
         }
     }
 
@@ -252,14 +253,14 @@
     /// Whether some controller recently got a heartbeat or a probe answer of a silent machine.
     fn any_controller_reaches(&self, name: &str) -> bool {
         let limit = self.full_retry_round();
-        let answered_probe = self.agents.probed_at(name).is_some_and(|at| self.now.saturating_sub(at) < limit);
-        answered_probe || self.reported_newer_elsewhere(name, limit)
+        let answered_probe = self.agents.probe_answered_at(name).is_some_and(|at| self.now.saturating_sub(at) < limit);
+        answered_probe || self.peer_has_newer_heartbeat(name, limit)
     }
 
     /// Whether a peer received, within `limit`, a heartbeat of the machine that is newer than the
     /// last one received here.
-    pub(in crate::controller) fn reported_newer_elsewhere(&self, name: &str, limit: Duration) -> bool {
-        let known = self.agents.machine(name).map_or((0, 0), |machine| machine.at);
+    pub(in crate::controller) fn peer_has_newer_heartbeat(&self, name: &str, limit: Duration) -> bool {
+        let known = self.agents.machine(name).map_or((0, 0), |machine| machine.newest_report);
         self.connectivity.peers().any_reaches(name, known, limit, self.now)
     }
 }
@@ -267,6 +268,6 @@
 /// How long the machine has been silent. One that gets no answers counts as silent from the
 /// last answer that reached it, although its heartbeats arrive.
 fn silent_for(machine: &Machine, now: Instant) -> Duration {
-    let last = if machine.answers_are_lost() { machine.reached_at } else { machine.heard_at };
+    let last = if machine.answers_are_lost() { machine.answer_confirmed_at } else { machine.heard_at };
     now.saturating_sub(last.unwrap_or(machine.owned_since))
 }
--- a/src/controller/agents/tests.rs
+++ b/src/controller/agents/tests.rs
@@ -29,7 +29,7 @@
     for name in ["host-1", "host-2"] {
         assert!(agents.known_images(name).is_some_and(|images| images.contains(&image)), "{name}");
     }
-    assert!(agents.images_elsewhere("host-1").is_none(), "it is in our own shard");
+    assert!(agents.images_in_other_shards("host-1").is_none(), "it is in our own shard");
     assert!(agents.known_images("host-3").is_none());
 }
 
--- a/src/controller/api.rs
+++ b/src/controller/api.rs
@@ -4,12 +4,12 @@
 use super::transactions::Ended;
 use super::*;
 use crate::connectivity::peer_table::Peer;
-use crate::coordination::health::{Facts, healthy};
+use crate::coordination::health::{HealthInputs, is_healthy};
 use crate::protocol::store::{Condition, Op};
 use crate::protocol::user::{ErrorBody, JobKind, JobSpec, JobState, Route, Status, route, valid_uid};
 use crate::protocol::{decode, encode};
 use crate::requests::{Answer, Event, KnownStatus, Request, RequestKind, Stage, WriteOutcome};
-use crate::retry::Side;
+use crate::retry::RemoteService;
 
 /// The open requests of users, and the retry times that refused clients are given.
 #[derive(Debug, Default)]
@@ -25,7 +25,7 @@
 impl Api {
     /// Whether requests wait for a read of the store to be sent.
     pub(super) fn awaits_read(&self) -> bool {
-        self.requests.queued()
+        self.requests.any_awaits_read()
     }
 }
 
@@ -42,10 +42,10 @@
     pub(super) fn handle_request(&mut self, conn: ConnId, method: &str, path: &str, body: &[u8]) {
         match route(method, path.split('?').next().unwrap_or("")) {
             Route::Health => {
-                let ok = self.healthy();
+                let ok = self.is_healthy();
                 if self.api.was_healthy.replace(ok) != Some(ok) {
                     let stale_ms = self.store.session.staleness(self.now).map(|s| s.as_millis() as u64);
-                    tracing::info!(ok, loaded = self.store.session.following(), stale_ms, "health status changed");
+                    tracing::info!(ok, loaded = self.store.session.is_following(), stale_ms, "health status changed");
                 }
                 self.respond(conn, if ok { 200 } else { 503 }, Vec::new());
             }
@@ -71,10 +71,10 @@
     /// is 503; otherwise the write rate is exhausted, and the retry time is when the rate
     /// allows this write.
     fn refuse_write(&mut self, conn: ConnId, error: &str) {
-        if self.retry.is_open(Side::Store) {
+        if self.retry.is_open(RemoteService::Store) {
             return self.refuse(conn, 503, "the state service does not answer");
         }
-        let retry_after = Some(self.api.retry_after.after(self.now, self.transactions.write_rate()));
+        let retry_after = Some(self.api.retry_after.next_delay_s(self.now, self.transactions.write_rate()));
         let body = encode(&ErrorBody { error: error.into() });
         self.outbox.push(Action::Respond { conn, status: 429, body, retry_after });
     }
@@ -85,19 +85,20 @@
     }
 
     /// Whether the load balancer should send users to this controller.
-    fn healthy(&self) -> bool {
-        let margin = self.heartbeat_intervals(1.0);
-        let since = |peer: &Peer| self.now.saturating_sub(peer.at);
-        let recent = self.connectivity.peers().peers().map(|(_, peer)| peer).filter(|peer| since(peer) < margin);
-        healthy(&Facts {
-            age: self.now,
-            loaded: self.store.session.following(),
-            stale: self.store.session.staleness(self.now),
+    fn is_healthy(&self) -> bool {
+        let freshness_limit = self.heartbeat_intervals(1.0);
+        let since = |peer: &Peer| self.now.saturating_sub(peer.received_at);
+        let recent =
+            self.connectivity.peers().peers().map(|(_, peer)| peer).filter(|peer| since(peer) < freshness_limit);
+        is_healthy(&HealthInputs {
+            uptime: self.now,
+            loaded: self.store.session.is_following(),
+            staleness: self.store.session.staleness(self.now),
             has_others: !self.config.others.is_empty(),
-            others: recent.map(|peer| peer.stale.saturating_add(since(peer))).collect(),
-            entitled: self.entitled(),
-            store_away: self.retry.is_open(Side::Store),
-            margin,
+            other_staleness: recent.map(|peer| peer.replica_age.saturating_add(since(peer))).collect(),
+            may_act: self.entitled(),
+            store_unavailable: self.retry.is_open(RemoteService::Store),
+            freshness_limit,
         })
     }
 
@@ -111,21 +112,21 @@
             let uid = spec.uid.clone();
             return self.poll(conn, &uid);
         }
-        if !self.store.session.following() || self.cloud.catalog().is_empty() {
+        if !self.store.session.is_following() || self.cloud.catalog().is_empty() {
             return self.refuse(conn, 503, "not ready");
         }
         let key = records::job_key(&spec.uid);
         if self.transactions.is_locked(&key) {
             // Our write of the job is in flight. Another controller may have told the user
             // already that the job runs, so a read decides the answer.
-            return self.queue_request(conn, &spec.uid, RequestKind::Submitted);
+            return self.queue_request(conn, &spec.uid, RequestKind::Submit);
         }
         // Without the store nothing can be accepted, so the request is refused at once.
         if !self.fresh() {
             return self.refuse(conn, 503, "the state service does not answer");
         }
         if self.can_never_run(&spec) {
-            return self.queue_request(conn, &spec.uid, RequestKind::Impossible);
+            return self.queue_request(conn, &spec.uid, RequestKind::SubmitImpossible);
         }
         if !self.may_write_as(WritePriority::Responses) {
             return self.refuse_write(conn, "too many submissions");
@@ -147,7 +148,7 @@
             ops: vec![Op::Put { key, data: records::to_value(&record), lease: None }],
         };
         let deadline = self.now + self.request_timeout();
-        self.api.requests.came(conn, &uid, RequestKind::Submitted, Stage::Writing, deadline);
+        self.api.requests.add(conn, &uid, RequestKind::Submit, Stage::Writing, deadline);
         self.transact_within(txn, Why::Accept(uid), self.request_timeout());
     }
 
@@ -185,10 +186,10 @@
         if has_ended {
             return self.respond_with_status(conn, uid);
         }
-        if !self.store.session.following() {
+        if !self.store.session.is_following() {
             return self.refuse(conn, 503, "not ready");
         }
-        self.queue_request(conn, uid, RequestKind::State);
+        self.queue_request(conn, uid, RequestKind::Status);
     }
 
     /// The time after which an open request is refused.
@@ -197,9 +198,9 @@
     }
 
     /// Adds a request that is answered after the next read of the store.
-    fn queue_request(&mut self, conn: ConnId, uid: &str, asked: RequestKind) {
+    fn queue_request(&mut self, conn: ConnId, uid: &str, kind: RequestKind) {
         let deadline = self.now + self.request_timeout();
-        self.api.requests.came(conn, uid, asked, Stage::Queued, deadline);
+        self.api.requests.add(conn, uid, kind, Stage::Queued, deadline);
     }
 
     /// Responds with the job's status in the replica, or with 404 if the replica lacks it.
@@ -216,13 +217,13 @@
     /// Applies an event to the open requests, and answers those that waited for it.
     pub(super) fn answer_requests(&mut self, event: Event) {
         let replica = &self.state;
-        let answered = self.api.requests.event(event, |uid| known_status(replica, uid));
+        let answered = self.api.requests.apply_event(event, |uid| known_status(replica, uid));
         self.answer_and_cancel(answered);
     }
 
     /// Answers the requests that asked this about the job, now that the write for them has
     /// ended.
-    pub(super) fn request_written(&mut self, uid: &str, asked: RequestKind, ended: &Ended) {
+    pub(super) fn request_written(&mut self, uid: &str, kind: RequestKind, ended: &Ended) {
         let write_outcome = match ended {
             Ended::Done(_) => WriteOutcome::Done,
             Ended::Void { .. } => WriteOutcome::Void,
@@ -230,9 +231,10 @@
             Ended::Refused(_) | Ended::Unknown => WriteOutcome::Failed,
         };
         let replica = &self.state;
-        let answered = self.api.requests.written(uid, asked, write_outcome, |uid| known_status(replica, uid));
+        let answered =
+            self.api.requests.apply_write_outcome(uid, kind, write_outcome, |uid| known_status(replica, uid));
         self.send_answers(answered);
-        let accepted = asked == RequestKind::Submitted && write_outcome == WriteOutcome::Done;
+        let accepted = kind == RequestKind::Submit && write_outcome == WriteOutcome::Done;
         if let Some(job) = self.state.jobs.get(uid).filter(|_| accepted) {
             let to: Vec<&str> = job.rec.rec.task_ranges.iter().map(|range| range.member.as_str()).collect();
             tracing::debug!(job = %uid, class = %job.spec.class, tasks = job.spec.task_count, ?to, "job accepted");
@@ -247,12 +249,12 @@
                     let state = JobState { uid: request.uid.into(), status: Status::Queued, done: 0, running: 0 };
                     self.respond(request.conn, 201, encode(&state));
                 }
-                Answer::Tell => self.respond_with_status(request.conn, &request.uid),
+                Answer::Status => self.respond_with_status(request.conn, &request.uid),
                 Answer::Unknown => self.refuse(request.conn, 404, "no such job"),
-                Answer::NeverRuns => self.refuse(request.conn, 422, "can never run"),
+                Answer::CanNeverRun => self.refuse(request.conn, 422, "can never run"),
                 Answer::Limited => self.refuse_write(request.conn, "not stored"),
                 // The change may have been stored all the same; a repeated request shows it.
-                Answer::Later => self.refuse(request.conn, 503, "not known yet"),
+                Answer::RetryLater => self.refuse(request.conn, 503, "not known yet"),
             }
         }
     }
@@ -260,14 +262,14 @@
     /// Answers the requests whose deadline has passed, and retries pending cancellations.
     pub(super) fn answer_due_requests(&mut self) {
         let replica = &self.state;
-        let answered = self.api.requests.due(self.now, |uid| known_status(replica, uid));
+        let answered = self.api.requests.expire(self.now, |uid| known_status(replica, uid));
         self.answer_and_cancel(answered);
     }
 
     /// Sends the answers to requests, and then the cancellations that are to be written.
     fn answer_and_cancel(&mut self, answered: Vec<(Request, Answer)>) {
         self.send_answers(answered);
-        for uid in self.api.requests.cancelling() {
+        for uid in self.api.requests.jobs_to_cancel() {
             self.send_cancel(&uid);
         }
     }
@@ -277,22 +279,22 @@
         if !valid_uid(uid) {
             return self.refuse(conn, 404, "no such job");
         }
-        if !self.store.session.following() {
+        if !self.store.session.is_following() {
             return self.refuse(conn, 503, "not ready");
         }
         let has_ended = matches!(self.state.status(uid), Some((Status::Done | Status::Cancelled, ..)));
         if has_ended {
             return self.respond_with_status(conn, uid);
         }
-        if self.retry.is_open(Side::Store) {
+        if self.retry.is_open(RemoteService::Store) {
             return self.refuse_write(conn, "not stored");
         }
         if !self.state.jobs.contains_key(uid) {
             // Another controller may just have accepted the job: a new read decides.
-            return self.queue_request(conn, uid, RequestKind::Cancelled);
+            return self.queue_request(conn, uid, RequestKind::Cancel);
         }
         let deadline = self.now + self.request_timeout();
-        self.api.requests.came(conn, uid, RequestKind::Cancelled, Stage::Writing, deadline);
+        self.api.requests.add(conn, uid, RequestKind::Cancel, Stage::Writing, deadline);
         self.send_cancel(uid);
     }
 
@@ -304,9 +306,9 @@
             return; // the next tick tries again
         }
         if !self.may_write_as(WritePriority::Critical) {
-            let (asked, outcome) = (RequestKind::Cancelled, WriteOutcome::Limited);
+            let (kind, outcome) = (RequestKind::Cancel, WriteOutcome::Limited);
             let replica = &self.state;
-            let answered = self.api.requests.written(uid, asked, outcome, |uid| known_status(replica, uid));
+            let answered = self.api.requests.apply_write_outcome(uid, kind, outcome, |uid| known_status(replica, uid));
             return self.send_answers(answered);
         }
         let Some(job) = self.state.jobs.get(uid) else { return };
@@ -322,9 +324,9 @@
 /// What the replica knows of a job, as the state machine of requests distinguishes it.
 fn known_status(replica: &ClusterState, uid: &str) -> KnownStatus {
     match replica.status(uid).map(|(status, ..)| status) {
-        None => KnownStatus::Nothing,
+        None => KnownStatus::Unknown,
         Some(Status::Queued) => KnownStatus::Queued,
         Some(Status::Running) => KnownStatus::Running,
-        Some(Status::Done | Status::Cancelled) => KnownStatus::Over,
+        Some(Status::Done | Status::Cancelled) => KnownStatus::Ended,
     }
 }
--- a/src/controller/autoscaler/mod.rs
+++ b/src/controller/autoscaler/mod.rs
@@ -101,7 +101,7 @@
         self.autoscaler.unavailable.retain(|_, until| *until > now);
         self.update_up_times();
         // A machine counts as failed only once every worker has had time to report.
-        if self.startup.all_came() {
+        if self.startup.all_agents_had_time() {
             self.release_failed_machines();
         }
         self.rent_machines();
--- a/src/controller/autoscaler/scale_in.rs
+++ b/src/controller/autoscaler/scale_in.rs
@@ -96,7 +96,7 @@
             }
         }
         self.autoscaler.unseen_since = unseen;
-        self.forget_machines(already_released);
+        self.remove_machines(already_released);
         for (name, listed) in self.cloud.machines() {
             let excluded = self.is_up(name) || names.contains(name) || self.fell_silent(name);
             let late = listed.phase != Phase::Failed && listed.rented_s > self.boot_limit_s(&listed.machine_type);
@@ -107,7 +107,7 @@
         names.truncate(RELEASE_LIMIT);
         if !names.is_empty() && self.may_call_cloud(Retry::Release) {
             tracing::info!(machines = names.len(), reason = "never came up", "machine release requested");
-            self.release(names);
+            self.release_machines(names);
         }
     }
 
--- a/src/controller/capacity.rs
+++ b/src/controller/capacity.rs
@@ -76,7 +76,7 @@
         let mut capacity = MachineCapacity::empty(name, machine_type, &record.zone, record.spot);
         if !is_own {
             self.subtract_placed_tasks(&mut capacity, counted);
-            if let Some(images) = self.agents.images_elsewhere(name) {
+            if let Some(images) = self.agents.images_in_other_shards(name) {
                 capacity.images[1] = images.clone();
             }
             return Some(capacity);
@@ -154,7 +154,7 @@
     /// free at once and not only when the exit is stored.
     fn add_ended_tasks(&self, capacity: &mut MachineCapacity, agent: &Machine, counted: Counted) {
         let Some(placed) = self.state.placed.get(&capacity.machine) else { return };
-        for (uid, index, attempt) in agent.over() {
+        for (uid, index, attempt) in agent.ended_attempts() {
             let Some(job) = self.state.jobs.get(uid) else { continue };
             let is_placed = placed.get(&(uid.clone(), *index)) == Some(attempt);
             if is_placed && (counted == Counted::All || job.spec.kind != JobKind::Array) {
--- a/src/controller/cloud.rs
+++ b/src/controller/cloud.rs
@@ -115,12 +115,12 @@
 
     /// Whether the rate limit allows a request now.
     pub(super) fn allows_request(&self, now: Instant) -> bool {
-        self.request_rate.has(now, 1.0)
+        self.request_rate.has_balance_for(now, 1.0)
     }
 
     /// The number of requests that the rate limit allows now.
     pub(super) fn available_requests(&self, now: Instant) -> f64 {
-        self.request_rate.level(now)
+        self.request_rate.balance_at(now)
     }
 
     /// Counts a request against the rate limit.
@@ -287,7 +287,7 @@
 impl Controller {
     /// Whether the retry policy and the rate limit allow a request to the cloud now.
     pub(super) fn may_call_cloud(&self, purpose: Retry) -> bool {
-        self.retry.may(purpose, self.now) && self.cloud.allows_request(self.now)
+        self.retry.allows(purpose, self.now) && self.cloud.allows_request(self.now)
     }
 
     /// Reads the catalog when it is due.
--- a/src/controller/connectivity/heartbeats.rs
+++ b/src/controller/connectivity/heartbeats.rs
@@ -20,7 +20,7 @@
 
 impl Controller {
     /// The interval at which controllers send heartbeats, given that of the agents.
-    pub(in crate::controller) fn heartbeat_interval(agent_interval: Duration) -> Duration {
+    pub(in crate::controller) fn peer_heartbeat_interval(agent_interval: Duration) -> Duration {
         agent_interval / 2
     }
 
@@ -28,7 +28,7 @@
     pub(in crate::controller) fn send_heartbeat(&mut self) {
         let keep = self.full_retry_round() + self.heartbeat_intervals(1.0);
         self.agents.prune_heartbeats(&self.state, self.now, keep);
-        if self.store.session.following() {
+        if self.store.session.is_following() {
             self.agents.retain_images_of(&self.state);
         }
         let (seq, acknowledgements) = self.connectivity.number_heartbeat(self.now);
@@ -49,7 +49,7 @@
 
     /// What a heartbeat reports of the state that this controller observes.
     fn describe_view(&self) -> PeerHeartbeat {
-        let is_following = self.store.session.following();
+        let is_following = self.store.session.is_following();
         let is_leader = self.am_leader();
         let millis = |duration: Duration| duration.as_millis() as u64;
         let recent_machines =
@@ -110,7 +110,7 @@
 
     /// Cancellations and grants that other controllers have not applied yet, as far as they report.
     fn revocations(&self) -> Option<Revocations> {
-        if !self.store.session.following() || !self.state.has_applied_all_known() {
+        if !self.store.session.is_following() || !self.state.has_applied_all_known() {
             return None;
         }
         let recently = self.secs(self.config.settings.workers.lease_s);
@@ -127,7 +127,7 @@
 
     /// Stops jobs that another controller knows to be cancelled.
     pub(in crate::controller) fn apply_revocations(&mut self, revocations: &Revocations) {
-        if !self.store.session.following() {
+        if !self.store.session.is_following() {
             return;
         }
         let revision = self.state.revision;
@@ -158,7 +158,7 @@
 
     /// Records which images another controller knows to be on machines: on its own, and on ours
     /// from before this controller started.
-    pub(in crate::controller) fn note_images(&mut self, heartbeat: &PeerHeartbeat) {
+    pub(in crate::controller) fn record_peer_images(&mut self, heartbeat: &PeerHeartbeat) {
         for (machine, images) in heartbeat.cached_images() {
             if self.state.machines.contains_key(machine) {
                 self.agents.add_images(machine, images.into_iter());
--- a/src/controller/connectivity/mod.rs
+++ b/src/controller/connectivity/mod.rs
@@ -103,12 +103,12 @@
     }
 
     /// Whether the controller counts as cut off from its machines.
-    pub(super) fn is_unhearing(&self, member: &str, now: Instant) -> bool {
+    pub(super) fn is_controller_cut_off(&self, member: &str, now: Instant) -> bool {
         self.cut_off_controllers.contains(member, now)
     }
 
     /// The controllers that count as cut off from their machines.
-    pub(super) fn unhearing_members(&self, now: Instant) -> impl Iterator<Item = &str> {
+    pub(super) fn cut_off_controllers(&self, now: Instant) -> impl Iterator<Item = &str> {
         self.cut_off_controllers.names(now)
     }
 
@@ -180,10 +180,10 @@
 
     /// When this controller's replica was last known to be the newest: by its own read of the
     /// store, or because all other controllers attested it.
-    pub(super) fn surely_fresh_at(&self) -> Option<Instant> {
+    pub(super) fn confirmed_fresh_at(&self) -> Option<Instant> {
         let others = self.config.others.iter().map(|other| &other.member);
         let has_applied = |revocations: &_| self.has_applied(revocations);
-        let confirmed_at = self.connectivity.peers.attested(others, self.state.revision, has_applied);
+        let confirmed_at = self.connectivity.peers.read_index_time(others, self.state.revision, has_applied);
         self.store.session.fresh_at.max(confirmed_at)
     }
 }
--- a/src/controller/connectivity/partitions.rs
+++ b/src/controller/connectivity/partitions.rs
@@ -129,7 +129,7 @@
         for (member, peer) in self.connectivity.peers.peers() {
             if self.connectivity.peers.recent_peer(member).is_some() {
                 peer.recent_machines()
-                    .for_each(|(machine, age, _)| record(machine, member, peer.at.saturating_sub(age)));
+                    .for_each(|(machine, age, _)| record(machine, member, peer.received_at.saturating_sub(age)));
             }
         }
         elsewhere
@@ -151,7 +151,7 @@
             (self.agents.last_heartbeat_at(machine), Some(self.now))
         } else {
             let peers = &self.connectivity.peers;
-            (peers.heartbeat_received_at(owner, machine), peers.recent_peer(owner).map(|peer| peer.at))
+            (peers.heartbeat_received_at(owner, machine), peers.recent_peer(owner).map(|peer| peer.received_at))
         };
         let owned_since = self.connectivity.owned_since(machine).unwrap_or(self.now);
         MachineObservation { owner_heard_at, owner_reported_at, other_heard_at, owned_since }
@@ -164,7 +164,7 @@
         let silent = self.silent_machines();
         let mut names = self.unreached_machine_names();
         let unanswered =
-            silent.iter().map(|(name, _)| name.as_str()).filter(|name| self.agents.probed_at(name).is_none());
+            silent.iter().map(|(name, _)| name.as_str()).filter(|name| self.agents.probe_answered_at(name).is_none());
         names.extend(unanswered);
         let moved: BTreeSet<&str> = self.sharding.avoid.keys().map(|(machine, _)| machine.as_str()).collect();
         let with_reached_member = |name: &str| {
@@ -200,7 +200,7 @@
     /// The controller with the last contact to the machine, of those that are not cut off.
     fn reached_member(&self, name: &str, owner: &String) -> Option<&String> {
         let can_reach_machines =
-            |member: &&String| *member != owner && !self.connectivity.is_unhearing(member, self.now);
+            |member: &&String| *member != owner && !self.connectivity.is_controller_cut_off(member, self.now);
         let candidates = self.state.members.keys().filter(can_reach_machines);
         let (at, member) = candidates.filter_map(|member| Some((self.last_contact_at(name, member)?, member))).max()?;
         (self.now.saturating_sub(at) < self.heartbeat_intervals(MAX_CONTACT_AGE_INTERVALS)).then_some(member)
@@ -209,7 +209,7 @@
     /// When the controller last received a heartbeat or a probe answer of the machine.
     fn last_contact_at(&self, name: &str, member: &str) -> Option<Instant> {
         if member == self.process.member {
-            return self.agents.last_heartbeat_at(name).max(self.agents.probed_at(name));
+            return self.agents.last_heartbeat_at(name).max(self.agents.probe_answered_at(name));
         }
         let peers = &self.connectivity.peers;
         peers.heartbeat_received_at(member, name).max(peers.probe_answered_at(member, name))
--- a/src/controller/connectivity/probes.rs
+++ b/src/controller/connectivity/probes.rs
@@ -1,8 +1,8 @@
 //! Probes of machines that fell silent, or whose heartbeats may be delayed copies.
 
 use super::heartbeats::HASTENED_HEARTBEAT_INTERVALS;
-use crate::connectivity::heartbeat_tracking::At;
-use crate::controller::agents::MAX_HEARTBEAT_GAP;
+use crate::connectivity::heartbeat_tracking::HeartbeatCounters;
+use crate::controller::agents::MAX_HEARTBEAT_GAP_INTERVALS;
 use crate::controller::{Controller, Purpose};
 use crate::coordination::machine::Machine;
 use crate::effects::{NoAnswer, Reply, Target};
@@ -21,7 +21,7 @@
     /// Machines of ours that fell silent recently, with their addresses. Whether any controller
     /// reaches them decides whether they are released, waited for or reassigned.
     pub(super) fn silent_machines(&self) -> Vec<(String, String)> {
-        let min_silence = self.heartbeat_intervals(MAX_HEARTBEAT_GAP);
+        let min_silence = self.heartbeat_intervals(MAX_HEARTBEAT_GAP_INTERVALS);
         let max_silence = self.full_retry_round() + self.heartbeat_intervals(EXTRA_PROBED_INTERVALS);
         let silence = |machine: &Machine| machine.heard_at.map_or(Duration::MAX, |at| self.now.saturating_sub(at));
         let fell_silent = |(_, machine): &(&String, &Machine)| {
@@ -45,7 +45,7 @@
 
     /// Probes the sender of a heartbeat that may be a delayed copy: nothing is known of the
     /// machine, or the heartbeat shows less than is known.
-    pub(in crate::controller) fn call_back(&mut self, heartbeat: &Heartbeat) {
+    pub(in crate::controller) fn probe_sender(&mut self, heartbeat: &Heartbeat) {
         if self.agents.begin_probe(&heartbeat.machine, self.now, self.heartbeat_intervals(1.0)) {
             self.probe(&[(heartbeat.machine.clone(), heartbeat.addr.clone())]);
         }
@@ -53,7 +53,12 @@
 
     /// Processes the outcome of a probe that was sent when the newest counters of the machine were
     /// `known`.
-    pub(in crate::controller) fn probe_answer(&mut self, machine: String, known: At, result: Result<Reply, NoAnswer>) {
+    pub(in crate::controller) fn handle_probe_answer(
+        &mut self,
+        machine: String,
+        known: HeartbeatCounters,
+        result: Result<Reply, NoAnswer>,
+    ) {
         let reply = result.ok().filter(|reply| reply.status == 200);
         let answer = reply.and_then(|reply| crate::protocol::decode::<Heartbeat>(&reply.body).ok());
         let Some(answer) = answer.filter(|answer| answer.machine == machine) else { return };
--- a/src/controller/journal/compaction.rs
+++ b/src/controller/journal/compaction.rs
@@ -5,7 +5,7 @@
 use super::LogSlot;
 use crate::controller::transactions::{Transactions, Why};
 use crate::controller::{Controller, SPARE_WRITES};
-use crate::coordination::log_writer::fitting;
+use crate::coordination::log_writer::count_that_fit;
 use crate::protocol::encode;
 use crate::protocol::store::{Condition, Op, Txn};
 use crate::state::log_segment::LOG_SLOTS;
@@ -121,7 +121,7 @@
         if self.journal.compacting {
             return;
         }
-        checkpoints.truncate(fitting(checkpoints.iter().map(|checkpoint| checkpoint.size)));
+        checkpoints.truncate(count_that_fit(checkpoints.iter().map(|checkpoint| checkpoint.size)));
         self.journal.compacting = true;
         let mut txn = Txn::default();
         for checkpoint in checkpoints {
--- a/src/controller/journal/mod.rs
+++ b/src/controller/journal/mod.rs
@@ -15,7 +15,7 @@
 use super::quota::Reservation;
 use super::transactions::{Ended, Why};
 use crate::config::Settings;
-use crate::coordination::log_writer::{Limits, LogWriter, byte_shares, wide};
+use crate::coordination::log_writer::{LogWriter, SegmentLimits, byte_limits, may_exceed_segment};
 use crate::effects::Instant;
 use crate::placement::Start;
 use crate::protocol::store::{Condition, Op, Txn};
@@ -123,13 +123,13 @@
 
     /// Records that a segment was sent; one with facts that can wait is due again after `interval`.
     fn segment_sent(&mut self, now: Instant, interval: Duration) {
-        self.writer.sent(now, interval);
+        self.writer.record_sent(now, interval);
     }
 
     /// Records that the segment in flight was answered or abandoned. If its slot is known to be
     /// written, returns the reservations of earlier segments, which that settles.
     fn segment_ended(&mut self, slot_is_written: bool) -> Vec<Reservation> {
-        self.writer.busy = false;
+        self.writer.segment_in_flight = false;
         if slot_is_written { std::mem::take(&mut self.in_doubt) } else { Vec::new() }
     }
 
@@ -156,7 +156,7 @@
     /// newest known version.
     pub(super) fn can_write_segment(&self) -> bool {
         let slot = LogSlot::next(&self.state, &self.process.member);
-        !self.journal.writer.busy && !self.transactions.is_outdated(&slot.key)
+        !self.journal.writer.segment_in_flight && !self.transactions.is_outdated(&slot.key)
     }
 
     /// Assembles the next segment and sends it, unless checkpoints have to be stored first. `order`
@@ -168,12 +168,12 @@
             return self.scheduler.request_round();
         };
         let max_checkpoints = store.txn_ops.saturating_sub(2).max(1);
-        let (segment_bytes, checkpoint_bytes) = byte_shares(max_value_bytes(&self.config));
+        let (segment_bytes, checkpoint_bytes) = byte_limits(max_value_bytes(&self.config));
         if checkpoints.len() > max_checkpoints || compaction::total_size(&checkpoints) > checkpoint_bytes {
             return self.send_checkpoints_first(checkpoints, max_checkpoints);
         }
         let conditions = (store.txn_ops * CONDITIONS_PER_OP).saturating_sub(checkpoints.len() + 1);
-        let limits = Limits { conditions, bytes: segment_bytes };
+        let limits = SegmentLimits { conditions, bytes: segment_bytes };
         let inputs = SegmentInputs {
             now: self.now,
             settings: &self.config,
@@ -287,7 +287,7 @@
 /// Whether the job is a gang whose placements may not fit into one segment.
 pub(super) fn is_wide_gang(spec: &JobSpec, settings: &Settings) -> bool {
     let max_ops = settings.settings.state.txn_ops;
-    spec.kind == JobKind::Gang && wide(spec.task_count, max_ops, max_value_bytes(settings))
+    spec.kind == JobKind::Gang && may_exceed_segment(spec.task_count, max_ops, max_value_bytes(settings))
 }
 
 /// The largest size of a value in the store, in bytes.
--- a/src/controller/journal/segment.rs
+++ b/src/controller/journal/segment.rs
@@ -9,7 +9,7 @@
 use crate::controller::process::Process;
 use crate::controller::quota::{QuotaReservations, QuotaUse, has_limit};
 use crate::controller::transactions::Transactions;
-use crate::coordination::log_writer::{FactRequirements, Limits, SegmentBuilder};
+use crate::coordination::log_writer::{FactRequirements, SegmentBuilder, SegmentLimits};
 use crate::effects::Instant;
 use crate::placement::Start;
 use crate::protocol::store::Condition;
@@ -97,7 +97,7 @@
         &mut self,
         inputs: SegmentInputs,
         reservations: &mut QuotaReservations,
-        limits: Limits,
+        limits: SegmentLimits,
         order: &[String],
         mut starts: BTreeMap<String, Vec<Start>>,
     ) -> DraftedSegment {
@@ -199,7 +199,7 @@
         }
         if as_a_whole {
             let needs: Vec<&FactRequirements> = planned.iter().map(|start| &start.need).collect();
-            if !self.draft.take(uid, &needs) {
+            if !self.draft.try_reserve(uid, &needs) {
                 // A gang that does not even fit into an empty segment must not hold up other jobs.
                 return if self.draft.is_empty() { Ok(()) } else { Err(Full) };
             }
@@ -246,7 +246,7 @@
     fn add_planned(&mut self, uid: &str, planned: Vec<PlannedStart>, as_a_whole: bool) -> usize {
         let mut started = 0;
         for PlannedStart { place, need } in planned {
-            if !as_a_whole && !self.draft.take(uid, &[&need]) {
+            if !as_a_whole && !self.draft.try_reserve(uid, &[&need]) {
                 break;
             }
             tracing::debug!(
@@ -337,12 +337,13 @@
         let (Some(agent), Some(record)) = (agents.machine(machine), state.machines.get(machine)) else {
             return false;
         };
-        agent.is_under(record.rec.term, record.rec.epoch) && agent.gone.contains(&(uid.to_string(), index, attempt))
+        agent.is_under(record.rec.term, record.rec.epoch)
+            && agent.proven_ended.contains(&(uid.to_string(), index, attempt))
     }
 
     /// Takes room in the segment for facts of the job.
     fn take(&mut self, uid: &str, needs: &[&FactRequirements]) -> Result<(), Full> {
-        if self.draft.take(uid, needs) { Ok(()) } else { Err(Full) }
+        if self.draft.try_reserve(uid, needs) { Ok(()) } else { Err(Full) }
     }
 
     /// Whether a transaction in flight changes the record or depends on it.
--- a/src/controller/journal/tests.rs
+++ b/src/controller/journal/tests.rs
@@ -32,9 +32,9 @@
 fn one_segment_is_in_flight_at_a_time() {
     let mut journal = Journal::default();
     journal.segment_sent(at(1), at(2));
-    assert!(journal.writer.busy && !journal.is_due(at(2)));
+    assert!(journal.writer.segment_in_flight && !journal.is_due(at(2)));
     journal.segment_ended(true);
-    assert!(!journal.writer.busy && journal.is_due(at(3)));
+    assert!(!journal.writer.segment_in_flight && journal.is_due(at(3)));
 }
 
 #[test]
--- a/src/controller/leadership.rs
+++ b/src/controller/leadership.rs
@@ -155,7 +155,7 @@
         let Some(lease) = self.store.session.lease else { return };
         if !self.state.is_live(&self.process.member, self.process.incarnation)
             || self.transactions.is_locked(records::TERM_KEY)
-            || !self.retry.may(Retry::Write, self.now)
+            || !self.retry.allows(Retry::Write, self.now)
         {
             return;
         }
--- a/src/controller/maintenance.rs
+++ b/src/controller/maintenance.rs
@@ -151,10 +151,10 @@
 
     /// Whether this or another controller has heard the machine recently.
     fn recently_heard(&self, name: &str) -> bool {
-        let limit = self.heartbeat_intervals(agents::MAX_HEARTBEAT_GAP);
+        let limit = self.heartbeat_intervals(agents::MAX_HEARTBEAT_GAP_INTERVALS);
         let heard_here = self.agents.machine(name).and_then(|machine| machine.heard_at);
         heard_here.is_some_and(|at| self.now.saturating_sub(at) < limit)
-            || self.reported_newer_elsewhere(name, limit * 2)
+            || self.peer_has_newer_heartbeat(name, limit * 2)
     }
 
     /// How many service replicas each team wants, and how many of these are away: waiting, on
@@ -236,7 +236,7 @@
             let Some(agent) = self.agents.machine(&ticket.machine) else { continue };
             let key = (ticket.job.clone(), ticket.index, ticket.attempt);
             let Some(job) = self.state.jobs.get(&ticket.job).filter(|job| !job.cancelled()) else { continue };
-            if !self.is_still_placed(ticket) || agent.preempted.contains_key(&key) || agent.is_over(&key) {
+            if !self.is_still_placed(ticket) || agent.preempted.contains_key(&key) || agent.has_ended(&key) {
                 continue;
             }
             let capacities =
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -37,9 +37,9 @@
 use crate::protocol::peer::Frame;
 use crate::protocol::store::{self, Txn};
 use crate::protocol::worker::Heartbeat;
-use crate::reconciliation::phase::Start;
+use crate::reconciliation::phase::Startup;
 use crate::requests::{Event as RequestEvent, Requests};
-use crate::retry::{Outcome, Purpose as Retry, RetryAfter, RetryPolicy, Side};
+use crate::retry::{Outcome, Purpose as Retry, RemoteService, RetryAfter, RetryPolicy};
 use crate::state::ClusterState;
 use crate::state::objectives::Objectives;
 use crate::state::records::{self, Versioned};
@@ -90,16 +90,16 @@
 const DRIFT: f64 = 1.001;
 
 /// The shortest pause after a failed call, by the purpose of the call. Pauses are fractions
-/// of the intervals in the settings, of the lease's `ttl` and of the `gap` between reads.
-fn base_pauses(config: &Settings, ttl: Duration, gap: Duration) -> Vec<(Retry, Duration)> {
+/// of the intervals in the settings, of the lease's `ttl` and of the `read_interval` between reads.
+fn base_pauses(config: &Settings, ttl: Duration, read_interval: Duration) -> Vec<(Retry, Duration)> {
     let heartbeat_interval = Duration::from_secs_f64(config.settings.workers.heartbeat_interval_s);
     let list_lag = Duration::from_secs_f64(config.settings.cloud.list_lag_s);
     vec![
-        (Retry::Lease, gap * 2),
+        (Retry::Lease, read_interval * 2),
         (Retry::Renew, ttl / 16),
-        (Retry::Scan, gap),
-        (Retry::Watch, gap * 2),
-        (Retry::Barrier, gap * 2),
+        (Retry::Scan, read_interval),
+        (Retry::Watch, read_interval * 2),
+        (Retry::Barrier, read_interval * 2),
         (Retry::Write, heartbeat_interval / 10),
         (Retry::Catalog, heartbeat_interval / 4),
         (Retry::List, list_lag / 8),
@@ -128,7 +128,7 @@
     state: ClusterState,
     store: StoreAccess,
     transactions: Transactions,
-    startup: Start,
+    startup: Startup,
     leadership: Leadership,
     sharding: Sharding,
     connectivity: Connectivity,
@@ -151,23 +151,23 @@
         let platform = &config.settings;
         let controllers = config.controllers() as f64;
         // Each kind of steady read may use a quarter of the store's request limit.
-        let gap = Duration::from_secs_f64(controllers / (platform.state.rps * 0.25));
+        let read_interval = Duration::from_secs_f64(controllers / (platform.state.rps * 0.25));
         let workers = &platform.workers;
         let ttl = Duration::from_secs_f64((workers.heartbeat_interval_s * 2.0).min(workers.lease_s / 3.0));
-        let heartbeat_interval = Self::heartbeat_interval(Duration::from_secs_f64(workers.heartbeat_interval_s));
+        let heartbeat_interval = Self::peer_heartbeat_interval(Duration::from_secs_f64(workers.heartbeat_interval_s));
         let checkpoint_size = records::checkpoint_size(platform.state.value_kb, platform.state.write_rps / controllers);
         Controller {
             process: Process::new(config.member.clone(), incarnation >> 1, wall_clock),
             now: Duration::ZERO,
             outbox: Outbox::new(),
-            retry: RetryPolicy::new(incarnation, base_pauses(&config, ttl, gap)),
+            retry: RetryPolicy::new(incarnation, base_pauses(&config, ttl, read_interval)),
             state: ClusterState::new(checkpoint_size),
             store: StoreAccess::new(
-                StoreSession::new(ttl, gap, platform.state.rps * SCAN_BURST_S / controllers),
+                StoreSession::new(ttl, read_interval, platform.state.rps * SCAN_BURST_S / controllers),
                 ClusterState::new(checkpoint_size),
             ),
             transactions: Transactions::new(platform.state.write_rps / controllers * USABLE_WRITE_FRACTION),
-            startup: Start::new(
+            startup: Startup::new(
                 Duration::from_secs_f64(workers.lease_s),
                 Duration::from_secs_f64(
                     workers.heartbeat_interval_s * startup::MAX_HEARTBEAT_INTERVALS + agents::CONTROLLER_SWITCH_S,
@@ -201,7 +201,7 @@
                 }
             }
             Event::Peer { member, frame: Frame::PeerHeartbeat(heartbeat) } => {
-                self.note_images(&heartbeat);
+                self.record_peer_images(&heartbeat);
                 self.update_newly_provisioned(&heartbeat.provisioned);
                 self.agents.mark_unlisted(&heartbeat.unlisted);
                 self.connectivity.receive(&member, &heartbeat, now);
@@ -211,7 +211,7 @@
                 }
                 for heard in &heartbeat.recent_machines {
                     let heard_at = now.saturating_sub(Duration::from_millis(heard.ago_ms));
-                    self.agents.heard_elsewhere(&heard.machine, (heard.agent_epoch, heard.heartbeat_seq), heard_at);
+                    self.agents.record_elsewhere(&heard.machine, (heard.agent_epoch, heard.heartbeat_seq), heard_at);
                 }
                 self.probe(&heartbeat.unresponsive);
             }
@@ -226,7 +226,7 @@
             }
             Event::Tick => self.tick(),
         }
-        if self.scheduler.begin_round(self.now, self.store.session.gap) {
+        if self.scheduler.begin_round(self.now, self.store.session.read_interval) {
             self.schedule();
         }
         self.outbox.drain_into(actions);
@@ -238,11 +238,11 @@
         self.synchronize();
         self.answer_due_requests();
         self.read_catalog();
-        let heartbeat_interval = Self::heartbeat_interval(self.heartbeat_intervals(1.0));
+        let heartbeat_interval = Self::peer_heartbeat_interval(self.heartbeat_intervals(1.0));
         if self.connectivity.begin_heartbeat(self.now, heartbeat_interval) {
             self.send_heartbeat();
         }
-        if !self.store.session.following() {
+        if !self.store.session.is_following() {
             return;
         }
         self.update_rate_limits();
@@ -306,9 +306,9 @@
         let max_age = self.secs((workers.cancel_s - workers.lease_s - margin_s) / DRIFT);
         let is_recent = |at: Instant| self.now.saturating_sub(at) < max_age;
         // A replica that was read again may lack changes that its predecessor answered with.
-        let complete = self.store.session.following() && self.state.has_applied_all_known();
+        let complete = self.store.session.is_following() && self.state.has_applied_all_known();
         complete
-            && (self.store.session.fresh_at.is_some_and(is_recent) || self.surely_fresh_at().is_some_and(is_recent))
+            && (self.store.session.fresh_at.is_some_and(is_recent) || self.confirmed_fresh_at().is_some_and(is_recent))
     }
 
     /// Whether the replica is known to be less than one heartbeat interval old.
@@ -342,9 +342,9 @@
     /// Handles the result of a call, after the retry policy has taken note of it.
     fn handle_result(&mut self, id: CallId, purpose: Purpose, result: Result<Reply, NoAnswer>) {
         if let Some(retry) = purpose.retry_purpose() {
-            let was_unavailable = self.retry.is_open(Side::Store);
-            self.retry.ended(retry, retry_outcome(retry, &result), self.now);
-            if was_unavailable && !self.retry.is_open(Side::Store) {
+            let was_unavailable = self.retry.is_open(RemoteService::Store);
+            self.retry.record_outcome(retry, retry_outcome(retry, &result), self.now);
+            if was_unavailable && !self.retry.is_open(RemoteService::Store) {
                 self.transactions.store_recovered(self.now);
             }
         }
@@ -355,9 +355,9 @@
             Purpose::Catalog | Purpose::List | Purpose::Rent { .. } => {
                 self.cloud_answer(purpose, result);
             }
-            Purpose::Release { machines } => self.release_answer(machines, result),
-            Purpose::Push { machine, grant } => self.push_answer(id, &machine, grant, result),
-            Purpose::Probe { machine, known } => self.probe_answer(machine, known, result),
+            Purpose::Release { machines } => self.handle_release_answer(machines, result),
+            Purpose::Push { machine, grant } => self.handle_push_answer(id, &machine, grant, result),
+            Purpose::Probe { machine, known } => self.handle_probe_answer(machine, known, result),
             Purpose::Txn(pending) => self.handle_txn_result(id, pending, &result),
         }
     }
@@ -384,6 +384,6 @@
             self.stop_job(&uid);
         }
         self.retry_pending_heartbeats();
-        self.answer_requests(RequestEvent::ClusterState(self.state.revision));
+        self.answer_requests(RequestEvent::ReplicaAt(self.state.revision));
     }
 }
--- a/src/controller/outbox.rs
+++ b/src/controller/outbox.rs
@@ -1,6 +1,6 @@
 //! Actions for the event loop, and calls in flight.
 
-use crate::connectivity::heartbeat_tracking::At;
+use crate::connectivity::heartbeat_tracking::HeartbeatCounters;
 use crate::controller::transactions::PendingTransaction;
 use crate::effects::{Action, CallId, NoAnswer, Reply, Target};
 use crate::protocol::user::ErrorBody;
@@ -53,7 +53,7 @@
         /// The machine's name.
         machine: String,
         /// The newest counters of the machine that were known when the probe was sent.
-        known: At,
+        known: HeartbeatCounters,
     },
     /// Sends a transaction to the store.
     Txn(PendingTransaction),
--- a/src/controller/quota.rs
+++ b/src/controller/quota.rs
@@ -6,7 +6,7 @@
 use super::Controller;
 use super::transactions::Why;
 use crate::config::Team;
-use crate::coordination::quota_reservation::{Limit, QuotaReservation};
+use crate::coordination::quota_reservation::{QuotaLimit, QuotaReservation};
 use crate::coordination::rate_limiter::WritePriority;
 use crate::effects::Instant;
 use crate::protocol::store::{Condition, Op, Txn};
@@ -36,9 +36,9 @@
 #[derive(Debug, Clone, Copy)]
 pub(super) struct QuotaUse {
     /// CPUs in use, and their limit.
-    pub(super) cpus: Limit,
+    pub(super) cpus: QuotaLimit,
     /// GPUs in use, and their limit.
-    pub(super) gpus: Limit,
+    pub(super) gpus: QuotaLimit,
 }
 
 /// What is left of a team's limits; infinite for a resource without a limit.
@@ -66,19 +66,19 @@
         max_age: Duration,
     ) -> bool {
         let reserved = self.by_team.entry(team.to_string()).or_default();
-        reserved.allow(need, quota.cpus, quota.gpus, controllers, now, max_age)
+        reserved.allows_start(need, quota.cpus, quota.gpus, controllers, now, max_age)
     }
 
     /// Records that the starts that take this reservation were sent to the store.
     pub(super) fn reserve(&mut self, reservation: &Reservation) {
-        self.by_team.entry(reservation.team.clone()).or_default().sent(reservation.amounts);
+        self.by_team.entry(reservation.team.clone()).or_default().record_sent(reservation.amounts);
     }
 
     /// Records that the starts that take this reservation were carried out, or are known never to
     /// be.
     pub(super) fn settle(&mut self, reservation: Reservation, carried_out: bool, now: Instant) {
         let reserved = self.by_team.entry(reservation.team).or_default();
-        reserved.answered(reservation.amounts, Some(carried_out), now);
+        reserved.record_outcome(reservation.amounts, Some(carried_out), now);
     }
 
     /// Handles the records of teams that a transaction changed: starts without an answer that
@@ -103,15 +103,15 @@
             used.add(&job.spec, f64::from(job.placed));
         }
         QuotaUse {
-            cpus: Limit { used: used.cores, max: team.cpus_max },
-            gpus: Limit { used: used.gpus, max: team.gpus_max },
+            cpus: QuotaLimit { used: used.cores, max: team.cpus_max },
+            gpus: QuotaLimit { used: used.gpus, max: team.gpus_max },
         }
     }
 
     /// Whether the team is so far from each of its limits that its starts need not exclude each
     /// other.
     pub(super) fn is_far_from_limits(self) -> bool {
-        let is_far = |limit: Limit| limit.max <= 0.0 || limit.used <= limit.max * FAR_FROM_LIMIT_SHARE;
+        let is_far = |limit: QuotaLimit| limit.max <= 0.0 || limit.used <= limit.max * FAR_FROM_LIMIT_SHARE;
         is_far(self.cpus) && is_far(self.gpus)
     }
 }
@@ -119,7 +119,7 @@
 impl RemainingQuota {
     /// What is left to the team according to the cluster state.
     pub(super) fn of(team: &Team, state: &ClusterState) -> RemainingQuota {
-        let left = |limit: Limit| if limit.max > 0.0 { limit.max - limit.used } else { f64::INFINITY };
+        let left = |limit: QuotaLimit| if limit.max > 0.0 { limit.max - limit.used } else { f64::INFINITY };
         let quota = QuotaUse::of(team, state);
         RemainingQuota { cpus: left(quota.cpus), gpus: left(quota.gpus) }
     }
--- a/src/controller/quota/tests.rs
+++ b/src/controller/quota/tests.rs
@@ -29,7 +29,7 @@
 
 #[test]
 fn a_team_is_far_from_its_limits_only_if_it_is_far_from_each() {
-    let limit = |used, max| Limit { used, max };
+    let limit = |used, max| QuotaLimit { used, max };
     let far = QuotaUse { cpus: limit(2.0, 10.0), gpus: limit(5.0, 0.0) };
     assert!(far.is_far_from_limits(), "a limit of 0 means no limit");
     let near = QuotaUse { cpus: limit(2.0, 10.0), gpus: limit(3.0, 10.0) };
--- a/src/controller/registration.rs
+++ b/src/controller/registration.rs
@@ -20,8 +20,8 @@
     /// heartbeat would bring back a machine that was released, and tasks placed on it would
     /// never reach a machine.
     pub(super) fn enrol(&mut self, heartbeat: &Heartbeat) {
-        if self.agents.probed_at(&heartbeat.machine).is_none() {
-            return self.call_back(heartbeat);
+        if self.agents.probe_answered_at(&heartbeat.machine).is_none() {
+            return self.probe_sender(heartbeat);
         }
         let key = records::machine_group_key(&heartbeat.machine);
         let has_leader =
@@ -91,8 +91,9 @@
             return;
         }
         let group_size = names.len().div_ceil(members.min(limits.txn_ops.saturating_sub(1).max(1)));
-        let unhearing = self.connectivity.unhearing_members(self.now).collect();
-        let owners = shards::spread(&self.state, &unhearing, &offer.machine_type, names.len(), group_size);
+        let cut_off = self.connectivity.cut_off_controllers(self.now).collect();
+        let owners =
+            shards::owners_for_new_machines(&self.state, &cut_off, &offer.machine_type, names.len(), group_size);
         let mut txn =
             Txn { conditions: vec![self.leader_condition(), self.machine_groups_condition()], ops: Vec::new() };
         txn.conditions.extend(names.iter().map(|name| Condition { key: records::machine_group_key(name), version: 0 }));
--- a/src/controller/scheduler/gangs.rs
+++ b/src/controller/scheduler/gangs.rs
@@ -8,7 +8,7 @@
 use super::Scheduler;
 use super::round::SchedulingRound;
 use crate::config::Settings;
-use crate::controller::agents::MAX_HEARTBEAT_GAP;
+use crate::controller::agents::MAX_HEARTBEAT_GAP_INTERVALS;
 use crate::controller::journal::is_wide_gang;
 use crate::coordination::machine::Machine;
 use crate::effects::Instant;
@@ -38,7 +38,8 @@
     /// waiting for replacements, or if it is a wide gang of which no task was ordered yet.
     pub(super) fn gang_is_assembling(&self, round: &SchedulingRound, job: &Job) -> bool {
         let uid = &job.spec.uid;
-        let waits_for_others = |machine: &Machine, place: &Placement| machine.gathers(uid, place.index, place.attempt);
+        let waits_for_others =
+            |machine: &Machine, place: &Placement| machine.is_waiting_for_gang(uid, place.index, place.attempt);
         let was_not_ordered = |machine: &Machine, place: &Placement| {
             machine.confirmed() && machine.find(uid, place.index, place.attempt).is_none()
         };
@@ -54,7 +55,7 @@
 /// Whether all placements of the job satisfy `condition` and are on machines of this controller
 /// with a recent heartbeat.
 fn all_placements(round: &SchedulingRound, job: &Job, condition: impl Fn(&Machine, &Placement) -> bool) -> bool {
-    let recent = round.heartbeat_intervals(MAX_HEARTBEAT_GAP);
+    let recent = round.heartbeat_intervals(MAX_HEARTBEAT_GAP_INTERVALS);
     let is_recent =
         |machine: &Machine| machine.heard_at.is_some_and(|heard_at| round.now.saturating_sub(heard_at) < recent);
     job.chunks.values().flat_map(|chunk| &chunk.rec.on).all(|place| {
--- a/src/controller/scheduler/mod.rs
+++ b/src/controller/scheduler/mod.rs
@@ -103,7 +103,7 @@
 
     /// Runs a scheduling round: plans starts, and writes them and the pending exits to the log.
     pub(super) fn schedule(&mut self) {
-        if !self.store.session.following() || !self.entitled() {
+        if !self.store.session.is_following() || !self.entitled() {
             return;
         }
         self.adopt_granted_machines();
--- a/src/controller/scheduler/preemption.rs
+++ b/src/controller/scheduler/preemption.rs
@@ -180,7 +180,7 @@
     for ((uid, index), attempt) in round.state.placed.get(&name).into_iter().flatten() {
         let Some(job) = round.state.jobs.get(uid) else { continue };
         let key = (uid.clone(), *index, *attempt);
-        if machine.is_over(&key) {
+        if machine.has_ended(&key) {
             continue;
         }
         // The room of a task that is being preempted already counts as free. The task is not a
@@ -188,7 +188,8 @@
         if machine.preempted.contains_key(&key) {
             capacity.put_back(&job.spec);
         } else if job.spec.kind == JobKind::Array && !job.cancelled() {
-            let ran_s = machine.since.get(&key).map_or(0.0, |since| round.now.saturating_sub(*since).as_secs_f64());
+            let ran_s =
+                machine.running_since.get(&key).map_or(0.0, |since| round.now.saturating_sub(*since).as_secs_f64());
             // Tasks that save checkpoints get the time to save one before they are stopped.
             let lost_s = if job.spec.saves_in().is_some() { 0.0 } else { ran_s };
             victims.push(Victim {
--- a/src/controller/scheduler/queue.rs
+++ b/src/controller/scheduler/queue.rs
@@ -3,7 +3,7 @@
 
 #![warn(missing_docs)]
 
-use crate::coordination::fault_attribution::AttemptHistory;
+use crate::coordination::fault_attribution::JobFailures;
 use crate::effects::Instant;
 use crate::protocol::user::JobKind;
 use crate::state::{ClusterState, Job};
@@ -32,7 +32,7 @@
     /// Number of failed attempts.
     failures: u32,
     /// The machines on which attempts failed.
-    failed_on: AttemptHistory,
+    failed_on: JobFailures,
     /// No task of the job is started before this time.
     not_before: Instant,
     /// Since when only some of the job's tasks are placed, if it is a gang.
@@ -67,7 +67,7 @@
     pub(super) fn record_failure(&mut self, uid: &str, machine: &str, now: Instant, heartbeat_interval: Duration) {
         let queued = self.jobs.entry(uid.to_string()).or_default();
         queued.failures += 1;
-        queued.failed_on.failed_on(machine);
+        queued.failed_on.record_failure_on(machine);
         let doublings = (queued.failures / FAILURES_PER_DOUBLING).min(MAX_DOUBLINGS);
         queued.not_before = now + heartbeat_interval * ((1 << doublings) - 1);
     }
@@ -111,7 +111,7 @@
     /// Whether the job's failures are taken to be its own fault: they occurred on several
     /// machines, and `done`, the number of its finished tasks, is 0.
     pub(super) fn fails_everywhere(&self, done: u32) -> bool {
-        done == 0 && self.failed_on.everywhere()
+        done == 0 && self.failed_on.fails_everywhere()
     }
 
     /// Since when only some of the job's tasks are placed, if it is a gang.
--- a/src/controller/sharding.rs
+++ b/src/controller/sharding.rs
@@ -7,8 +7,8 @@
 #![warn(missing_docs)]
 
 use super::*;
-use crate::coordination::log_writer::fitting;
-use crate::coordination::shards::{self, wanted_moves};
+use crate::coordination::log_writer::count_that_fit;
+use crate::coordination::shards::{self, required_moves};
 use crate::protocol::encode;
 use crate::protocol::store::{Condition, Op};
 use crate::protocol::user::JobKind;
@@ -78,14 +78,14 @@
         let max_moves = max_ops.min(self.transactions.unspent_writes(self.now) as usize).max(1);
         let fleet_known = self.startup.fleet_known();
         let unreached = if fleet_known { self.unreached_machines() } else { Vec::new() };
-        let unhearing: BTreeSet<&str> =
-            if fleet_known { self.connectivity.unhearing_members(now).collect() } else { BTreeSet::new() };
+        let cut_off: BTreeSet<&str> =
+            if fleet_known { self.connectivity.cut_off_controllers(now).collect() } else { BTreeSet::new() };
         let rebalance_due = fleet_known && self.now >= self.sharding.rebalance_next;
         // Machines without an owner that answers them come first: they lose their tasks soon.
-        let mut moves = wanted_moves(&self.state, &unhearing, &unreached, max_ops);
+        let mut moves = required_moves(&self.state, &cut_off, &unreached, max_ops);
         let is_urgent = !moves.is_empty();
         if moves.is_empty() && rebalance_due && now >= self.sharding.rebalance_after_gang {
-            moves.extend(shards::rebalance(&self.state, &unhearing, |machine, to| self.reaches(machine, to)));
+            moves.extend(shards::rebalance(&self.state, &cut_off, |machine, to| self.reaches(machine, to)));
         }
         if moves.is_empty() && rebalance_due {
             moves = self.moves_for_waiting_gang();
@@ -104,7 +104,7 @@
         self.sharding.rebalance_next = self.now + self.heartbeat_intervals(1.0);
         let record_size = |group: &String| self.state.machine_groups.get(group).map_or(0, |old| encode(&old.rec).len());
         let sizes = moves.iter().map(|wanted| record_size(&wanted.group));
-        moves.truncate(fitting(sizes));
+        moves.truncate(count_that_fit(sizes));
         let mut txn = Txn { conditions: vec![self.leader_condition()], ops: Vec::new() };
         for wanted in moves {
             let key = records::machine_group_key(&wanted.group);
@@ -151,7 +151,7 @@
     /// Moves that bring machines into one shard, so that a gang fits there that waits and fits into
     /// no shard. They are of one zone if the gang needs that. One gang is served at a time, oldest
     /// first.
-    fn moves_for_waiting_gang(&self) -> Vec<shards::Move> {
+    fn moves_for_waiting_gang(&self) -> Vec<shards::GroupMove> {
         // A gang first waits as long as machines that were rented for it may take to boot.
         let startup_s = self.cloud.longest_startup_s();
         let has_waited =
--- a/src/controller/startup.rs
+++ b/src/controller/startup.rs
@@ -5,7 +5,7 @@
 use super::*;
 use crate::protocol::cloud::Phase as Listing;
 use crate::reconciliation::difference::{ObservedState, RecordedState, compare};
-use crate::reconciliation::phase::{Facts, Heard, Phase};
+use crate::reconciliation::phase::{HeardCount, Phase, StartupObservations};
 use crate::state::PlacedTasks;
 
 /// The longest time between two heartbeats of a worker, in heartbeat intervals: they vary by
@@ -26,25 +26,25 @@
                 stood_ms = since_last_tick.as_millis() as u64,
                 "process was suspended, gathering heartbeats again"
             );
-            self.startup.paused(self.now);
+            self.startup.record_pause(self.now);
         }
     }
 
     /// Advances the startup phase according to what is observed now.
     pub(super) fn update_startup(&mut self) {
-        if self.startup.phase() == Phase::Settled && self.startup.all_came() {
+        if self.startup.phase() == Phase::Settled && self.startup.all_agents_had_time() {
             return;
         }
-        let facts = if self.startup.phase() == Phase::Settled {
+        let observations = if self.startup.phase() == Phase::Settled {
             // The phase is final; only the elapsed time still counts.
-            let unused = Heard::default();
-            Facts { fresh: self.fresh(), members: unused, shard: unused, fleet: unused }
+            let unused = HeardCount::default();
+            StartupObservations { fresh: self.fresh(), members: unused, shard: unused, fleet: unused }
         } else {
             self.observe_startup()
         };
-        let Some(phase) = self.startup.look(self.now, &facts) else { return };
+        let Some(phase) = self.startup.update(self.now, &observations) else { return };
         let ms = self.now.as_millis() as u64;
-        let Facts { members, shard, fleet, .. } = facts;
+        let StartupObservations { members, shard, fleet, .. } = observations;
         tracing::info!(
             ?phase,
             ms,
@@ -57,16 +57,16 @@
             "startup phase reached"
         );
         if phase == Phase::Settled {
-            tracing::info!(cases = ?self.startup.cases, "machines reconciled with the stored state");
+            tracing::info!(cases = ?self.startup.differences, "machines reconciled with the stored state");
         }
     }
 
     /// Counts the machines and controllers that have been heard so far.
-    fn observe_startup(&self) -> Facts {
-        let (mut shard, mut fleet) = (Heard::default(), Heard::default());
+    fn observe_startup(&self) -> StartupObservations {
+        let (mut shard, mut fleet) = (HeardCount::default(), HeardCount::default());
         let has_list = self.cloud.has_list();
         for (name, machine) in &self.state.machines {
-            let heard = self.heard_by_any(name);
+            let heard = self.reaches_any_controller(name);
             // Machines that the cloud does not list as running are not expected.
             let is_running = |listed: &ListedMachine| listed.phase == Listing::Running;
             if !heard && has_list && !self.cloud.machines().get(name).is_some_and(is_running) {
@@ -79,23 +79,23 @@
                 shard.heard += usize::from(self.agents.machine(name).is_some_and(|agent| agent.heard_at.is_some()));
             }
         }
-        let members = Heard { heard: self.state.members.len(), all: self.config.controllers() };
-        Facts { fresh: self.fresh(), members, shard, fleet }
+        let members = HeardCount { heard: self.state.members.len(), all: self.config.controllers() };
+        StartupObservations { fresh: self.fresh(), members, shard, fleet }
     }
 
     /// Counts the differences between the stored state and a machine's first heartbeat to this
     /// controller as its owner.
     pub(super) fn count_differences(&mut self, name: &str, wanted: &PlacedTasks, kept: &PlacedTasks) {
         let Some(machine) = self.agents.machine(name).filter(|machine| machine.answered_at.is_none()) else { return };
-        let cases = &mut self.startup.cases;
+        let differences = &mut self.startup.differences;
         for task in &machine.tasks {
             let key = (task.task.job.clone(), task.task.index);
             let stored = RecordedState::of(wanted, kept, &key, task.attempt);
-            *cases.entry(compare(stored, ObservedState::of(task.state, task.cause), true)).or_default() += 1;
+            *differences.entry(compare(stored, ObservedState::of(task.state, task.cause), true)).or_default() += 1;
         }
         for ((job, index), attempt) in wanted {
             if machine.find(job, *index, *attempt).is_none() {
-                *cases.entry(compare(RecordedState::Wanted, ObservedState::Absent, false)).or_default() += 1;
+                *differences.entry(compare(RecordedState::Wanted, ObservedState::Absent, false)).or_default() += 1;
             }
         }
     }
--- a/src/controller/store_sync.rs
+++ b/src/controller/store_sync.rs
@@ -35,7 +35,7 @@
     /// nothing; without renewals the lease expires and the other controllers take over.
     fn drop_unrenewed_lease(&mut self, now: Instant) {
         let session = &mut self.session;
-        if session.lease.is_some() && now.saturating_sub(session.lease_from) > session.ttl {
+        if session.lease.is_some() && now.saturating_sub(session.lease_answered_at) > session.ttl {
             tracing::info!("lease dropped, renewals got no answer");
             session.lease = None;
         }
@@ -58,7 +58,7 @@
         match result.ok().filter(|reply| reply.status == 200).and_then(|reply| decode::<Lease>(&reply.body).ok()) {
             Some(lease) => {
                 self.session.lease = Some(lease.id);
-                self.session.lease_from = now;
+                self.session.lease_answered_at = now;
                 true
             }
             None => {
@@ -74,7 +74,7 @@
         let status = result.as_ref().ok().map(|reply| reply.status);
         if status.is_some() {
             // A refusal counts as an answer: the renewal was not carried out.
-            self.session.lease_from = now;
+            self.session.lease_answered_at = now;
         }
         if status != Some(200) {
             self.session.lease_renewal_at = now; // as soon as the retry policy allows
@@ -87,35 +87,35 @@
 
     /// Whether the next page of the scan may be read now.
     fn page_due(&self, now: Instant) -> bool {
-        !self.session.scan_in_flight && now >= self.session.scan_not_before && self.session.scan_bucket.may(now)
+        !self.session.scan_in_flight && now >= self.session.scan_not_before && self.session.scan_bucket.allows(now)
     }
 
     /// Notes that the read of a page is sent.
     fn begin_page(&mut self, now: Instant) {
         self.session.scan_in_flight = true;
-        self.session.scan_bucket.take(now);
+        self.session.scan_bucket.consume(now);
     }
 
     /// Whether the next watch call may be made now.
     fn watch_due(&self, now: Instant) -> bool {
-        !self.session.watch_in_flight && self.session.watch_bucket.may(now)
+        !self.session.watch_in_flight && self.session.watch_bucket.allows(now)
     }
 
     /// Notes that a watch call is sent.
     fn begin_watch(&mut self, now: Instant) {
         self.session.watch_in_flight = true;
-        self.session.watch_bucket.take(now);
+        self.session.watch_bucket.consume(now);
     }
 
     /// Whether a read barrier may be sent now.
     fn barrier_allowed(&self, now: Instant) -> bool {
-        !self.session.barrier_in_flight && self.session.barrier_bucket.may(now)
+        !self.session.barrier_in_flight && self.session.barrier_bucket.allows(now)
     }
 
     /// Notes that a read barrier is sent.
     fn begin_barrier(&mut self, now: Instant) {
         self.session.barrier_in_flight = true;
-        self.session.barrier_bucket.take(now);
+        self.session.barrier_bucket.consume(now);
         self.session.barrier_sent_at = now;
     }
 
@@ -124,7 +124,7 @@
     /// everything that the store held when the barrier was sent.
     fn barrier_answered(&mut self, revision: u64, replica_revision: u64) {
         self.session.barriers.push((revision, self.session.barrier_sent_at));
-        self.session.reached(replica_revision);
+        self.session.record_revision(replica_revision);
     }
 }
 
@@ -133,7 +133,7 @@
     pub(super) fn synchronize(&mut self) {
         self.store.drop_unrenewed_lease(self.now);
         self.renew_lease();
-        match self.store.session.load {
+        match self.store.session.sync_state {
             SyncState::Reading => self.read_next_page(),
             SyncState::Following => self.follow_store(),
         }
@@ -150,7 +150,7 @@
     fn renew_lease(&mut self) {
         let lease = self.store.session.lease;
         let purpose = if lease.is_some() { Retry::Renew } else { Retry::Lease };
-        if !self.store.lease_call_due(self.now) || !self.retry.may(purpose, self.now) {
+        if !self.store.lease_call_due(self.now) || !self.retry.allows(purpose, self.now) {
             return;
         }
         self.store.begin_lease_call(self.now);
@@ -169,7 +169,7 @@
 
     /// Reads the next page of the scan, if it is due.
     fn read_next_page(&mut self) {
-        if !self.store.page_due(self.now) || !self.retry.may(Retry::Scan, self.now) {
+        if !self.store.page_due(self.now) || !self.retry.allows(Retry::Scan, self.now) {
             return;
         }
         self.store.begin_page(self.now);
@@ -184,7 +184,7 @@
         let max_staleness = self.heartbeat_intervals(BARRIER_INTERVALS);
         let stale = self.store.session.staleness(now).is_none_or(|staleness| staleness > max_staleness);
         let due = self.api.awaits_read() || stale;
-        if !due || !self.store.barrier_allowed(now) || !self.retry.may(Retry::Barrier, now) {
+        if !due || !self.store.barrier_allowed(now) || !self.retry.allows(Retry::Barrier, now) {
             return;
         }
         self.store.begin_barrier(now);
@@ -196,7 +196,7 @@
 
     /// Requests the changes after the replica's revision.
     fn watch_store(&mut self) {
-        if !self.store.watch_due(self.now) || !self.retry.may(Retry::Watch, self.now) {
+        if !self.store.watch_due(self.now) || !self.retry.allows(Retry::Watch, self.now) {
             return;
         }
         self.store.begin_watch(self.now);
@@ -213,7 +213,7 @@
         let key = records::member_key(&self.process.member);
         if self.state.is_live(&self.process.member, self.process.incarnation)
             || self.transactions.is_locked(&key)
-            || !self.retry.may(Retry::Write, self.now)
+            || !self.retry.allows(Retry::Write, self.now)
         {
             return;
         }
@@ -239,7 +239,7 @@
     }
 
     fn handle_lease_result(&mut self, result: Result<Reply, NoAnswer>) {
-        if self.store.end_lease_request(self.now, result) && self.store.session.following() {
+        if self.store.end_lease_request(self.now, result) && self.store.session.is_following() {
             self.register_member();
         }
     }
@@ -276,7 +276,7 @@
         if let Some(revision) = revision {
             self.store.barrier_answered(revision, self.state.revision);
         }
-        self.answer_requests(RequestEvent::ClusterState(self.state.revision));
+        self.answer_requests(RequestEvent::ReplicaAt(self.state.revision));
     }
 
     /// Scans the store again, because the watch cannot continue from the replica's revision.
@@ -317,9 +317,9 @@
         }
         replica.follows(&self.state);
         self.state = replica;
-        self.agents.forget_followed_records();
-        self.store.session.load = SyncState::Following;
-        self.startup.loaded(self.now);
+        self.agents.invalidate_machines();
+        self.store.session.sync_state = SyncState::Following;
+        self.startup.record_loaded(self.now);
         if let Some(catalog) = self.state.catalog.as_ref().filter(|_| self.cloud.catalog().is_empty()) {
             // Used until the cloud answers; the cloud is asked all the same.
             self.cloud.load_stored_catalog(&catalog.rec.types);
@@ -339,7 +339,7 @@
 
     /// Applies the changes that the watch has returned to the replica.
     fn apply_changes(&mut self, changes: WatchResponse) {
-        if !self.store.session.following() {
+        if !self.store.session.is_following() {
             return;
         }
         for change in &changes.events {
@@ -356,7 +356,7 @@
         }
         self.scheduler.request_round_if(!changes.events.is_empty());
         self.state.reached(changes.revision);
-        self.store.session.reached(self.state.revision);
+        self.store.session.record_revision(self.state.revision);
         self.resolve_transactions(false);
         self.replica_changed();
     }
--- a/src/controller/task_ranges.rs
+++ b/src/controller/task_ranges.rs
@@ -114,16 +114,16 @@
                 }
             }
             let zones = self.state.tasks_by_zone(job);
-            let alike = BTreeMap::new();
+            let waiting_with_image = BTreeMap::new();
             let inputs = shards::AssignmentInputs {
                 members: &members,
                 capacities,
-                queues: &other_queues,
-                grain: 1,
-                zones: &zones,
-                alike: &alike,
+                queued_cores: &other_queues,
+                tasks_per_record: 1,
+                tasks_by_zone: &zones,
+                waiting_with_image: &waiting_with_image,
             };
-            let capacity = inputs.capacity(&job.spec);
+            let capacity = inputs.free_tasks_by_member(&job.spec);
             let fitting_tasks =
                 |member: &str| capacity.iter().find(|entry| entry.0 == member).map_or(0, |entry| entry.1);
             let mut need: BTreeMap<&str, u32> = BTreeMap::new();
@@ -168,26 +168,33 @@
         queues: &BTreeMap<String, f64>,
         zones: &BTreeMap<String, u32>,
     ) -> Vec<TaskRange> {
-        let hears = |member: &&String| !self.connectivity.is_unhearing(member, self.now);
-        let mut members: Vec<String> = self.state.members.keys().filter(hears).cloned().collect();
+        let reaches_machines = |member: &&String| !self.connectivity.is_controller_cut_off(member, self.now);
+        let mut members: Vec<String> = self.state.members.keys().filter(reaches_machines).cloned().collect();
         if members.is_empty() {
             members.extend(self.state.members.keys().cloned());
         }
         let as_a_whole = spec.kind == JobKind::Gang || spec.zone_affinity || spec.zone_anti_affinity;
-        let mut alike = BTreeMap::new();
+        let mut waiting_with_image = BTreeMap::new();
         let waits_with_same_image =
             |job: &&Job| job.spec.image == spec.image && job.spec.uid != spec.uid && job.waiting_count() > 0;
         for range in self.state.jobs.values().filter(waits_with_same_image).flat_map(|job| &job.rec.rec.task_ranges) {
-            *alike.entry(range.member.clone()).or_default() += range.to + 1 - range.from;
+            *waiting_with_image.entry(range.member.clone()).or_default() += range.to + 1 - range.from;
         }
         let longest_name = members.iter().map(String::len).max().unwrap_or(0);
-        let grain = records::task_range_size(
+        let tasks_per_record = records::task_range_size(
             self.config.settings.state.value_kb,
             longest_name,
             self.state.checkpoint_size,
             spec.task_count,
         );
-        let inputs = shards::AssignmentInputs { members: &members, capacities, queues, grain, zones, alike: &alike };
+        let inputs = shards::AssignmentInputs {
+            members: &members,
+            capacities,
+            queued_cores: queues,
+            tasks_per_record,
+            tasks_by_zone: zones,
+            waiting_with_image: &waiting_with_image,
+        };
         shards::assign_task_ranges(spec, waiting, &inputs, &self.process.member, as_a_whole)
     }
 
--- a/src/controller/transactions.rs
+++ b/src/controller/transactions.rs
@@ -77,12 +77,12 @@
 
     /// Changes that may be written now without borrowing; negative if in debt.
     pub(super) fn unspent_writes(&self, now: Instant) -> f64 {
-        self.rate.level(now)
+        self.rate.balance_at(now)
     }
 
     /// Notes that the store answers again after an outage, for all controllers at once.
     pub(super) fn store_recovered(&mut self, now: Instant) {
-        self.rate.store_is_back(now);
+        self.rate.reset_after_outage(now);
         self.store_recovered_at = Some(now);
     }
 
@@ -93,18 +93,18 @@
 
     /// Notes a change of a key that the watch shows, after all changes before it.
     pub(super) fn observe_change(&mut self, key: &str, data: Option<&Value>, revision: u64) {
-        self.in_flight.changed(key, data, revision);
+        self.in_flight.observe_change(key, data, revision);
     }
 
     /// Notes the value of a key that a scan shows; earlier changes of it may be missed.
     pub(super) fn observe_row(&mut self, key: &str, data: &Value, revision: u64) {
-        self.in_flight.shows(key, Some(data), revision);
+        self.in_flight.observe_value(key, Some(data), revision);
     }
 
     /// Notes that changes may have been missed. From then on a transaction in flight is
     /// resolved only by its answer, or by the store holding what it puts.
     pub(super) fn observe_gap(&mut self) {
-        self.in_flight.gap();
+        self.in_flight.mark_watch_gap();
     }
 
     /// Notes that a transaction is sent with this call: charges it and locks its keys.
@@ -122,7 +122,7 @@
         counts.sent += 1;
         counts.changes += txn.ops.len();
         self.locked_keys.extend(keys.iter().cloned());
-        self.in_flight.sent(id, &txn, known_revision);
+        self.in_flight.track(id, &txn, known_revision);
         PendingTransaction { txn, why, keys, charge, sent_at: now }
     }
 
@@ -130,9 +130,9 @@
     /// transaction. If the store refused it with status 503, it was not written, and its
     /// charge is refunded.
     fn end_call(&mut self, id: CallId, charge: Charge, result: &Result<Reply, NoAnswer>, now: Instant) {
-        self.in_flight.ended(id);
+        self.in_flight.stop_tracking(id);
         if result.as_ref().is_ok_and(|reply| reply.status == 503) {
-            self.rate.give_back(now, charge);
+            self.rate.refund(now, charge);
         }
     }
 
@@ -287,13 +287,13 @@
 impl Controller {
     /// Whether this many changes that can also wait may be written now.
     pub(super) fn may_write(&self, changes: f64) -> bool {
-        self.retry.may(Retry::Write, self.now) && self.transactions.rate.has(self.now, changes)
+        self.retry.allows(Retry::Write, self.now) && self.transactions.rate.has_balance_for(self.now, changes)
     }
 
     /// Whether a change of this priority may be written now. One that may not is remembered
     /// as waiting.
     pub(super) fn may_write_as(&mut self, priority: WritePriority) -> bool {
-        self.retry.may(Retry::Write, self.now) && self.transactions.rate.admits(priority, self.now)
+        self.retry.allows(Retry::Write, self.now) && self.transactions.rate.admits(priority, self.now)
     }
 
     /// Sends a transaction with the timeout of one heartbeat interval. See
@@ -325,7 +325,7 @@
     /// Every transaction is sent from here.
     pub(super) fn send_txn_within(&mut self, txn: Txn, why: Why, keys: Vec<String>, timeout: Duration) {
         debug_assert!(
-            self.retry.may(Retry::Write, self.now),
+            self.retry.allows(Retry::Write, self.now),
             "transaction \"{}\" is sent against the retry policy",
             why.name()
         );
@@ -339,14 +339,14 @@
     /// them is ignored. `after_scan` says that a scan has shown it: unlike after the watch,
     /// the replica may then lack some of what they put.
     pub(super) fn resolve_transactions(&mut self, after_scan: bool) {
-        for (id, proof) in self.transactions.in_flight.settled() {
+        for (id, proof) in self.transactions.in_flight.take_resolved() {
             let Some(Purpose::Txn(pending)) = self.outbox.end_call(id) else { continue };
             let ended = match proof {
                 Proof::Done(revision) => Ended::Done(revision),
                 Proof::Void { key, revision } => Ended::Void { failed: vec![key], revision },
             };
             if let Ended::Done(revision) = ended {
-                self.retry.ended(Retry::Write, Outcome::Answered, self.now);
+                self.retry.record_outcome(Retry::Write, Outcome::Answered, self.now);
                 if after_scan {
                     self.apply_puts(&pending.txn, revision);
                 }
@@ -394,8 +394,8 @@
             tracing::debug!(?ended, ?why, "transaction not applied");
         }
         match why {
-            Why::Accept(uid) => self.request_written(&uid, RequestKind::Submitted, &ended),
-            Why::Cancel(uid) => self.request_written(&uid, RequestKind::Cancelled, &ended),
+            Why::Accept(uid) => self.request_written(&uid, RequestKind::Submit, &ended),
+            Why::Cancel(uid) => self.request_written(&uid, RequestKind::Cancel, &ended),
             Why::Segment { facts, reservations } => self.segment_answer(&txn, facts, reservations, &ended),
             Why::Fold => {
                 self.journal.compaction_ended();
--- a/src/coordination/fault_attribution.rs
+++ b/src/coordination/fault_attribution.rs
@@ -21,7 +21,7 @@
 
 /// The failed tasks of each job on one machine, since a task last succeeded there.
 #[derive(Debug, Default)]
-pub struct Failures {
+pub struct MachineFailures {
     by_job: BTreeMap<String, u32>,
 }
 
@@ -36,20 +36,20 @@
     Faulty,
 }
 
-impl Failures {
+impl MachineFailures {
     /// Records that a task of the job failed on the machine.
-    pub fn note(&mut self, job: &str) {
+    pub fn record_failure(&mut self, job: &str) {
         *self.by_job.entry(job.to_string()).or_default() += 1;
     }
 
     /// Records that a task succeeded on the machine, which clears the earlier failures.
-    pub fn clear(&mut self) {
+    pub fn record_success(&mut self) {
         self.by_job.clear();
     }
 
     /// Records that the machine is cordoned for these failures. Keeps one failure fewer than
     /// a cordon needs, so that a single new failure cordons the machine again.
-    pub fn served(&mut self) {
+    pub fn record_cordon(&mut self) {
         let kept = FAILURES_TO_CORDON - 1;
         self.by_job.values_mut().for_each(|failures| *failures = (*failures).min(kept));
         while self.by_job.len() > 1 && self.by_job.values().sum::<u32>() > kept {
@@ -81,14 +81,14 @@
 
 /// The machines on which tasks of one job failed.
 #[derive(Debug, Default)]
-pub struct AttemptHistory {
+pub struct JobFailures {
     /// At most [`FAILED_MACHINES_TO_BLAME_JOB`] machines; further ones would change nothing.
     failed_on: BTreeSet<String>,
 }
 
-impl AttemptHistory {
+impl JobFailures {
     /// Records that a task of the job failed on this machine.
-    pub fn failed_on(&mut self, machine: &str) {
+    pub fn record_failure_on(&mut self, machine: &str) {
         if self.failed_on.len() < FAILED_MACHINES_TO_BLAME_JOB {
             self.failed_on.insert(machine.to_string());
         }
@@ -96,7 +96,7 @@
 
     /// Whether the job failed on so many machines that it is at fault itself, provided that
     /// none of its tasks has succeeded.
-    pub fn everywhere(&self) -> bool {
+    pub fn fails_everywhere(&self) -> bool {
         self.failed_on.len() >= FAILED_MACHINES_TO_BLAME_JOB
     }
 }
--- a/src/coordination/fault_attribution/tests.rs
+++ b/src/coordination/fault_attribution/tests.rs
@@ -2,9 +2,9 @@
 
 use super::*;
 
-fn failures_of(list: &[(&str, u32)]) -> Failures {
-    let mut failures = Failures::default();
-    list.iter().for_each(|(job, n)| (0..*n).for_each(|_| failures.note(job)));
+fn failures_of(list: &[(&str, u32)]) -> MachineFailures {
+    let mut failures = MachineFailures::default();
+    list.iter().for_each(|(job, n)| (0..*n).for_each(|_| failures.record_failure(job)));
     failures
 }
 
@@ -15,11 +15,11 @@
     let none = |_: &str| false;
     assert_eq!(failures_of(&[("bad", 40)]).verdict(bad, none), Verdict::Healthy);
     assert_eq!(failures_of(&[("bad", 40), ("good", 2)]).verdict(bad, |j| j == "good"), Verdict::Healthy);
-    let mut history = AttemptHistory::default();
-    ["m1", "m1", "m2"].into_iter().for_each(|m| history.failed_on(m));
-    assert!(!history.everywhere());
-    history.failed_on("m3");
-    assert!(history.everywhere());
+    let mut history = JobFailures::default();
+    ["m1", "m1", "m2"].into_iter().for_each(|m| history.record_failure_on(m));
+    assert!(!history.fails_everywhere());
+    history.record_failure_on("m3");
+    assert!(history.fails_everywhere());
 }
 
 /// A faulty machine must not get further tasks after the first few have failed.
@@ -40,10 +40,10 @@
 fn one_failure_after_a_cordon_leads_to_another_cordon() {
     let none = |_: &str| false;
     let mut failures = failures_of(&[("a", 5), ("b", 4)]);
-    failures.served();
+    failures.record_cordon();
     assert_eq!(failures.verdict(none, |_| true), Verdict::Healthy);
-    failures.note("c");
+    failures.record_failure("c");
     assert_eq!(failures.verdict(none, |_| true), Verdict::Faulty);
-    failures.clear();
+    failures.record_success();
     assert_eq!(failures.verdict(none, |_| true), Verdict::Healthy);
 }
--- a/src/coordination/health.rs
+++ b/src/coordination/health.rs
@@ -24,61 +24,62 @@
 
 /// What this controller knows about itself and about the other controllers.
 #[derive(Debug, Clone)]
-pub struct Facts {
+pub struct HealthInputs {
     /// Time since the process started.
-    pub age: Duration,
+    pub uptime: Duration,
     /// Whether the stored state has been read completely and is being followed.
     pub loaded: bool,
     /// The greatest possible age of this controller's replica; `None` until it was first proved
     /// fresh.
-    pub stale: Option<Duration>,
+    pub staleness: Option<Duration>,
     /// Whether other controllers are configured.
     pub has_others: bool,
     /// The greatest possible ages of the replicas of the other controllers that were heard from
     /// recently.
-    pub others: Vec<Duration>,
+    pub other_staleness: Vec<Duration>,
     /// Whether this controller may act for the cluster.
-    pub entitled: bool,
+    pub may_act: bool,
     /// Whether the state service counts as unavailable.
-    pub store_away: bool,
+    pub store_unavailable: bool,
     /// Replicas younger than this count as fresh, and starts shorter than this as quick.
-    pub margin: Duration,
+    pub freshness_limit: Duration,
 }
 
-impl Facts {
+impl HealthInputs {
     /// Whether all other controllers that were heard from have stale replicas.
     fn no_other_is_fresh(&self) -> bool {
-        self.others.iter().all(|age| *age > self.margin)
+        self.other_staleness.iter().all(|age| *age > self.freshness_limit)
     }
 
     /// Whether other controllers report that their replicas are stale too. This controller then
     /// stays in rotation, so that the first request after the outage need not wait for probes.
     fn outage_is_shared(&self) -> bool {
-        !self.others.is_empty() && self.no_other_is_fresh()
+        !self.other_staleness.is_empty() && self.no_other_is_fresh()
     }
 }
 
 /// Whether the load balancer should send users' requests to this controller.
-pub fn healthy(facts: &Facts) -> bool {
-    let fresh = facts.loaded && facts.stale.is_some_and(|age| age < facts.margin);
-    if facts.age < PROBE_INTERVAL || fresh {
+pub fn is_healthy(inputs: &HealthInputs) -> bool {
+    let fresh = inputs.loaded && inputs.staleness.is_some_and(|age| age < inputs.freshness_limit);
+    if inputs.uptime < PROBE_INTERVAL || fresh {
         return true;
     }
-    if facts.loaded { healthy_with_stale_replica(facts) } else { healthy_while_starting(facts) }
+    if inputs.loaded { healthy_with_stale_replica(inputs) } else { healthy_while_starting(inputs) }
 }
 
 /// The rule for a controller that has a complete but stale replica.
-fn healthy_with_stale_replica(facts: &Facts) -> bool {
-    let own_staleness = facts.stale.unwrap_or(Duration::MAX);
-    let isolated = facts.has_others && facts.others.is_empty();
-    let another_is_fresher = facts.others.iter().any(|age| age.saturating_add(facts.margin) < own_staleness);
-    !another_is_fresher && !isolated && (facts.entitled || facts.outage_is_shared())
+fn healthy_with_stale_replica(inputs: &HealthInputs) -> bool {
+    let own_staleness = inputs.staleness.unwrap_or(Duration::MAX);
+    let isolated = inputs.has_others && inputs.other_staleness.is_empty();
+    let another_is_fresher =
+        inputs.other_staleness.iter().any(|age| age.saturating_add(inputs.freshness_limit) < own_staleness);
+    !another_is_fresher && !isolated && (inputs.may_act || inputs.outage_is_shared())
 }
 
 /// The rule for a controller that has not read the stored state completely.
-fn healthy_while_starting(facts: &Facts) -> bool {
-    let quick_start = facts.age < facts.margin;
-    facts.no_other_is_fresh() && quick_start || facts.outage_is_shared() && facts.store_away
+fn healthy_while_starting(inputs: &HealthInputs) -> bool {
+    let quick_start = inputs.uptime < inputs.freshness_limit;
+    inputs.no_other_is_fresh() && quick_start || inputs.outage_is_shared() && inputs.store_unavailable
 }
 
 #[cfg(test)]
--- a/src/coordination/in_flight_writes.rs
+++ b/src/coordination/in_flight_writes.rs
@@ -105,7 +105,7 @@
     writes: BTreeMap<CallId, InFlightWrite>,
     /// The transactions for which changes of each key are evidence.
     by_key: HashMap<String, BTreeSet<CallId>>,
-    /// Transactions with evidence that `settled` has not examined yet.
+    /// Transactions with evidence that `take_resolved` has not examined yet.
     unexamined: BTreeSet<CallId>,
 }
 
@@ -113,7 +113,7 @@
     /// Starts to track a transaction that is sent now. `newest_revision` is the newest revision
     /// of the store that is known. A transaction that puts none of the keys that it is
     /// conditional on is not tracked: only its answer resolves it.
-    pub fn sent(&mut self, id: CallId, txn: &Txn, newest_revision: u64) {
+    pub fn track(&mut self, id: CallId, txn: &Txn, newest_revision: u64) {
         if !txn.conditions.iter().any(|condition| txn.puts(&condition.key)) {
             return;
         }
@@ -125,7 +125,7 @@
     }
 
     /// Stops tracking a transaction that was answered or given up.
-    pub fn ended(&mut self, id: CallId) {
+    pub fn stop_tracking(&mut self, id: CallId) {
         let Some(write) = self.writes.remove(&id) else { return };
         self.unexamined.remove(&id);
         for key in write.keys() {
@@ -139,9 +139,9 @@
     }
 
     /// Records a change of a key that the watch shows. The watch must have shown all earlier
-    /// changes, except where `gap` was called. `data` is `None` if the key was deleted.
-    pub fn changed(&mut self, key: &str, data: Option<&Value>, revision: u64) {
-        self.shows(key, data, revision);
+    /// changes, except where `mark_watch_gap` was called. `data` is `None` if the key was deleted.
+    pub fn observe_change(&mut self, key: &str, data: Option<&Value>, revision: u64) {
+        self.observe_value(key, data, revision);
         for id in self.by_key.get(key).into_iter().flatten() {
             if let Some(write) = self.writes.get_mut(id)
                 && write.conditions.get(key).is_some_and(|version| revision > *version)
@@ -155,7 +155,7 @@
 
     /// Records a value that the store holds at this revision, from the watch or from a read.
     /// Nothing is assumed about earlier changes.
-    pub fn shows(&mut self, key: &str, data: Option<&Value>, revision: u64) {
+    pub fn observe_value(&mut self, key: &str, data: Option<&Value>, revision: u64) {
         let Some(data) = data else { return };
         for id in self.by_key.get(key).into_iter().flatten() {
             if let Some(write) = self.writes.get_mut(id)
@@ -169,7 +169,7 @@
     }
 
     /// Records that the watch may miss changes from now on.
-    pub fn gap(&mut self) {
+    pub fn mark_watch_gap(&mut self) {
         for write in self.writes.values_mut() {
             write.watch_gap = true;
         }
@@ -177,12 +177,12 @@
 
     /// Removes the resolved transactions and returns them with their proofs. Call this only
     /// after a response has been applied completely, because its changes are evidence together.
-    pub fn settled(&mut self) -> Vec<(CallId, Proof)> {
+    pub fn take_resolved(&mut self) -> Vec<(CallId, Proof)> {
         let unexamined = std::mem::take(&mut self.unexamined);
         let proofs = unexamined.into_iter().filter_map(|id| Some((id, self.writes.get(&id)?.proof()?)));
         let proofs: Vec<(CallId, Proof)> = proofs.collect();
         for (id, _) in &proofs {
-            self.ended(*id);
+            self.stop_tracking(*id);
         }
         proofs
     }
--- a/src/coordination/in_flight_writes/tests.rs
+++ b/src/coordination/in_flight_writes/tests.rs
@@ -21,7 +21,7 @@
 fn with_one_submission() -> InFlightWrites {
     let mut writes = InFlightWrites::default();
     let t = txn(&[("fq/j/run-1", 0), ("fq/h/a", 30), ("fq/b/perch-0", 7)], vec![put("fq/j/run-1", 5)]);
-    writes.sent(1, &t, 40);
+    writes.track(1, &t, 40);
     writes
 }
 
@@ -34,14 +34,14 @@
 #[test]
 fn only_the_value_put_proves_done() {
     let mut writes = with_one_submission();
-    writes.changed("fq/j/run-2", Some(&data(5)), 41);
-    assert!(writes.settled().is_empty(), "another key");
-    writes.changed("fq/j/run-1", Some(&data(5)), 42);
-    assert_eq!(writes.settled(), vec![(1, Proof::Done(42))]);
+    writes.observe_change("fq/j/run-2", Some(&data(5)), 41);
+    assert!(writes.take_resolved().is_empty(), "another key");
+    writes.observe_change("fq/j/run-1", Some(&data(5)), 42);
+    assert_eq!(writes.take_resolved(), vec![(1, Proof::Done(42))]);
     assert!(writes.is_empty() && writes.by_key.is_empty());
     let mut writes = with_one_submission();
-    writes.changed("fq/j/run-1", Some(&data(6)), 42);
-    assert_eq!(writes.settled(), void("fq/j/run-1", 42), "another client's value");
+    writes.observe_change("fq/j/run-1", Some(&data(6)), 42);
+    assert_eq!(writes.take_resolved(), void("fq/j/run-1", 42), "another client's value");
 }
 
 /// A transaction is carried out after it was sent, so a value of a revision that was known by
@@ -49,13 +49,13 @@
 #[test]
 fn an_equal_value_from_before_the_write_proves_nothing() {
     let mut writes = InFlightWrites::default();
-    writes.sent(1, &txn(&[("fq/m/perch-0", 0)], vec![put("fq/m/perch-0", 5)]), 40);
-    writes.changed("fq/m/perch-0", Some(&data(5)), 40);
-    assert!(writes.settled().is_empty());
-    writes.changed("fq/m/perch-0", None, 41);
-    assert!(writes.settled().is_empty(), "the key is absent again, so the transaction may still be carried out");
-    writes.changed("fq/m/perch-0", Some(&data(5)), 42);
-    assert_eq!(writes.settled(), vec![(1, Proof::Done(42))]);
+    writes.track(1, &txn(&[("fq/m/perch-0", 0)], vec![put("fq/m/perch-0", 5)]), 40);
+    writes.observe_change("fq/m/perch-0", Some(&data(5)), 40);
+    assert!(writes.take_resolved().is_empty());
+    writes.observe_change("fq/m/perch-0", None, 41);
+    assert!(writes.take_resolved().is_empty(), "the key is absent again, so the transaction may still be carried out");
+    writes.observe_change("fq/m/perch-0", Some(&data(5)), 42);
+    assert_eq!(writes.take_resolved(), vec![(1, Proof::Done(42))]);
 }
 
 /// Other transactions may put equal values under some of the keys. Only all values at one
@@ -64,16 +64,16 @@
 fn all_puts_must_be_shown_at_one_revision() {
     let t = txn(&[("fq/l/perch-0/3", 9), ("fq/q/capped", 8)], vec![put("fq/l/perch-0/3", 1), put("fq/q/capped", 2)]);
     let mut writes = InFlightWrites::default();
-    writes.sent(1, &t, 40);
-    writes.changed("fq/l/perch-0/3", Some(&data(1)), 41);
-    writes.changed("fq/q/capped", Some(&data(2)), 42);
-    assert_eq!(writes.settled(), void("fq/l/perch-0/3", 41));
-    writes.sent(1, &t, 42);
-    writes.changed("fq/l/perch-0/3", Some(&data(1)), 43);
-    writes.changed("fq/q/capped", Some(&data(2)), 43);
-    writes.changed("fq/q/capped", Some(&data(3)), 44);
+    writes.track(1, &t, 40);
+    writes.observe_change("fq/l/perch-0/3", Some(&data(1)), 41);
+    writes.observe_change("fq/q/capped", Some(&data(2)), 42);
+    assert_eq!(writes.take_resolved(), void("fq/l/perch-0/3", 41));
+    writes.track(1, &t, 42);
+    writes.observe_change("fq/l/perch-0/3", Some(&data(1)), 43);
+    writes.observe_change("fq/q/capped", Some(&data(2)), 43);
+    writes.observe_change("fq/q/capped", Some(&data(3)), 44);
     assert_eq!(
-        writes.settled(),
+        writes.take_resolved(),
         vec![(1, Proof::Done(43))],
         "another client changed the key again within the same response"
     );
@@ -84,10 +84,10 @@
 fn a_change_of_any_condition_proves_void() {
     for (key, known) in [("fq/h/a", 30), ("fq/b/perch-0", 7)] {
         let mut writes = with_one_submission();
-        writes.changed(key, Some(&data(1)), known);
-        assert!(writes.settled().is_empty(), "the version that the condition requires");
-        writes.changed(key, None, 41);
-        assert_eq!(writes.settled(), void(key, 41));
+        writes.observe_change(key, Some(&data(1)), known);
+        assert!(writes.take_resolved().is_empty(), "the version that the condition requires");
+        writes.observe_change(key, None, 41);
+        assert_eq!(writes.take_resolved(), void(key, 41));
     }
 }
 
@@ -95,9 +95,9 @@
 #[test]
 fn done_takes_precedence_over_a_later_change_of_a_condition() {
     let mut writes = with_one_submission();
-    writes.changed("fq/j/run-1", Some(&data(5)), 42);
-    writes.changed("fq/h/a", Some(&data(9)), 43);
-    assert_eq!(writes.settled(), vec![(1, Proof::Done(42))]);
+    writes.observe_change("fq/j/run-1", Some(&data(5)), 42);
+    writes.observe_change("fq/h/a", Some(&data(9)), 43);
+    assert_eq!(writes.take_resolved(), vec![(1, Proof::Done(42))]);
 }
 
 /// The transaction may have been carried out during the gap and overwritten since, so a changed
@@ -105,47 +105,47 @@
 #[test]
 fn after_a_watch_gap_only_done_can_be_proved() {
     let mut writes = with_one_submission();
-    writes.gap();
-    writes.changed("fq/h/a", Some(&data(9)), 43);
-    assert!(writes.settled().is_empty());
-    writes.shows("fq/j/run-1", Some(&data(5)), 42);
-    assert_eq!(writes.settled(), vec![(1, Proof::Done(42))]);
+    writes.mark_watch_gap();
+    writes.observe_change("fq/h/a", Some(&data(9)), 43);
+    assert!(writes.take_resolved().is_empty());
+    writes.observe_value("fq/j/run-1", Some(&data(5)), 42);
+    assert_eq!(writes.take_resolved(), vec![(1, Proof::Done(42))]);
 }
 
 /// A read does not show the changes before it, so it cannot prove a transaction void.
 #[test]
 fn a_read_can_only_prove_done() {
     let mut writes = with_one_submission();
-    writes.shows("fq/h/a", Some(&data(9)), 43);
-    writes.shows("fq/j/run-1", Some(&data(6)), 44);
-    assert!(writes.settled().is_empty());
+    writes.observe_value("fq/h/a", Some(&data(9)), 43);
+    writes.observe_value("fq/j/run-1", Some(&data(6)), 44);
+    assert!(writes.take_resolved().is_empty());
 }
 
 /// The key may become absent again, or the transaction itself may have deleted it.
 #[test]
 fn absence_of_a_deletable_key_does_not_prove_void() {
     let mut writes = InFlightWrites::default();
-    writes.sent(
+    writes.track(
         1,
         &txn(&[("fq/h/a", 0), ("fq/h/b", 3)], vec![put("fq/h/a", 5), Op::Delete { key: "fq/h/b".into() }]),
         40,
     );
-    writes.changed("fq/h/a", Some(&data(6)), 41);
-    writes.changed("fq/h/b", None, 42);
-    assert!(writes.settled().is_empty());
-    writes.changed("fq/h/a", Some(&data(5)), 43);
-    assert_eq!(writes.settled(), vec![(1, Proof::Done(43))]);
+    writes.observe_change("fq/h/a", Some(&data(6)), 41);
+    writes.observe_change("fq/h/b", None, 42);
+    assert!(writes.take_resolved().is_empty());
+    writes.observe_change("fq/h/a", Some(&data(5)), 43);
+    assert_eq!(writes.take_resolved(), vec![(1, Proof::Done(43))]);
 }
 
 /// A resolved transaction leaves no entry, and one that only its answer can resolve gets none.
 #[test]
 fn answered_writes_are_forgotten() {
     let mut writes = with_one_submission();
-    writes.changed("fq/j/run-1", Some(&data(5)), 42);
-    writes.ended(1);
-    writes.changed("fq/j/run-1", Some(&data(5)), 42);
-    assert!(writes.settled().is_empty() && writes.is_empty() && writes.by_key.is_empty());
-    writes.sent(2, &txn(&[("fq/h/a", 3)], vec![Op::Delete { key: "fq/h/a".into() }]), 40);
+    writes.observe_change("fq/j/run-1", Some(&data(5)), 42);
+    writes.stop_tracking(1);
+    writes.observe_change("fq/j/run-1", Some(&data(5)), 42);
+    assert!(writes.take_resolved().is_empty() && writes.is_empty() && writes.by_key.is_empty());
+    writes.track(2, &txn(&[("fq/h/a", 3)], vec![Op::Delete { key: "fq/h/a".into() }]), 40);
     assert!(writes.is_empty(), "it puts no key that it is conditional on");
 }
 
--- a/src/coordination/log_writer.rs
+++ b/src/coordination/log_writer.rs
@@ -21,7 +21,7 @@
 #[derive(Debug, Default)]
 pub struct LogWriter {
     /// Whether a segment is in flight.
-    pub busy: bool,
+    pub segment_in_flight: bool,
     /// The earliest time at which facts that can wait are sent.
     next_at: Instant,
 }
@@ -34,8 +34,8 @@
 
     /// Records that a segment is sent. Facts that can wait are sent `interval` later at the
     /// earliest.
-    pub fn sent(&mut self, now: Instant, interval: Duration) {
-        self.busy = true;
+    pub fn record_sent(&mut self, now: Instant, interval: Duration) {
+        self.segment_in_flight = true;
         self.next_at = now + interval;
     }
 }
@@ -50,14 +50,14 @@
 
 /// The largest size of a segment, and of all checkpoints that are written with it in one
 /// transaction. `value_limit` is the largest size of a single value; all sizes are in bytes.
-pub fn byte_shares(value_limit: usize) -> (usize, usize) {
+pub fn byte_limits(value_limit: usize) -> (usize, usize) {
     let segment = value_limit.min(MAX_VALUES_BYTES / 4 * 3);
     (segment, MAX_VALUES_BYTES - segment)
 }
 
 /// How many checkpoints of these sizes, taken in order, fit into a transaction of their own. At
 /// least one does, since no value is larger than a transaction.
-pub fn fitting(sizes: impl IntoIterator<Item = usize>) -> usize {
+pub fn count_that_fit(sizes: impl IntoIterator<Item = usize>) -> usize {
     let running_totals = sizes.into_iter().scan(0, |total, size| {
         *total += size;
         Some(*total)
@@ -67,12 +67,12 @@
 
 /// Whether a gang of this many tasks may be too large for a segment that contains nothing else:
 /// each task may need a condition on a separate record, and names its machine.
-pub fn wide(task_count: u32, txn_ops: usize, value_limit: usize) -> bool {
+pub fn may_exceed_segment(task_count: u32, txn_ops: usize, value_limit: usize) -> bool {
     // Conditions are also needed for the slot, the job, the shard and the team, and for the
     // checkpoints that are written with the segment.
     let conditions = (txn_ops * 4).saturating_sub(txn_ops + 4);
     let bytes_per_task = bytes::START + LONGEST_NAME_BYTES;
-    let bytes_for_tasks = byte_shares(value_limit).0.saturating_sub(bytes::FRAME + LONGEST_NAME_BYTES);
+    let bytes_for_tasks = byte_limits(value_limit).0.saturating_sub(bytes::FRAME + LONGEST_NAME_BYTES);
     task_count as usize > conditions.min(bytes_for_tasks / bytes_per_task)
 }
 
@@ -82,7 +82,7 @@
 
 /// The limits of a segment and of the transaction that writes it.
 #[derive(Debug, Clone, Copy)]
-pub struct Limits {
+pub struct SegmentLimits {
     /// The largest number of conditions of the transaction.
     pub conditions: usize,
     /// The largest encoded size of the segment, in bytes.
@@ -95,7 +95,7 @@
 /// with upper bounds of their sizes.
 #[derive(Debug)]
 pub struct SegmentBuilder {
-    limits: Limits,
+    limits: SegmentLimits,
     /// An upper bound of the encoded size of the segment.
     bytes: usize,
     /// The versions that the transaction is conditional on, by key.
@@ -119,7 +119,7 @@
 
 impl SegmentBuilder {
     /// An empty segment.
-    pub fn new(limits: Limits) -> SegmentBuilder {
+    pub fn new(limits: SegmentLimits) -> SegmentBuilder {
         SegmentBuilder {
             limits,
             bytes: bytes::FRAME,
@@ -137,7 +137,7 @@
     /// Reserves room for all the given facts of one job, or for none of them if they do not fit
     /// together. Returns whether they fit. If they do, the caller adds them to the job's entry
     /// in `facts`.
-    pub fn take(&mut self, uid: &str, requirements: &[&FactRequirements]) -> bool {
+    pub fn try_reserve(&mut self, uid: &str, requirements: &[&FactRequirements]) -> bool {
         let new_machines = self.new_machines(requirements);
         let size = self.added_bytes(uid, &new_machines, requirements);
         let fits = self.conditions.len() + self.count_new_conditions(requirements) <= self.limits.conditions
--- a/src/coordination/machine.rs
+++ b/src/coordination/machine.rs
@@ -14,7 +14,7 @@
 mod commands;
 mod liveness;
 
-use super::fault_attribution::Failures;
+use super::fault_attribution::MachineFailures;
 use super::fencing_token::FencingToken;
 use crate::effects::{CallId, Instant};
 use crate::protocol::worker::{Cause, Heartbeat, TaskId, TaskState};
@@ -64,7 +64,7 @@
 #[derive(Debug)]
 pub struct Machine {
     /// The version of the machine group's record from which this state was built.
-    pub grant: u64,
+    pub grant_version: u64,
     /// The leader's term of the grant, the highest part of the fencing token.
     pub term: u64,
     /// The epoch of the grant within that term, the middle part of the fencing token.
@@ -74,7 +74,7 @@
     /// When this controller began to own the machine under this grant.
     pub owned_since: Instant,
     /// Agent epoch and heartbeat sequence number of the newest report.
-    pub at: (u64, u64),
+    pub newest_report: (u64, u64),
     /// The highest fencing token that the agent has seen, according to the newest report.
     pub fencing_token: u64,
     /// The time in seconds that the newest report gives until the machine is preempted, if a
@@ -99,21 +99,21 @@
     /// The number of consecutive reports that came late, up to the newest one.
     late_reports: u32,
     /// When a report last showed that an answer had reached the agent.
-    pub reached_at: Option<Instant>,
+    pub answer_confirmed_at: Option<Instant>,
     /// Whether the newest report is proved to be sent by the agent's present incarnation. Only
     /// then does it prove an exit or a preemption notice.
-    pub sure: bool,
-    /// The fencing token in the newest report that was proved to be the agent's own (see `sure`).
+    pub report_proven: bool,
+    /// The fencing token in the newest report that was proved to be the agent's own (see `report_proven`).
     proven_token: u64,
     /// The pushed message that has not been answered yet.
-    pub push: Option<CallId>,
+    pub push_in_flight: Option<CallId>,
     /// When the last message was pushed. Whether or not it was answered, tasks that it started
     /// may run for a whole lease from then on, because it begins the lease of a new incarnation.
     pushed_at: Option<Instant>,
     /// The commands pushed to the present incarnation. They are not pushed again.
     pushed: BTreeSet<PushedCommand>,
     /// The failures of tasks on this machine.
-    pub failures: Failures,
+    pub failures: MachineFailures,
     /// The machine is cordoned until this time: no task is placed on it.
     pub cordoned_until: Instant,
     /// The images that the machine is known to hold.
@@ -125,28 +125,28 @@
     /// Whether any controller has found that the cloud no longer lists the machine.
     pub unlisted: bool,
     /// When each attempt was first seen to run.
-    pub since: BTreeMap<AttemptKey, Instant>,
+    pub running_since: BTreeMap<AttemptKey, Instant>,
     /// Attempts that are stopped to make room for higher priorities, or because the cloud will
     /// take the machine away, with their grace periods in seconds.
     pub preempted: BTreeMap<AttemptKey, f64>,
     /// Attempts that are proved to have ended. They are never started again, although their
     /// placements stay in the store until their exits have been written.
-    pub gone: BTreeSet<AttemptKey>,
+    pub proven_ended: BTreeSet<AttemptKey>,
     /// Whether a report has shown the fencing token in force, since the grant or since the agent
     /// was last found to be restarted.
-    pub ready: bool,
+    pub token_confirmed: bool,
 }
 
 impl Machine {
     /// The state of a machine under a new grant, before any report.
     pub fn new(grant: u64, term: u64, epoch: u64, now: Instant) -> Machine {
         Machine {
-            grant,
+            grant_version: grant,
             term,
             epoch,
             counter: 0,
             owned_since: now,
-            at: (0, 0),
+            newest_report: (0, 0),
             fencing_token: 0,
             preemption_notice_s: None,
             addr: String::new(),
@@ -158,22 +158,22 @@
             answered_before_token: None,
             missed_answers: 0,
             late_reports: 0,
-            reached_at: None,
-            sure: false,
+            answer_confirmed_at: None,
+            report_proven: false,
             proven_token: 0,
-            push: None,
+            push_in_flight: None,
             pushed_at: None,
             pushed: BTreeSet::new(),
-            failures: Failures::default(),
+            failures: MachineFailures::default(),
             cordoned_until: Duration::ZERO,
             images: Images::default(),
             fetches: BTreeMap::new(),
             releasing: false,
             unlisted: false,
-            since: BTreeMap::new(),
+            running_since: BTreeMap::new(),
             preempted: BTreeMap::new(),
-            gone: BTreeSet::new(),
-            ready: false,
+            proven_ended: BTreeSet::new(),
+            token_confirmed: false,
         }
     }
 
@@ -190,19 +190,19 @@
     /// Whether the agent accepts commands from no other controller, and no push of this one is
     /// pending that could still be carried out. Its newest report is then complete.
     pub fn confirmed(&self) -> bool {
-        self.fencing_token == self.token() && self.push.is_none()
+        self.fencing_token == self.token() && self.push_in_flight.is_none()
     }
 
     /// Applies a report if it is newer than all reports so far. Returns whether it was applied.
-    pub fn take(&mut self, report: &Heartbeat) -> bool {
-        let at = (report.agent_epoch, report.heartbeat_seq);
-        if at <= self.at {
+    pub fn apply_report(&mut self, report: &Heartbeat) -> bool {
+        let counters = (report.agent_epoch, report.heartbeat_seq);
+        if counters <= self.newest_report {
             return false;
         }
-        if report.agent_epoch != self.at.0 {
+        if report.agent_epoch != self.newest_report.0 {
             self.pushed.clear();
         }
-        self.at = at;
+        self.newest_report = counters;
         self.fencing_token = report.fencing_token;
         self.preemption_notice_s = report.preemption_notice_s;
         if self.addr != report.addr {
@@ -217,23 +217,23 @@
     /// call. Raises the token, so that nothing that was pushed to the earlier incarnation can be
     /// carried out any more.
     pub fn restart_incarnation(&mut self, report: &Heartbeat) {
-        self.push_lost();
-        self.at = (0, 0);
-        self.take(report);
+        self.record_lost_push();
+        self.newest_report = (0, 0);
+        self.apply_report(report);
         self.set_report_proven(true);
-        self.ready = false;
-        self.since.clear();
+        self.token_confirmed = false;
+        self.running_since.clear();
         self.fetches.clear();
     }
 
     /// The attempts that no longer need resources here, even if the store still has them.
-    pub fn over(&self) -> impl Iterator<Item = &AttemptKey> {
-        self.ended.union(&self.gone)
+    pub fn ended_attempts(&self) -> impl Iterator<Item = &AttemptKey> {
+        self.ended.union(&self.proven_ended)
     }
 
     /// Whether the attempt no longer needs resources here, even if the store still has it.
-    pub fn is_over(&self, key: &AttemptKey) -> bool {
-        self.ended.contains(key) || self.gone.contains(key)
+    pub fn has_ended(&self, key: &AttemptKey) -> bool {
+        self.ended.contains(key) || self.proven_ended.contains(key)
     }
 
     /// Raises the counter until the token is at least as high as the one that the agent has
@@ -255,7 +255,7 @@
 
     /// Whether a gang's task is on this machine and its gang has not started yet: the task
     /// fetches its image, waits for the others, or stopped waiting and is started again.
-    pub fn gathers(&self, job: &str, index: u32, attempt: u64) -> bool {
+    pub fn is_waiting_for_gang(&self, job: &str, index: u32, attempt: u64) -> bool {
         self.confirmed()
             && self.find(job, index, attempt).is_some_and(|t| {
                 matches!(t.state, TaskState::Fetching | TaskState::WaitingForGang)
--- a/src/coordination/machine/commands.rs
+++ b/src/coordination/machine/commands.rs
@@ -83,23 +83,23 @@
     }
 
     /// Records that a message is pushed.
-    pub fn pushes(&mut self, id: CallId, now: Instant) {
-        self.push = Some(id);
+    pub fn record_push(&mut self, id: CallId, now: Instant) {
+        self.push_in_flight = Some(id);
         self.pushed_at = Some(now);
     }
 
     /// Records that a push got no answer. It may be carried out at any later time, so the token
     /// is raised: once the agent has seen the new token, it refuses that push.
-    pub fn push_lost(&mut self) {
-        self.push = None;
+    pub fn record_lost_push(&mut self) {
+        self.push_in_flight = None;
         self.counter += 1;
         self.pushed.clear();
     }
 
     /// Selects the commands to push now: starts and kills that were not pushed before. There are
     /// none while a push is in flight or the agent has not confirmed the current token.
-    pub fn to_push(&mut self, commands: Vec<Command>) -> Vec<Command> {
-        if self.push.is_some() || !self.confirmed() {
+    pub fn select_pushes(&mut self, commands: Vec<Command>) -> Vec<Command> {
+        if self.push_in_flight.is_some() || !self.confirmed() {
             return Vec::new();
         }
         let mut is_new =
--- a/src/coordination/machine/liveness.rs
+++ b/src/coordination/machine/liveness.rs
@@ -25,11 +25,11 @@
     /// agent has shown that token, a missing token proves nothing about the lease; it is only a
     /// reason to wait (`must_await_lease_expiry`).
     pub fn observe_report(&mut self, is_newest: bool, now: Instant) {
-        self.set_report_proven(self.confirmed() || is_newest && self.ready);
+        self.set_report_proven(self.confirmed() || is_newest && self.token_confirmed);
         if self.answered_token <= self.fencing_token {
             self.missed_answers = 0;
-            self.reached_at = Some(now);
-        } else if self.sure || is_newest {
+            self.answer_confirmed_at = Some(now);
+        } else if self.report_proven || is_newest {
             self.record_missed_answer();
         }
     }
@@ -37,7 +37,7 @@
     /// Records that the newest report does not show the token of the newest answer.
     fn record_missed_answer(&mut self) {
         self.missed_answers += 1;
-        if self.sure {
+        if self.report_proven {
             self.answered_at = self.answered_before_token;
         } else if self.answered_token == self.token() {
             // The agent may have been restarted without this controller noticing it. The next
@@ -49,7 +49,7 @@
     /// Records whether the newest report is proved to be sent by the agent's present incarnation.
     /// An answer to a call of this controller always is.
     pub fn set_report_proven(&mut self, proven: bool) {
-        self.sure = proven;
+        self.report_proven = proven;
         if proven {
             self.proven_token = self.fencing_token;
         }
@@ -62,7 +62,7 @@
     }
 
     /// Records that a report of the agent is answered. Returns the token for the answer.
-    pub fn answer(&mut self, now: Instant) -> u64 {
+    pub fn record_answer(&mut self, now: Instant) -> u64 {
         let token = self.token();
         if self.answered_token != token {
             self.answered_token = token;
@@ -73,14 +73,14 @@
     }
 
     /// Records whether the newest report came late (`away`: the agent was silent for longer than
-    /// its interval between two reports), and whether the agent's lease expired (`lapsed`)
+    /// its interval between two reports), and whether the agent's lease expired (`lease_expired`)
     /// although its reports are answered.
     ///
     /// After a short partition an agent reports at its usual interval again. If this agent does
     /// not, the token is raised, so that its reports show whether answers reach it.
-    pub fn observe_report_timing(&mut self, away: bool, lapsed: bool) {
+    pub fn observe_report_timing(&mut self, away: bool, lease_expired: bool) {
         self.late_reports = if away { self.late_reports + 1 } else { 0 };
-        if (self.late_reports > 1 || lapsed) && self.confirmed() {
+        if (self.late_reports > 1 || lease_expired) && self.confirmed() {
             self.counter += 1;
         }
     }
@@ -96,7 +96,7 @@
     /// `lease` and `cancel` already include a margin for clock drift. Another controller may
     /// have owned the machine before this grant and answered its agent, at the latest
     /// `cancel - lease` after that controller last saw the store.
-    pub fn lapsed(&self, now: Instant, lease: Duration, cancel: Duration) -> bool {
+    pub fn lease_expired(&self, now: Instant, lease: Duration, cancel: Duration) -> bool {
         let last_renewal = self.answered_at.max(self.pushed_at);
         let expires_at = last_renewal.map_or(Duration::ZERO, |at| at + lease);
         now > expires_at.max(self.owned_since + cancel)
@@ -111,6 +111,9 @@
     /// alive.
     pub fn must_await_lease_expiry(&self, now: Instant, lease: Duration, cancel: Duration) -> bool {
         let earlier_owners_until = self.owned_since + cancel.saturating_sub(lease);
-        self.answers_are_lost() && !self.ready && now > earlier_owners_until && !self.lapsed(now, lease, cancel)
+        self.answers_are_lost()
+            && !self.token_confirmed
+            && now > earlier_owners_until
+            && !self.lease_expired(now, lease, cancel)
     }
 }
--- a/src/coordination/machine/tests.rs
+++ b/src/coordination/machine/tests.rs
@@ -38,11 +38,11 @@
 #[test]
 fn an_older_report_changes_nothing() {
     let mut m = Machine::new(1, 1, 1, Duration::ZERO);
-    assert!(m.take(&report((2, 5), 9, &[("run-1/0", 1, TaskState::Running)])));
-    assert!(!m.take(&report((2, 5), 9, &[])));
-    assert!(!m.take(&report((1, 99), 9, &[])));
+    assert!(m.apply_report(&report((2, 5), 9, &[("run-1/0", 1, TaskState::Running)])));
+    assert!(!m.apply_report(&report((2, 5), 9, &[])));
+    assert!(!m.apply_report(&report((1, 99), 9, &[])));
     assert_eq!(m.tasks.len(), 1);
-    assert!(m.take(&report((3, 1), 9, &[])));
+    assert!(m.apply_report(&report((3, 1), 9, &[])));
 }
 
 /// A push without an answer may start its task minutes later. Until the agent has shown a
@@ -51,16 +51,16 @@
 fn an_unanswered_push_blocks_forgetting_until_the_token_is_raised() {
     let mut m = Machine::new(1, 1, 1, Duration::ZERO);
     let exited = [("run-1/0", 1, TaskState::Exited)];
-    m.take(&report((1, 1), m.token(), &exited));
+    m.apply_report(&report((1, 1), m.token(), &exited));
     let forget = Command::Forget { task: "run-1/0".into(), attempt: 1 };
     assert_eq!(m.commands(&places(&[]), &places(&[])), vec![forget.clone()]);
-    m.push = Some(7);
+    m.push_in_flight = Some(7);
     assert!(m.commands(&places(&[]), &places(&[])).is_empty());
     let before = m.token();
-    m.push_lost();
-    m.take(&report((1, 2), before, &exited));
+    m.record_lost_push();
+    m.apply_report(&report((1, 2), before, &exited));
     assert!(m.commands(&places(&[]), &places(&[])).is_empty());
-    m.take(&report((1, 3), m.token(), &exited));
+    m.apply_report(&report((1, 3), m.token(), &exited));
     assert_eq!(m.commands(&places(&[]), &places(&[])), vec![forget]);
 }
 
@@ -68,7 +68,7 @@
 #[test]
 fn an_exit_that_is_not_stored_is_not_forgotten() {
     let mut m = Machine::new(1, 1, 1, Duration::ZERO);
-    m.take(&report((1, 1), m.token(), &[("run-1/0", 1, TaskState::Exited)]));
+    m.apply_report(&report((1, 1), m.token(), &[("run-1/0", 1, TaskState::Exited)]));
     let kept = places(&[("run-1", 0, 1)]);
     assert!(m.commands(&places(&[]), &kept).is_empty());
     assert!(m.commands(&kept, &places(&[])).is_empty());
@@ -78,7 +78,7 @@
 #[test]
 fn unwanted_tasks_are_killed_and_missing_tasks_started() {
     let mut m = Machine::new(1, 1, 1, Duration::ZERO);
-    m.take(&report((1, 1), m.token(), &[("run-1/0", 1, TaskState::Running)]));
+    m.apply_report(&report((1, 1), m.token(), &[("run-1/0", 1, TaskState::Running)]));
     let commands = m.commands(&places(&[("run-1", 0, 2)]), &places(&[]));
     let kill = Command::Kill { task: "run-1/0".into(), attempt: 1, grace_period_s: 0.0 };
     let run = Command::Run { task: "run-1/0".into(), attempt: 2 };
@@ -90,11 +90,11 @@
 fn lease_expiry_counts_from_the_grant_too() {
     let s = Duration::from_secs;
     let mut m = Machine::new(1, 1, 1, s(100));
-    assert!(!m.lapsed(s(147), s(18), s(48)));
-    assert!(m.lapsed(s(149), s(18), s(48)));
+    assert!(!m.lease_expired(s(147), s(18), s(48)));
+    assert!(m.lease_expired(s(149), s(18), s(48)));
     m.answered_at = Some(s(140));
-    assert!(!m.lapsed(s(157), s(18), s(48)));
-    assert!(m.lapsed(s(159), s(18), s(48)));
+    assert!(!m.lease_expired(s(157), s(18), s(48)));
+    assert!(m.lease_expired(s(159), s(18), s(48)));
 }
 
 /// One machine of a gang fetched the image long before the others. Its task stopped waiting,
@@ -104,22 +104,22 @@
     let mut m = Machine::new(1, 1, 1, Duration::ZERO);
     let mut r = report((1, 1), m.token(), &[("run-1/0", 2, TaskState::Exited)]);
     r.tasks[0].cause = Some(Cause::GangIncomplete);
-    m.take(&r);
+    m.apply_report(&r);
     let here = places(&[("run-1", 0, 2)]);
     let forget = Command::Forget { task: "run-1/0".into(), attempt: 2 };
     let run = Command::Run { task: "run-1/0".into(), attempt: 2 };
     assert_eq!(m.commands(&here, &here), vec![forget, run]);
-    assert!(m.gathers("run-1", 0, 2) && m.over().next().is_none());
+    assert!(m.is_waiting_for_gang("run-1", 0, 2) && m.ended_attempts().next().is_none());
     // While a push is in flight, nothing is forgotten.
-    m.push = Some(7);
-    assert!(m.commands(&here, &here).is_empty() && !m.gathers("run-1", 0, 2));
+    m.push_in_flight = Some(7);
+    assert!(m.commands(&here, &here).is_empty() && !m.is_waiting_for_gang("run-1", 0, 2));
 }
 
 /// Preempted tasks that can write checkpoints lost their work when they got no grace period.
 #[test]
 fn a_preempted_task_gets_its_grace_period() {
     let mut m = Machine::new(1, 1, 1, Duration::ZERO);
-    m.take(&report((1, 1), m.token(), &[("run-1/0", 2, TaskState::Running)]));
+    m.apply_report(&report((1, 1), m.token(), &[("run-1/0", 2, TaskState::Running)]));
     let kill = |grace_period_s| vec![Command::Kill { task: "run-1/0".into(), attempt: 2, grace_period_s }];
     m.preempted.insert(("run-1".into(), 0, 2), 5.0);
     assert_eq!(m.commands(&places(&[]), &places(&[("run-1", 0, 2)])), kill(5.0));
@@ -138,25 +138,25 @@
     let mut m = Machine::new(1, 1, 1, s(0));
     let old = m.token();
     let observe = |m: &mut Machine, at, fencing_token, now| {
-        assert!(m.take(&report(at, fencing_token, &[("run-1/0", 1, TaskState::Exited)])));
+        assert!(m.apply_report(&report(at, fencing_token, &[("run-1/0", 1, TaskState::Exited)])));
         m.observe_report(true, now);
     };
     observe(&mut m, (1, 8), old, s(10));
-    assert!(m.sure && m.answer(s(10)) == old);
+    assert!(m.report_proven && m.record_answer(s(10)) == old);
     m.restart_incarnation(&report((1, 2), 0, &[]));
     assert!(m.token() > old && !m.contradicts_token(0));
-    m.answer(s(20));
+    m.record_answer(s(20));
     observe(&mut m, (1, 7), old, s(21));
-    assert!(!m.sure, "the copy does not prove the exit that it shows");
+    assert!(!m.report_proven, "the copy does not prove the exit that it shows");
     assert_eq!(m.answered_at, Some(s(20)), "the answer may have arrived");
     // Another copy from the same incarnation proves nothing either. The agent's own report
     // shows the token of the answer.
     observe(&mut m, (1, 9), old, s(22));
-    assert!(!m.sure && m.answered_at == Some(s(20)));
+    assert!(!m.report_proven && m.answered_at == Some(s(20)));
     let token = m.token();
     observe(&mut m, (1, 10), token, s(23));
-    m.ready = true;
-    assert!(m.sure && m.contradicts_token(old) && !m.contradicts_token(token));
+    m.token_confirmed = true;
+    assert!(m.report_proven && m.contradicts_token(old) && !m.contradicts_token(token));
 }
 
 /// The reports of an agent that no answer has reached look like delayed copies of the first
@@ -168,35 +168,37 @@
     let s = Duration::from_secs;
     let (lease, cancel) = (s(18), s(48));
     let observe = |m: &mut Machine, heartbeat_seq, fencing_token, now| {
-        assert!(m.take(&report((1, heartbeat_seq), fencing_token, &[])));
+        assert!(m.apply_report(&report((1, heartbeat_seq), fencing_token, &[])));
         m.observe_report(true, now);
     };
     let mut unreachable = Machine::new(1, 1, 1, s(0));
     for n in 0..15 {
         observe(&mut unreachable, 1 + n, 3, s(2 * n));
         assert!(!unreachable.must_await_lease_expiry(s(2 * n), lease, cancel), "an earlier owner may still answer it");
-        unreachable.answer(s(2 * n));
+        unreachable.record_answer(s(2 * n));
     }
     observe(&mut unreachable, 30, 3, s(31));
-    assert!(unreachable.answers_are_lost() && !unreachable.sure && unreachable.answered_at == Some(s(28)));
+    assert!(unreachable.answers_are_lost() && !unreachable.report_proven && unreachable.answered_at == Some(s(28)));
     assert!(
         unreachable.must_await_lease_expiry(s(31), lease, cancel)
             && unreachable.must_await_lease_expiry(s(48), lease, cancel)
     );
-    assert!(unreachable.lapsed(s(49), lease, cancel) && !unreachable.must_await_lease_expiry(s(49), lease, cancel));
+    assert!(
+        unreachable.lease_expired(s(49), lease, cancel) && !unreachable.must_await_lease_expiry(s(49), lease, cancel)
+    );
     // Answers reach it again: it is answered at once, and its tasks go on.
     let token = unreachable.token();
     observe(&mut unreachable, 31, token, s(33));
-    unreachable.ready = true;
-    assert!(unreachable.sure && !unreachable.must_await_lease_expiry(s(33), lease, cancel));
+    unreachable.token_confirmed = true;
+    assert!(unreachable.report_proven && !unreachable.must_await_lease_expiry(s(33), lease, cancel));
     // From then on a report without the newest token is proved to be the agent's own, and shows
     // that an answer was lost.
-    unreachable.answer(s(33));
-    unreachable.push_lost();
+    unreachable.record_answer(s(33));
+    unreachable.record_lost_push();
     observe(&mut unreachable, 32, token, s(35));
-    unreachable.answer(s(35));
+    unreachable.record_answer(s(35));
     observe(&mut unreachable, 33, token, s(37));
-    assert!(unreachable.sure && unreachable.answered_at == Some(s(33)));
+    assert!(unreachable.report_proven && unreachable.answered_at == Some(s(33)));
 }
 
 /// An agent was restarted, and its owner had got no report from either incarnation before. The
@@ -209,14 +211,14 @@
     let s = Duration::from_secs;
     let mut m = Machine::new(1, 1, 1, s(0));
     for (heartbeat_seq, at) in [(1, 47), (4, 49), (5, 50)] {
-        assert!(m.take(&report((1, heartbeat_seq), 0, &[])));
+        assert!(m.apply_report(&report((1, heartbeat_seq), 0, &[])));
         m.observe_report(heartbeat_seq > 1, s(at));
         if heartbeat_seq == 1 {
-            m.answer(s(at));
+            m.record_answer(s(at));
         }
     }
     assert_eq!(m.answered_at, Some(s(47)), "the answer may have arrived");
-    assert!(!m.lapsed(s(50), s(18), s(48)) && m.lapsed(s(66), s(18), s(48)));
+    assert!(!m.lease_expired(s(50), s(18), s(48)) && m.lease_expired(s(66), s(18), s(48)));
     assert!(m.must_await_lease_expiry(s(50), s(18), s(48)));
 }
 
@@ -229,21 +231,21 @@
 fn a_report_from_before_an_unnoticed_restart_proves_nothing() {
     let s = Duration::from_secs;
     let mut m = Machine::new(1, 1, 1, s(0));
-    m.take(&report((1, 3), 0, &[]));
+    m.apply_report(&report((1, 3), 0, &[]));
     m.observe_report(false, s(1));
-    let old = m.answer(s(1));
+    let old = m.record_answer(s(1));
     // A report of the new incarnation, newer than all reports known.
-    m.take(&report((1, 5), 0, &[]));
+    m.apply_report(&report((1, 5), 0, &[]));
     m.observe_report(true, s(3));
-    m.answer(s(3));
-    m.take(&report((1, 6), old, &[("run-1/0", 1, TaskState::Exited)]));
+    m.record_answer(s(3));
+    m.apply_report(&report((1, 6), old, &[("run-1/0", 1, TaskState::Exited)]));
     m.observe_report(true, s(4));
-    assert!(!m.confirmed() && !m.sure && m.answered_at == Some(s(3)));
+    assert!(!m.confirmed() && !m.report_proven && m.answered_at == Some(s(3)));
     // The next report of the new incarnation shows the token that only it was given.
-    let token = m.answer(s(5));
-    m.take(&report((1, 7), token, &[("run-1/0", 1, TaskState::Running)]));
+    let token = m.record_answer(s(5));
+    m.apply_report(&report((1, 7), token, &[("run-1/0", 1, TaskState::Running)]));
     m.observe_report(true, s(6));
-    assert!(m.confirmed() && m.sure);
+    assert!(m.confirmed() && m.report_proven);
 }
 
 /// An agent that could not open connections lost its lease and its tasks, and started a new
@@ -255,9 +257,9 @@
     let s = Duration::from_secs;
     let (lease, cancel) = (s(18), s(48));
     let mut m = Machine::new(1, 1, 1, s(0));
-    m.answer(s(100));
-    assert!(!m.lapsed(s(118), lease, cancel) && m.lapsed(s(119), lease, cancel));
-    m.pushes(7, s(130));
-    m.push = None;
-    assert!(!m.lapsed(s(148), lease, cancel) && m.lapsed(s(149), lease, cancel));
+    m.record_answer(s(100));
+    assert!(!m.lease_expired(s(118), lease, cancel) && m.lease_expired(s(119), lease, cancel));
+    m.record_push(7, s(130));
+    m.push_in_flight = None;
+    assert!(!m.lease_expired(s(148), lease, cancel) && m.lease_expired(s(149), lease, cancel));
 }
--- a/src/coordination/quota_reservation.rs
+++ b/src/coordination/quota_reservation.rs
@@ -41,14 +41,14 @@
 /// A team's limit on one resource, and how much of it is in use. A maximum of 0 means that there
 /// is no limit.
 #[derive(Debug, Clone, Copy)]
-pub struct Limit {
+pub struct QuotaLimit {
     /// The amount in use, according to the replica.
     pub used: f64,
     /// The largest amount that may be in use.
     pub max: f64,
 }
 
-impl Limit {
+impl QuotaLimit {
     /// Whether a controller may have `reserved` in total without changing the record, where
     /// `controllers` is the number of all controllers.
     fn allows_share(self, reserved: f64, controllers: usize) -> bool {
@@ -61,11 +61,11 @@
     /// Whether a start that only checks the record's version may take `need` in addition to all
     /// reserved resources. `age` is the greatest possible age of the replica from which starts
     /// are planned.
-    pub fn allow(
+    pub fn allows_start(
         &mut self,
         need: Resources,
-        cpus: Limit,
-        gpus: Limit,
+        cpus: QuotaLimit,
+        gpus: QuotaLimit,
         controllers: usize,
         now: Instant,
         age: Duration,
@@ -96,13 +96,13 @@
     }
 
     /// Records that a start that takes `amounts` is sent.
-    pub fn sent(&mut self, amounts: Resources) {
+    pub fn record_sent(&mut self, amounts: Resources) {
         self.in_flight.plus(amounts, 1.0);
     }
 
     /// Records the outcome of a start that takes `amounts`. `carried_out` is `None` if there was
     /// no answer.
-    pub fn answered(&mut self, amounts: Resources, carried_out: Option<bool>, now: Instant) {
+    pub fn record_outcome(&mut self, amounts: Resources, carried_out: Option<bool>, now: Instant) {
         self.in_flight.plus(amounts, -1.0);
         match carried_out {
             Some(true) => self.recent.push_back((now, amounts)),
--- a/src/coordination/rate_limiter.rs
+++ b/src/coordination/rate_limiter.rs
@@ -104,15 +104,15 @@
     }
 
     /// The number of changes that may be written now without borrowing; negative if in debt.
-    pub fn level(&self, now: Instant) -> f64 {
+    pub fn balance_at(&self, now: Instant) -> f64 {
         let elapsed_s = now.saturating_sub(self.updated_at).as_secs_f64();
         (self.balance + elapsed_s * self.rate).min(self.capacity())
     }
 
     /// Whether `changes` may be written now without borrowing, which is required of writes that
     /// can wait. A full balance suffices if there are more changes than it can ever cover.
-    pub fn has(&self, now: Instant, changes: f64) -> bool {
-        self.level(now) >= changes.min(self.capacity())
+    pub fn has_balance_for(&self, now: Instant, changes: f64) -> bool {
+        self.balance_at(now) >= changes.min(self.capacity())
     }
 
     /// How long a priority must wait until it is overdue.
@@ -132,7 +132,7 @@
     /// Whether a write of this priority may be sent now. If not, the priority counts as waiting
     /// for as long as it keeps asking.
     pub fn admits(&mut self, priority: WritePriority, now: Instant) -> bool {
-        let admitted = self.level(now) >= self.required_balance(priority, now);
+        let admitted = self.balance_at(now) >= self.required_balance(priority, now);
         self.update_waiting(priority, admitted, now);
         admitted
     }
@@ -166,22 +166,22 @@
     /// Charges `changes` that are sent now. Debt beyond one second's worth is forgiven and is not
     /// part of the returned charge.
     pub fn charge(&mut self, now: Instant, changes: f64) -> Charge {
-        let before = self.level(now);
+        let before = self.balance_at(now);
         self.balance = (before - changes).max(-self.capacity()).min(before);
         self.updated_at = now;
         Charge(before - self.balance)
     }
 
     /// Refunds the charge of a write that the store refused and so did not carry out.
-    pub fn give_back(&mut self, now: Instant, charge: Charge) {
-        self.balance = (self.level(now) + charge.0).min(self.capacity());
+    pub fn refund(&mut self, now: Instant, charge: Charge) {
+        self.balance = (self.balance_at(now) + charge.0).min(self.capacity());
         self.updated_at = now;
     }
 
     /// Records that the store is available again after an outage. All controllers write at the
     /// same moment, so none may start with a positive balance.
-    pub fn store_is_back(&mut self, now: Instant) {
-        self.balance = self.level(now).min(0.0);
+    pub fn reset_after_outage(&mut self, now: Instant) {
+        self.balance = self.balance_at(now).min(0.0);
         self.updated_at = now;
     }
 }
--- a/src/coordination/rate_limiter/tests.rs
+++ b/src/coordination/rate_limiter/tests.rs
@@ -15,15 +15,15 @@
     let mut limiter = RateLimiter::new(6.0);
     for n in 0..400 {
         let charge = limiter.charge(s(10.0), 1.0);
-        assert!(limiter.level(s(10.0)) >= -6.0, "too much debt at write {n}");
-        limiter.give_back(s(10.0), charge);
+        assert!(limiter.balance_at(s(10.0)) >= -6.0, "too much debt at write {n}");
+        limiter.refund(s(10.0), charge);
     }
-    assert_eq!(limiter.level(s(10.0)), 6.0);
+    assert_eq!(limiter.balance_at(s(10.0)), 6.0);
     // Forgiven debt is not refunded, even if all writes were in flight at once.
     let charges: Vec<Charge> = (0..400).map(|_| limiter.charge(s(20.0), 1.0)).collect();
-    assert_eq!(limiter.level(s(20.0)), -6.0);
-    charges.into_iter().for_each(|c| limiter.give_back(s(20.0), c));
-    assert_eq!(limiter.level(s(20.0)), 6.0);
+    assert_eq!(limiter.balance_at(s(20.0)), -6.0);
+    charges.into_iter().for_each(|c| limiter.refund(s(20.0), c));
+    assert_eq!(limiter.balance_at(s(20.0)), 6.0);
 }
 
 /// Writes without an answer stay charged, but only up to one second's worth, so the highest
@@ -34,10 +34,10 @@
         let mut limiter = RateLimiter::new(rate);
         (0..50).for_each(|_| _ = limiter.charge(s(1.0), 24.0));
         let worth = rate.max(1.0);
-        assert_eq!(limiter.level(s(1.0)), -worth);
+        assert_eq!(limiter.balance_at(s(1.0)), -worth);
         assert!(!limiter.admits(WritePriority::Critical, s(1.0)));
         assert!(limiter.admits(WritePriority::Critical, s(1.01 + 1.0 / rate)), "{rate}");
-        assert!(limiter.has(s(1.1 + 2.0 * worth / rate), 1000.0), "{rate}: the balance never recovers");
+        assert!(limiter.has_balance_for(s(1.1 + 2.0 * worth / rate), 1000.0), "{rate}: the balance never recovers");
     }
 }
 
@@ -107,7 +107,7 @@
     let mut limiters: Vec<RateLimiter> = (0..7).map(|_| RateLimiter::new(45.0 / 8.0)).collect();
     let mut sent = 0;
     for limiter in &mut limiters {
-        limiter.store_is_back(s(70.0));
+        limiter.reset_after_outage(s(70.0));
         sent += send_all_admitted(limiter, &WritePriority::ALL, 70.0, 0.01).0.iter().sum::<u32>();
         assert!(limiter.admits(WritePriority::Arrays, s(70.0 + 3.0)), "arrays wait for more than three seconds");
     }
--- a/src/coordination/shards.rs
+++ b/src/coordination/shards.rs
@@ -10,7 +10,7 @@
 mod machine_moves;
 
 pub use assignment::{AssignmentInputs, assign_task_ranges};
-pub use machine_moves::{Move, gather_for_gang, rebalance, spread, wanted_moves};
+pub use machine_moves::{GroupMove, gather_for_gang, owners_for_new_machines, rebalance, required_moves};
 
 #[cfg(test)]
 mod tests;
--- a/src/coordination/shards/assignment.rs
+++ b/src/coordination/shards/assignment.rs
@@ -17,15 +17,15 @@
     pub capacities: &'a [(String, MachineCapacity)],
     /// The number of cores for which tasks assigned to each member already wait, ahead of the
     /// job's own tasks.
-    pub queues: &'a BTreeMap<String, f64>,
+    pub queued_cores: &'a BTreeMap<String, f64>,
     /// The number of tasks whose state is in the same record. They are assigned together, so
     /// that every record has a single writer.
-    pub grain: u32,
+    pub tasks_per_record: u32,
     /// The number of the job's tasks in each zone that are, or may still be, on machines.
-    pub zones: &'a BTreeMap<String, u32>,
+    pub tasks_by_zone: &'a BTreeMap<String, u32>,
     /// The number of waiting tasks with the job's image that are assigned to each member. The
     /// machines that get them will fetch the image.
-    pub alike: &'a BTreeMap<String, u32>,
+    pub waiting_with_image: &'a BTreeMap<String, u32>,
 }
 
 /// The number of a job's tasks that a shard has room for.
@@ -87,18 +87,18 @@
 impl AssignmentInputs<'_> {
     /// The number of the job's tasks for which each member has room after its queue; negative if
     /// the queue needs more than its room.
-    pub fn capacity(&self, spec: &JobSpec) -> Vec<(&str, i64)> {
+    pub fn free_tasks_by_member(&self, spec: &JobSpec) -> Vec<(&str, i64)> {
         self.offers(spec).into_iter().map(|offer| (offer.member, offer.fits)).collect()
     }
 
     /// The length of the member's queue, expressed in tasks of the job.
     fn queued_tasks(&self, spec: &JobSpec, member: &str) -> i64 {
-        (self.queues.get(member).copied().unwrap_or(0.0) / spec.cores.max(f64::MIN_POSITIVE)) as i64
+        (self.queued_cores.get(member).copied().unwrap_or(0.0) / spec.cores.max(f64::MIN_POSITIVE)) as i64
     }
 
     /// The offer of each member, in the order of `members`.
     fn offers(&self, spec: &JobSpec) -> Vec<Offer<'_>> {
-        let capacities_left = capacity_by_member(self.capacities, spec, self.zones);
+        let capacities_left = capacity_by_member(self.capacities, spec, self.tasks_by_zone);
         let image_copies = self.image_copies(spec);
         let offer = |member| {
             let capacity_left = capacities_left.get(member).copied().unwrap_or_default();
@@ -115,7 +115,7 @@
     /// The number of copies of the job's image in each member's shard, including those that
     /// waiting tasks will fetch.
     fn image_copies(&self, spec: &JobSpec) -> BTreeMap<String, u32> {
-        let mut copies = self.alike.clone();
+        let mut copies = self.waiting_with_image.clone();
         for (member, _) in self.capacities.iter().filter(|(_, capacity)| capacity.has_image(spec)) {
             *copies.entry(member.clone()).or_default() += 1;
         }
@@ -162,7 +162,7 @@
         let member = member_to_wait_for(spec, &offers, inputs);
         return all_tasks_to(spec, member.unwrap_or(me));
     }
-    split_by_record(spec, waiting, &offers, inputs.grain.max(1))
+    split_by_record(spec, waiting, &offers, inputs.tasks_per_record.max(1))
 }
 
 /// Assigns all tasks of the job to one member.
--- a/src/coordination/shards/machine_moves.rs
+++ b/src/coordination/shards/machine_moves.rs
@@ -13,7 +13,7 @@
 
 /// The move of a machine group (machines that share one record) to another controller.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Move {
+pub struct GroupMove {
     /// The name of the machine group.
     pub group: String,
     /// The controller that becomes its owner.
@@ -76,19 +76,19 @@
 /// `cut_off` has the members that their machines cannot reach. `unreached` has pairs of a
 /// machine that cannot reach its owner and a member that it can reach. Returns no moves at all
 /// if a group has lost its owner and no member can take it.
-pub fn wanted_moves(
+pub fn required_moves(
     state: &ClusterState,
     cut_off: &BTreeSet<&str>,
     unreached: &[(String, String)],
     limit: usize,
-) -> Vec<Move> {
+) -> Vec<GroupMove> {
     let Some(mut moves) = moves_from_lost_owners(state, cut_off, limit) else { return Vec::new() };
     for (machine, to) in unreached {
         if let Some(record) = state.machines.get(machine).filter(|record| record.rec.owner != *to)
             && state.members.contains_key(to)
             && !moves.iter().any(|m| m.group == record.rec.group)
         {
-            moves.push(Move { group: record.rec.group.clone(), to: to.clone() });
+            moves.push(GroupMove { group: record.rec.group.clone(), to: to.clone() });
         }
     }
     moves.truncate(limit);
@@ -97,21 +97,21 @@
 
 /// At most `limit` moves of groups whose owner is gone or cut off, to the smallest shards.
 /// Returns `None` if there are such groups but no member that could take them.
-fn moves_from_lost_owners(state: &ClusterState, cut_off: &BTreeSet<&str>, limit: usize) -> Option<Vec<Move>> {
+fn moves_from_lost_owners(state: &ClusterState, cut_off: &BTreeSet<&str>, limit: usize) -> Option<Vec<GroupMove>> {
     let mut moves = Vec::new();
     let mut counts = MachineCounts::of(state, cut_off);
     let is_lost = |owner: &str| !state.members.contains_key(owner) || cut_off.contains(owner);
     for (name, group) in state.machine_groups.iter().filter(|(_, group)| is_lost(&group.rec.owner)).take(limit) {
         let to = counts.smallest(&group.rec.machine_type)?;
         counts.add(&group.rec.machine_type, to, group.rec.machines.len() as i64);
-        moves.push(Move { group: name.clone(), to: to.to_string() });
+        moves.push(GroupMove { group: name.clone(), to: to.to_string() });
     }
     Some(moves)
 }
 
 /// The owners for `machines` new machines of one type, one for each group of `group_size`
 /// machines. Each group in turn goes to the smallest shard.
-pub fn spread<'a>(
+pub fn owners_for_new_machines<'a>(
     state: &'a ClusterState,
     cut_off: &BTreeSet<&str>,
     machine_type: &'a str,
@@ -130,7 +130,11 @@
 
 /// A move of one group from the largest shard to the smallest, if it makes their sizes more
 /// equal. `reaches` returns whether a machine can reach a member, as far as is known.
-pub fn rebalance(state: &ClusterState, cut_off: &BTreeSet<&str>, reaches: impl Fn(&str, &str) -> bool) -> Option<Move> {
+pub fn rebalance(
+    state: &ClusterState,
+    cut_off: &BTreeSet<&str>,
+    reaches: impl Fn(&str, &str) -> bool,
+) -> Option<GroupMove> {
     let counts = MachineCounts::of(state, cut_off);
     let machine_types: BTreeSet<&str> = counts.by_machine_type.keys().map(|(machine_type, _)| *machine_type).collect();
     machine_types.into_iter().find_map(|machine_type| {
@@ -149,7 +153,7 @@
             .filter(|(_, group)| fits(&group.rec) && state.held(group))
             .filter(|(_, group)| group.rec.machines.iter().all(|machine| reaches(machine, smallest)))
             .min_by_key(|(_, group)| placed_tasks(state, &group.rec))?;
-        Some(Move { group: group.0.clone(), to: smallest.to_string() })
+        Some(GroupMove { group: group.0.clone(), to: smallest.to_string() })
     })
 }
 
@@ -167,7 +171,11 @@
 /// If the gang must run in one zone, only machines of one zone are used. The shard with the most
 /// room gets the missing machines. Returns no moves if a shard already has room, or if all
 /// shards together do not.
-pub fn gather_for_gang(state: &ClusterState, capacities: &[(String, MachineCapacity)], spec: &JobSpec) -> Vec<Move> {
+pub fn gather_for_gang(
+    state: &ClusterState,
+    capacities: &[(String, MachineCapacity)],
+    spec: &JobSpec,
+) -> Vec<GroupMove> {
     let zones = capacity_by_zone(state, capacities, spec);
     let most_tasks = |tasks: &TasksByMember| tasks.values().copied().max().unwrap_or(0);
     if zones.values().any(|tasks| most_tasks(tasks) >= spec.task_count) {
@@ -211,8 +219,8 @@
     spec: &JobSpec,
     mut missing: u32,
     to: &str,
-) -> Vec<Move> {
-    let mut moves: Vec<Move> = Vec::new();
+) -> Vec<GroupMove> {
+    let mut moves: Vec<GroupMove> = Vec::new();
     for capacity in machines {
         if missing == 0 {
             break;
@@ -221,7 +229,7 @@
             continue;
         };
         if !moves.iter().any(|m| m.group == record.rec.group) {
-            moves.push(Move { group: record.rec.group.clone(), to: to.to_string() });
+            moves.push(GroupMove { group: record.rec.group.clone(), to: to.to_string() });
         }
         missing = missing.saturating_sub(capacity.fits(spec));
     }
--- a/src/coordination/shards/tests.rs
+++ b/src/coordination/shards/tests.rs
@@ -16,10 +16,10 @@
     let inputs = AssignmentInputs {
         members: &members,
         capacities: &[],
-        queues: &queues,
-        grain: 10,
-        zones: &BTreeMap::new(),
-        alike: &BTreeMap::new(),
+        queued_cores: &queues,
+        tasks_per_record: 10,
+        tasks_by_zone: &BTreeMap::new(),
+        waiting_with_image: &BTreeMap::new(),
     };
     let waiting: Vec<u32> = (0..30).collect();
     let task_ranges = assign_task_ranges(&spec, &waiting, &inputs, "a", false);
@@ -45,14 +45,14 @@
     };
     let capacities = [capacity("a", "x", 8.0), capacity("b", "x", 2.0), capacity("b", "y", 3.0)];
     let members = ["a", "b"].map(String::from);
-    let (queues, zones, alike) = Default::default();
+    let (queues, zones, waiting_with_image) = Default::default();
     let inputs = AssignmentInputs {
         members: &members,
         capacities: &capacities,
-        queues: &queues,
-        grain: 8,
-        zones: &zones,
-        alike: &alike,
+        queued_cores: &queues,
+        tasks_per_record: 8,
+        tasks_by_zone: &zones,
+        waiting_with_image: &waiting_with_image,
     };
     let assignee = |spec: &JobSpec| assign_task_ranges(spec, &[0, 1, 2, 3], &inputs, "a", true)[0].member.clone();
     spec.zone_anti_affinity = true;
@@ -68,17 +68,17 @@
     let mut spec = JobSpec::example("run-1");
     spec.kind = crate::protocol::user::JobKind::Service;
     let members = ["a", "b", "c"].map(String::from);
-    let assignee = |queues: &[(&str, f64)], alike: &[(&str, u32)]| {
+    let assignee = |queues: &[(&str, f64)], waiting_with_image: &[(&str, u32)]| {
         let queues = queues.iter().map(|(m, q)| (m.to_string(), *q)).collect();
-        let alike = alike.iter().map(|(m, n)| (m.to_string(), *n)).collect();
+        let waiting_with_image = waiting_with_image.iter().map(|(m, n)| (m.to_string(), *n)).collect();
         let zones = BTreeMap::new();
         let inputs = AssignmentInputs {
             members: &members,
             capacities: &[],
-            queues: &queues,
-            grain: 8,
-            zones: &zones,
-            alike: &alike,
+            queued_cores: &queues,
+            tasks_per_record: 8,
+            tasks_by_zone: &zones,
+            waiting_with_image: &waiting_with_image,
         };
         assign_task_ranges(&spec, &[0, 1], &inputs, "a", true)[0].member.clone()
     };
--- a/src/coordination/store_session.rs
+++ b/src/coordination/store_session.rs
@@ -20,11 +20,11 @@
 #[derive(Debug)]
 pub struct StoreSession {
     /// The progress of the replica.
-    pub load: SyncState,
+    pub sync_state: SyncState,
     /// The identifier of this controller's lease in the store, while it has one.
     pub lease: Option<u64>,
     /// When the last answer about the lease arrived.
-    pub lease_from: Instant,
+    pub lease_answered_at: Instant,
     /// Whether a grant or renewal of the lease is in flight.
     pub lease_call_in_flight: bool,
     /// When the next grant or renewal of the lease is due.
@@ -56,7 +56,7 @@
     /// barrier was sent, not when it was passed.
     pub fresh_at: Option<Instant>,
     /// The average time between two reads of the same kind.
-    pub gap: Duration,
+    pub read_interval: Duration,
     /// The time to live of the lease in the store.
     pub ttl: Duration,
 }
@@ -66,20 +66,20 @@
 const STEADY_BURST_S: f64 = 0.5;
 
 impl StoreSession {
-    /// Starts a session whose scan has not begun. `gap` is the average time between two reads of
+    /// Starts a session whose scan has not begun. `read_interval` is the average time between two reads of
     /// the same kind; `pages` is the number of pages of a scan that may be read at once.
-    pub fn new(ttl: Duration, gap: Duration, pages: f64) -> StoreSession {
-        let steady_bucket = || TokenBucket::new(gap, STEADY_BURST_S / gap.as_secs_f64());
+    pub fn new(ttl: Duration, read_interval: Duration, pages: f64) -> StoreSession {
+        let steady_bucket = || TokenBucket::new(read_interval, STEADY_BURST_S / read_interval.as_secs_f64());
         StoreSession {
-            load: SyncState::Reading,
+            sync_state: SyncState::Reading,
             lease: None,
-            lease_from: Duration::ZERO,
+            lease_answered_at: Duration::ZERO,
             lease_call_in_flight: false,
             lease_renewal_at: Duration::ZERO,
             scan_in_flight: false,
             scan_cursor: String::new(),
             scan_revision: None,
-            scan_bucket: TokenBucket::new(gap, pages),
+            scan_bucket: TokenBucket::new(read_interval, pages),
             scan_not_before: Duration::ZERO,
             watch_in_flight: false,
             watch_bucket: steady_bucket(),
@@ -88,19 +88,19 @@
             barrier_sent_at: Duration::ZERO,
             barriers: Vec::new(),
             fresh_at: None,
-            gap,
+            read_interval,
             ttl,
         }
     }
 
     /// Whether the replica is complete and kept current by the watch.
-    pub fn following(&self) -> bool {
-        self.load == SyncState::Following
+    pub fn is_following(&self) -> bool {
+        self.sync_state == SyncState::Following
     }
 
     /// Records that the replica has reached `revision`. All barriers up to it are passed, and so
     /// the replica was current when the newest of them was sent.
-    pub fn reached(&mut self, revision: u64) {
+    pub fn record_revision(&mut self, revision: u64) {
         let passed = self.barriers.extract_if(.., |(required, _)| *required <= revision);
         let newest_sent = passed.map(|(_, sent)| sent).max();
         self.fresh_at = self.fresh_at.max(newest_sent);
@@ -113,10 +113,10 @@
 
     /// Starts the scan over after a pause.
     pub fn restart_scan(&mut self, now: Instant) {
-        self.load = SyncState::Reading;
+        self.sync_state = SyncState::Reading;
         self.scan_cursor.clear();
         self.scan_revision = None;
-        self.scan_not_before = now + self.gap;
+        self.scan_not_before = now + self.read_interval;
         self.barriers.clear();
     }
 }
--- a/src/coordination/store_session/tests.rs
+++ b/src/coordination/store_session/tests.rs
@@ -9,9 +9,9 @@
     let s = Duration::from_secs;
     let mut session = StoreSession::new(s(4), s(1), 1.0);
     session.barriers = vec![(10, s(5)), (12, s(6))];
-    session.reached(11);
+    session.record_revision(11);
     assert_eq!(session.staleness(s(9)), Some(s(4)));
-    session.reached(12);
+    session.record_revision(12);
     assert_eq!(session.staleness(s(9)), Some(s(3)));
     assert!(session.barriers.is_empty());
 }
--- a/src/coordination/token_bucket.rs
+++ b/src/coordination/token_bucket.rs
@@ -31,12 +31,12 @@
     }
 
     /// Whether a read may be sent now.
-    pub fn may(&self, now: Instant) -> bool {
+    pub fn allows(&self, now: Instant) -> bool {
         now + self.tolerance >= self.next_due
     }
 
     /// Counts a read that is sent now.
-    pub fn take(&mut self, now: Instant) {
+    pub fn consume(&mut self, now: Instant) {
         self.next_due = self.next_due.max(now) + self.interval;
     }
 }
--- a/src/coordination/token_bucket/tests.rs
+++ b/src/coordination/token_bucket/tests.rs
@@ -13,8 +13,8 @@
     let mut bucket = TokenBucket::new(ms(100), 4.0);
     let mut at = Vec::new();
     for t in 0..1000 {
-        while bucket.may(ms(t)) {
-            bucket.take(ms(t));
+        while bucket.allows(ms(t)) {
+            bucket.consume(ms(t));
             at.push(t);
         }
     }
@@ -22,17 +22,17 @@
     assert_eq!(at.len(), 4 + 9, "the burst and the even pace together");
     // After a pause the burst is allowed again, but not more.
     (0..4).for_each(|_| {
-        assert!(bucket.may(ms(9000)));
-        bucket.take(ms(9000));
+        assert!(bucket.allows(ms(9000)));
+        bucket.consume(ms(9000));
     });
-    assert!(!bucket.may(ms(9000)) && bucket.may(ms(9100)));
+    assert!(!bucket.allows(ms(9000)) && bucket.allows(ms(9100)));
 }
 
 /// A burst below one read must not block reads, nor let two of them through at once.
 #[test]
 fn without_a_burst_reads_are_an_interval_apart() {
     let mut bucket = TokenBucket::new(ms(100), 0.3);
-    assert!(bucket.may(ms(0)));
-    bucket.take(ms(0));
-    assert!(!bucket.may(ms(99)) && bucket.may(ms(100)));
+    assert!(bucket.allows(ms(0)));
+    bucket.consume(ms(0));
+    assert!(!bucket.allows(ms(99)) && bucket.allows(ms(100)));
 }
--- a/src/reconciliation/difference.rs
+++ b/src/reconciliation/difference.rs
@@ -19,7 +19,7 @@
     Ending,
     /// It is not placed here: the task is on another machine or has another attempt, or its job
     /// has ended or is unknown.
-    Nowhere,
+    NotHere,
 }
 
 impl RecordedState {
@@ -31,7 +31,7 @@
         } else if kept.get(task) == Some(&attempt) {
             RecordedState::Ending
         } else {
-            RecordedState::Nowhere
+            RecordedState::NotHere
         }
     }
 }
@@ -118,9 +118,9 @@
         (RecordedState::Wanted | RecordedState::Ending, ObservedState::Exited(_)) => Difference::Failed,
         (RecordedState::Ending, ObservedState::Alive) => Difference::Unwanted,
         (RecordedState::Ending, ObservedState::Absent) => Difference::Stopped,
-        (RecordedState::Nowhere, ObservedState::Alive) => Difference::Unrecorded,
-        (RecordedState::Nowhere, ObservedState::Exited(_)) => Difference::ExitRecorded,
-        (RecordedState::Nowhere, ObservedState::Absent) => Difference::Unknown,
+        (RecordedState::NotHere, ObservedState::Alive) => Difference::Unrecorded,
+        (RecordedState::NotHere, ObservedState::Exited(_)) => Difference::ExitRecorded,
+        (RecordedState::NotHere, ObservedState::Absent) => Difference::Unknown,
     }
 }
 
--- a/src/reconciliation/difference/tests.rs
+++ b/src/reconciliation/difference/tests.rs
@@ -18,7 +18,7 @@
     let observations =
         [ObservedState::Alive, ObservedState::Absent].into_iter().chain(CAUSES.map(ObservedState::Exited));
     for observed in observations {
-        for recorded in [RecordedState::Wanted, RecordedState::Ending, RecordedState::Nowhere] {
+        for recorded in [RecordedState::Wanted, RecordedState::Ending, RecordedState::NotHere] {
             for gang_is_starting in [false, true] {
                 for confirmed in [false, true] {
                     let difference = compare(recorded, observed, gang_is_starting);
@@ -47,12 +47,12 @@
         // A result that is not recorded must not be forgotten, and its task must not run again.
         if remedy == Remedy::Forget {
             assert!(
-                recorded == RecordedState::Nowhere && confirmed && matches!(observed, ObservedState::Exited(_)),
+                recorded == RecordedState::NotHere && confirmed && matches!(observed, ObservedState::Exited(_)),
                 "{combination}"
             );
         }
         let done = observed == ObservedState::Exited(Some(Cause::Done));
-        assert!(!(done && recorded != RecordedState::Nowhere) || remedy == Remedy::StoreResult, "{combination}");
+        assert!(!(done && recorded != RecordedState::NotHere) || remedy == Remedy::StoreResult, "{combination}");
         // An absent attempt that a delayed command may still start is not gone.
         if remedy == Remedy::StoreGone && observed == ObservedState::Absent {
             assert!(confirmed, "{combination}");
@@ -72,7 +72,7 @@
 #[test]
 fn only_differences_lead_to_commands() {
     assert_eq!(compare(RecordedState::Wanted, ObservedState::Alive, false).remedy(true), Remedy::Nothing);
-    assert_eq!(compare(RecordedState::Nowhere, ObservedState::Absent, false).remedy(true), Remedy::Nothing);
+    assert_eq!(compare(RecordedState::NotHere, ObservedState::Absent, false).remedy(true), Remedy::Nothing);
     assert_eq!(
         compare(RecordedState::Wanted, ObservedState::Exited(Some(Cause::GangIncomplete)), true).remedy(true),
         Remedy::Restart
