--- a/src/reconciliation/phase.rs
+++ b/src/reconciliation/phase.rs
@@ -47,14 +47,14 @@
 /// How many of the expected machines or controllers have been heard from since the process
 /// started.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Heard {
+pub struct HeardCount {
     /// The number of those that have been heard from.
     pub heard: usize,
     /// The number of those that are expected.
     pub all: usize,
 }
 
-impl Heard {
+impl HeardCount {
     /// Whether enough of them have been heard from for the silence of the rest to be significant.
     fn most(self) -> bool {
         self.heard as f64 >= self.all as f64 * REQUIRED_FLEET_FRACTION
@@ -63,27 +63,27 @@
 
 /// What a controller observes during its startup.
 #[derive(Debug, Clone, Copy)]
-pub struct Facts {
+pub struct StartupObservations {
     /// Whether the replica is no older than a heartbeat interval.
     pub fresh: bool,
     /// The live ones of the configured controllers.
-    pub members: Heard,
+    pub members: HeardCount,
     /// The machines of this controller's shard.
-    pub shard: Heard,
+    pub shard: HeardCount,
     /// The machines of all shards.
-    pub fleet: Heard,
+    pub fleet: HeardCount,
 }
 
 /// The progress of a controller's startup.
 #[derive(Debug)]
-pub struct Start {
+pub struct Startup {
     phase: Phase,
     /// An agent that gets no response for this long stops all its tasks.
     lease: Duration,
     /// Every live agent that can reach a responsive controller sends a heartbeat within this
     /// time.
     round: Duration,
-    /// When `look` was last called, or the startup was last reset.
+    /// When `update` was last called, or the startup was last reset.
     updated_at: Duration,
     last_growth: FleetGrowth,
     /// The time that passed with a fresh replica since the store was read.
@@ -91,7 +91,7 @@
     /// Whether all controllers are live, or the absent ones have had time to return.
     members_known: bool,
     /// The number of differences of each kind that the first heartbeats of machines showed.
-    pub cases: BTreeMap<Difference, u32>,
+    pub differences: BTreeMap<Difference, u32>,
 }
 
 /// When the number of machines that have been heard from last rose considerably.
@@ -103,10 +103,10 @@
     at: Duration,
 }
 
-impl Start {
+impl Startup {
     /// A startup with an agent lease of `lease` and heartbeats within `round`.
-    pub fn new(lease: Duration, round: Duration) -> Start {
-        Start {
+    pub fn new(lease: Duration, round: Duration) -> Startup {
+        Startup {
             phase: Phase::Loading,
             lease,
             round: round.min(lease),
@@ -114,7 +114,7 @@
             updated_at: Duration::ZERO,
             elapsed: Duration::ZERO,
             members_known: false,
-            cases: BTreeMap::new(),
+            differences: BTreeMap::new(),
         }
     }
 
@@ -124,7 +124,7 @@
     }
 
     /// Records that the store has been read. Reading it again later does not restart the startup.
-    pub fn loaded(&mut self, now: Duration) {
+    pub fn record_loaded(&mut self, now: Duration) {
         if self.phase == Phase::Loading {
             self.phase = Phase::Gathering;
             self.updated_at = now;
@@ -132,7 +132,7 @@
     }
 
     /// Records that the process was suspended for so long that earlier heartbeats are outdated.
-    pub fn paused(&mut self, now: Duration) {
+    pub fn record_pause(&mut self, now: Duration) {
         if self.phase > Phase::Gathering {
             self.phase = Phase::Gathering;
             self.members_known = false;
@@ -143,7 +143,7 @@
     }
 
     /// Whether hardly any new machine has been heard from recently.
-    fn has_stopped_growing(&mut self, fleet: Heard) -> bool {
+    fn has_stopped_growing(&mut self, fleet: HeardCount) -> bool {
         if fleet.heard as f64 > self.last_growth.heard as f64 + fleet.all as f64 * ARRIVING_FLEET_FRACTION {
             self.last_growth = FleetGrowth { heard: fleet.heard, at: self.elapsed };
         }
@@ -151,7 +151,7 @@
     }
 
     /// Evaluates the observations at this time. Returns the phase if it has changed.
-    pub fn look(&mut self, now: Duration, observed: &Facts) -> Option<Phase> {
+    pub fn update(&mut self, now: Duration, observed: &StartupObservations) -> Option<Phase> {
         let since_update = now.saturating_sub(self.updated_at);
         self.updated_at = now;
         if !observed.fresh || self.phase == Phase::Loading {
@@ -184,7 +184,7 @@
 
     /// Whether every live agent has had time to send a heartbeat. An agent that has not been
     /// heard from has lost its lease, is partitioned, or never started.
-    pub fn all_came(&self) -> bool {
+    pub fn all_agents_had_time(&self) -> bool {
         self.elapsed >= self.lease
     }
 
--- a/src/requests/open_requests.rs
+++ b/src/requests/open_requests.rs
@@ -14,7 +14,7 @@
     /// The identifier of the job.
     pub uid: String,
     /// What the request asks for.
-    pub asked: RequestKind,
+    pub kind: RequestKind,
     stage: Stage,
     deadline: Instant,
 }
@@ -27,42 +27,41 @@
 
 impl Requests {
     /// Adds a request that has arrived and must be answered by `deadline` at the latest.
-    pub fn came(&mut self, conn: ConnId, uid: &str, asked: RequestKind, stage: Stage, deadline: Instant) {
-        self.open.push(Request { conn, uid: uid.to_string(), asked, stage, deadline });
+    pub fn add(&mut self, conn: ConnId, uid: &str, kind: RequestKind, stage: Stage, deadline: Instant) {
+        self.open.push(Request { conn, uid: uid.to_string(), kind, stage, deadline });
     }
 
     /// Whether any request waits for a read to be sent.
-    pub fn queued(&self) -> bool {
+    pub fn any_awaits_read(&self) -> bool {
         self.open.iter().any(|request| request.stage == Stage::Queued)
     }
 
     /// The jobs for which a cancellation waits for this controller's write.
-    pub fn cancelling(&self) -> BTreeSet<String> {
-        let is_writing =
-            |request: &&Request| request.asked == RequestKind::Cancelled && request.stage == Stage::Writing;
+    pub fn jobs_to_cancel(&self) -> BTreeSet<String> {
+        let is_writing = |request: &&Request| request.kind == RequestKind::Cancel && request.stage == Stage::Writing;
         self.open.iter().filter(is_writing).map(|request| request.uid.clone()).collect()
     }
 
     /// Applies an event to all requests. Those that it answers are removed and returned with
     /// their answers. `known` returns what the replica knows of a job.
-    pub fn event(&mut self, event: Event, known: impl Fn(&str) -> KnownStatus) -> Vec<(Request, Answer)> {
+    pub fn apply_event(&mut self, event: Event, known: impl Fn(&str) -> KnownStatus) -> Vec<(Request, Answer)> {
         self.event_for(|_| true, event, known)
     }
 
     /// Applies the outcome of this controller's write to all requests of this kind for the job.
-    pub fn written(
+    pub fn apply_write_outcome(
         &mut self,
         uid: &str,
-        asked: RequestKind,
+        kind: RequestKind,
         outcome: WriteOutcome,
         known: impl Fn(&str) -> KnownStatus,
     ) -> Vec<(Request, Answer)> {
-        self.event_for(|request| request.uid == uid && request.asked == asked, Event::WriteOutcome(outcome), known)
+        self.event_for(|request| request.uid == uid && request.kind == kind, Event::WriteOutcome(outcome), known)
     }
 
     /// Answers the requests whose deadline has passed.
-    pub fn due(&mut self, now: Instant, known: impl Fn(&str) -> KnownStatus) -> Vec<(Request, Answer)> {
-        self.event_for(|request| request.deadline <= now, Event::Due, known)
+    pub fn expire(&mut self, now: Instant, known: impl Fn(&str) -> KnownStatus) -> Vec<(Request, Answer)> {
+        self.event_for(|request| request.deadline <= now, Event::DeadlinePassed, known)
     }
 
     /// Applies an event to the requests that it concerns, and leaves the others unchanged.
@@ -78,7 +77,7 @@
                 self.open.push(request);
                 continue;
             }
-            match transition(request.asked, request.stage, event, known(&request.uid)) {
+            match transition(request.kind, request.stage, event, known(&request.uid)) {
                 Transition::Answer(answer) => answered.push((request, answer)),
                 Transition::Stage(stage) => {
                     request.stage = stage;
--- a/src/requests/transitions.rs
+++ b/src/requests/transitions.rs
@@ -14,13 +14,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestKind {
     /// To run the job.
-    Submitted,
+    Submit,
     /// To run a job that can never run. It is refused unless it was accepted before.
-    Impossible,
+    SubmitImpossible,
     /// The status of the job.
-    State,
+    Status,
     /// To cancel the job.
-    Cancelled,
+    Cancel,
 }
 
 /// What a request waits for.
@@ -41,13 +41,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum KnownStatus {
     /// The replica does not have the job.
-    Nothing,
+    Unknown,
     /// The job waits to be started.
     Queued,
     /// The job runs.
     Running,
     /// The job is done or cancelled, which is final.
-    Over,
+    Ended,
 }
 
 /// The outcome of a write for a request.
@@ -73,11 +73,11 @@
     /// A read failed.
     ReadFailed,
     /// The replica has applied all changes up to this revision.
-    ClusterState(u64),
+    ReplicaAt(u64),
     /// This controller's write for the request has ended.
     WriteOutcome(WriteOutcome),
     /// The request's deadline has passed.
-    Due,
+    DeadlinePassed,
 }
 
 /// How a request is answered.
@@ -86,15 +86,15 @@
     /// 201: the job was accepted by this controller's write.
     Accepted,
     /// 200, with the status that the replica has.
-    Tell,
+    Status,
     /// 404: there is no such job.
     Unknown,
     /// 422: the job can never run.
-    NeverRuns,
+    CanNeverRun,
     /// 429, with a retry time that follows from the rate of writes.
     Limited,
     /// 503: the client should retry later.
-    Later,
+    RetryLater,
 }
 
 /// The result of an event for a request.
@@ -108,23 +108,19 @@
 
 /// The transition table: the result of `event` for a request at `stage`, if the replica has
 /// `known` as the status of its job.
-pub(super) fn transition(asked: RequestKind, stage: Stage, event: Event, known: KnownStatus) -> Transition {
-    if known == KnownStatus::Over {
-        return Transition::Answer(Answer::Tell);
+pub(super) fn transition(kind: RequestKind, stage: Stage, event: Event, known: KnownStatus) -> Transition {
+    if known == KnownStatus::Ended {
+        return Transition::Answer(Answer::Status);
     }
     match (stage, event) {
-        (_, Event::Due) => Transition::Answer(Answer::Later),
+        (_, Event::DeadlinePassed) => Transition::Answer(Answer::RetryLater),
         (Stage::Queued, Event::ReadSent) => Transition::Stage(Stage::Reading),
         (Stage::Reading, Event::Read(revision)) => Transition::Stage(Stage::AwaitingRevision(revision)),
-        (Stage::Reading, Event::ReadFailed) => Transition::Answer(Answer::Later),
-        (Stage::AwaitingRevision(needed), Event::ClusterState(applied)) if applied >= needed => {
-            after_read(asked, known)
-        }
-        (Stage::Writing, Event::WriteOutcome(outcome)) => after_write(asked, outcome, known),
+        (Stage::Reading, Event::ReadFailed) => Transition::Answer(Answer::RetryLater),
+        (Stage::AwaitingRevision(needed), Event::ReplicaAt(applied)) if applied >= needed => after_read(kind, known),
+        (Stage::Writing, Event::WriteOutcome(outcome)) => after_write(kind, outcome, known),
         // The replica is being read again and may not have the job that is to be cancelled yet.
-        (Stage::Writing, Event::ClusterState(_))
-            if asked == RequestKind::Cancelled && known == KnownStatus::Nothing =>
-        {
+        (Stage::Writing, Event::ReplicaAt(_)) if kind == RequestKind::Cancel && known == KnownStatus::Unknown => {
             Transition::Stage(Stage::Queued)
         }
         _ => Transition::Stage(stage),
@@ -133,31 +129,31 @@
 
 /// The result once the replica has every change that a read after the request's arrival could
 /// show.
-fn after_read(asked: RequestKind, known: KnownStatus) -> Transition {
-    match (asked, known) {
-        (RequestKind::Cancelled, KnownStatus::Queued | KnownStatus::Running) => Transition::Stage(Stage::Writing),
-        (_, KnownStatus::Queued | KnownStatus::Running | KnownStatus::Over) => Transition::Answer(Answer::Tell),
+fn after_read(kind: RequestKind, known: KnownStatus) -> Transition {
+    match (kind, known) {
+        (RequestKind::Cancel, KnownStatus::Queued | KnownStatus::Running) => Transition::Stage(Stage::Writing),
+        (_, KnownStatus::Queued | KnownStatus::Running | KnownStatus::Ended) => Transition::Answer(Answer::Status),
         // The job was not accepted by the time of the read, but a submission in flight may still
         // be.
-        (RequestKind::Submitted, KnownStatus::Nothing) => Transition::Answer(Answer::Later),
-        (RequestKind::Impossible, KnownStatus::Nothing) => Transition::Answer(Answer::NeverRuns),
-        (RequestKind::State | RequestKind::Cancelled, KnownStatus::Nothing) => Transition::Answer(Answer::Unknown),
+        (RequestKind::Submit, KnownStatus::Unknown) => Transition::Answer(Answer::RetryLater),
+        (RequestKind::SubmitImpossible, KnownStatus::Unknown) => Transition::Answer(Answer::CanNeverRun),
+        (RequestKind::Status | RequestKind::Cancel, KnownStatus::Unknown) => Transition::Answer(Answer::Unknown),
     }
 }
 
 /// The result once this controller's write for the request has ended.
-fn after_write(asked: RequestKind, outcome: WriteOutcome, known: KnownStatus) -> Transition {
-    match (outcome, asked) {
+fn after_write(kind: RequestKind, outcome: WriteOutcome, known: KnownStatus) -> Transition {
+    match (outcome, kind) {
         // The watch may have shown meanwhile that the job is already running.
-        (WriteOutcome::Done, RequestKind::Submitted) if known != KnownStatus::Running => {
+        (WriteOutcome::Done, RequestKind::Submit) if known != KnownStatus::Running => {
             Transition::Answer(Answer::Accepted)
         }
-        (WriteOutcome::Done, _) => Transition::Answer(Answer::Tell),
+        (WriteOutcome::Done, _) => Transition::Answer(Answer::Status),
         // The job was accepted before. The replica may have only that change, while other
         // controllers have already answered with later ones, so a read decides.
-        (WriteOutcome::Void, RequestKind::Submitted) => Transition::Stage(Stage::Queued),
+        (WriteOutcome::Void, RequestKind::Submit) => Transition::Stage(Stage::Queued),
         // The record has changed, so the client's retry finds the new one.
-        (WriteOutcome::Void | WriteOutcome::Failed, _) => Transition::Answer(Answer::Later),
+        (WriteOutcome::Void | WriteOutcome::Failed, _) => Transition::Answer(Answer::RetryLater),
         (WriteOutcome::Limited, _) => Transition::Answer(Answer::Limited),
     }
 }
--- a/src/retry.rs
+++ b/src/retry.rs
@@ -49,7 +49,7 @@
 
 /// A service that the controller calls. Each has its own circuit breaker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Side {
+pub enum RemoteService {
     /// The state service.
     Store,
     /// The cloud's interface.
@@ -58,12 +58,12 @@
 
 impl Purpose {
     /// The service that calls for this purpose go to.
-    pub fn side(self) -> Side {
+    pub fn service(self) -> RemoteService {
         match self {
             Purpose::Lease | Purpose::Renew | Purpose::Scan | Purpose::Watch | Purpose::Barrier | Purpose::Write => {
-                Side::Store
+                RemoteService::Store
             }
-            Purpose::Catalog | Purpose::List | Purpose::Rent | Purpose::Release => Side::Cloud,
+            Purpose::Catalog | Purpose::List | Purpose::Rent | Purpose::Release => RemoteService::Cloud,
         }
     }
 
@@ -112,7 +112,7 @@
     base_pauses: BTreeMap<Purpose, Duration>,
     purposes: BTreeMap<Purpose, Backoff>,
     /// The number of consecutive failures of each service.
-    failures: BTreeMap<Side, u32>,
+    failures: BTreeMap<RemoteService, u32>,
 }
 
 impl RetryPolicy {
@@ -128,37 +128,37 @@
     }
 
     /// Whether the service's circuit breaker is open, so that the service counts as unavailable.
-    pub fn is_open(&self, side: Side) -> bool {
-        self.failures.get(&side).is_some_and(|failures| *failures >= FAILURES_TO_OPEN)
+    pub fn is_open(&self, service: RemoteService) -> bool {
+        self.failures.get(&service).is_some_and(|failures| *failures >= FAILURES_TO_OPEN)
     }
 
     /// Whether a call for this purpose may be made now.
-    pub fn may(&self, purpose: Purpose, now: Duration) -> bool {
+    pub fn allows(&self, purpose: Purpose, now: Duration) -> bool {
         let due = self.purposes.get(&purpose).is_none_or(|backoff| now >= backoff.not_before);
-        due && (purpose.is_probe() || !self.is_open(purpose.side()))
+        due && (purpose.is_probe() || !self.is_open(purpose.service()))
     }
 
     /// Records how a call ended.
-    pub fn ended(&mut self, purpose: Purpose, outcome: Outcome, now: Duration) {
+    pub fn record_outcome(&mut self, purpose: Purpose, outcome: Outcome, now: Duration) {
         self.update_breaker(purpose, outcome, now);
         self.update_backoff(purpose, outcome, now);
     }
 
     /// Counts consecutive failures of the service, and closes its breaker at the first answer.
     fn update_breaker(&mut self, purpose: Purpose, outcome: Outcome, now: Duration) {
-        let side = purpose.side();
+        let service = purpose.service();
         if outcome == Outcome::Failed {
-            let failures = self.failures.entry(side).or_default();
+            let failures = self.failures.entry(service).or_default();
             *failures += 1;
             if *failures == FAILURES_TO_OPEN {
-                tracing::info!(?side, ?purpose, "service does not answer, sending only probes");
+                tracing::info!(side = ?service, ?purpose, "service does not answer, sending only probes");
             }
             return;
         }
-        let was_open = self.failures.insert(side, 0).is_some_and(|failures| failures >= FAILURES_TO_OPEN);
+        let was_open = self.failures.insert(service, 0).is_some_and(|failures| failures >= FAILURES_TO_OPEN);
         if was_open {
-            tracing::info!(?side, "service answers again");
-            for (_, backoff) in self.purposes.iter_mut().filter(|(purpose, _)| purpose.side() == side) {
+            tracing::info!(side = ?service, "service answers again");
+            for (_, backoff) in self.purposes.iter_mut().filter(|(purpose, _)| purpose.service() == service) {
                 backoff.consecutive_failures = 0;
                 backoff.not_before = now;
             }
@@ -169,7 +169,7 @@
     fn update_backoff(&mut self, purpose: Purpose, outcome: Outcome, now: Duration) {
         // Many writes are in flight at a time: if a single one gets no answer, others do.
         let failed_alone =
-            purpose == Purpose::Write && outcome == Outcome::Failed && self.failures[&purpose.side()] == 1;
+            purpose == Purpose::Write && outcome == Outcome::Failed && self.failures[&purpose.service()] == 1;
         let base_pause = self.base_pauses.get(&purpose).copied().unwrap_or_default();
         let backoff = self.purposes.entry(purpose).or_default();
         if outcome == Outcome::Answered {
@@ -215,7 +215,7 @@
 impl RetryAfter {
     /// The whole seconds, at least one, until the next time slot, if `rate` requests per second
     /// can be served.
-    pub fn after(&mut self, now: Duration, rate: f64) -> u32 {
+    pub fn next_delay_s(&mut self, now: Duration, rate: f64) -> u32 {
         let soonest = now + Duration::from_secs(1);
         let longest = now + Duration::from_secs(MAX_RETRY_AFTER_S);
         let slot_length = Duration::from_secs_f64(1.0 / (rate * CLIENTS_PER_SLOT).max(1.0));
--- a/src/retry/tests.rs
+++ b/src/retry/tests.rs
@@ -16,7 +16,7 @@
 fn pauses_grow_and_differ_between_controllers() {
     let pause = |seed, failures| {
         let mut retries = policy(seed);
-        (0..failures).for_each(|_| retries.ended(Purpose::Write, Outcome::Limited, s(0.0)));
+        (0..failures).for_each(|_| retries.record_outcome(Purpose::Write, Outcome::Limited, s(0.0)));
         retries.purposes[&Purpose::Write].not_before.as_secs_f64()
     };
     let first: Vec<f64> = (0..7).map(|n| pause(n, 1)).collect();
@@ -30,16 +30,16 @@
 fn an_open_breaker_admits_probes_and_closes_with_the_first_answer() {
     let mut retries = policy(1);
     for _ in 0..FAILURES_TO_OPEN {
-        retries.ended(Purpose::Write, Outcome::Failed, s(0.0));
+        retries.record_outcome(Purpose::Write, Outcome::Failed, s(0.0));
     }
-    assert!(retries.is_open(Side::Store) && !retries.is_open(Side::Cloud));
-    assert!(!retries.may(Purpose::Write, s(60.0)), "a write is not a probe");
-    assert!(retries.may(Purpose::Barrier, s(0.0)) && retries.may(Purpose::Lease, s(0.0)));
-    retries.ended(Purpose::Barrier, Outcome::Failed, s(0.0));
-    assert!(!retries.may(Purpose::Barrier, s(0.4)) && retries.may(Purpose::Barrier, s(1.5)));
-    retries.ended(Purpose::Barrier, Outcome::Answered, s(0.1));
+    assert!(retries.is_open(RemoteService::Store) && !retries.is_open(RemoteService::Cloud));
+    assert!(!retries.allows(Purpose::Write, s(60.0)), "a write is not a probe");
+    assert!(retries.allows(Purpose::Barrier, s(0.0)) && retries.allows(Purpose::Lease, s(0.0)));
+    retries.record_outcome(Purpose::Barrier, Outcome::Failed, s(0.0));
+    assert!(!retries.allows(Purpose::Barrier, s(0.4)) && retries.allows(Purpose::Barrier, s(1.5)));
+    retries.record_outcome(Purpose::Barrier, Outcome::Answered, s(0.1));
     assert!(
-        !retries.is_open(Side::Store) && retries.may(Purpose::Write, s(0.1)),
+        !retries.is_open(RemoteService::Store) && retries.allows(Purpose::Write, s(0.1)),
         "the write still waits although the service answers"
     );
 }
@@ -49,10 +49,10 @@
 #[test]
 fn many_clients_get_spread_retry_times() {
     let mut retries = RetryAfter::default();
-    let delays_s: Vec<u32> = (0..4000).map(|_| retries.after(s(5.0), 50.0)).collect();
+    let delays_s: Vec<u32> = (0..4000).map(|_| retries.next_delay_s(s(5.0), 50.0)).collect();
     assert_eq!((delays_s[0], delays_s[198], delays_s[2000]), (1, 1, 11));
     assert!(delays_s.windows(2).all(|w| w[0] <= w[1]) && delays_s.iter().max() <= Some(&30));
-    assert_eq!(retries.after(s(60.0), 50.0), 1, "no other clients are waiting");
+    assert_eq!(retries.next_delay_s(s(60.0), 50.0), 1, "no other clients are waiting");
 }
 
 /// When a quarter of all writes got no answer, the pauses after them would have delayed the
@@ -61,13 +61,13 @@
 fn a_single_failed_write_delays_no_other_write() {
     let mut retries = policy(1);
     for n in 0..20 {
-        retries.ended(Purpose::Write, Outcome::Failed, s(f64::from(n)));
-        assert!(retries.may(Purpose::Write, s(f64::from(n))));
-        retries.ended(Purpose::Write, Outcome::Answered, s(f64::from(n)));
+        retries.record_outcome(Purpose::Write, Outcome::Failed, s(f64::from(n)));
+        assert!(retries.allows(Purpose::Write, s(f64::from(n))));
+        retries.record_outcome(Purpose::Write, Outcome::Answered, s(f64::from(n)));
     }
-    retries.ended(Purpose::Write, Outcome::Failed, s(30.0));
-    retries.ended(Purpose::Write, Outcome::Failed, s(30.0));
-    assert!(!retries.may(Purpose::Write, s(30.1)), "two consecutive failures are not taken for chance");
+    retries.record_outcome(Purpose::Write, Outcome::Failed, s(30.0));
+    retries.record_outcome(Purpose::Write, Outcome::Failed, s(30.0));
+    assert!(!retries.allows(Purpose::Write, s(30.1)), "two consecutive failures are not taken for chance");
 }
 
 /// Writes over the rate limit are not an outage, so reads and renewals continue.
@@ -75,14 +75,14 @@
 fn rate_limits_and_refusals_do_not_open_the_breaker() {
     let mut retries = policy(1);
     for _ in 0..20 {
-        retries.ended(Purpose::Write, Outcome::Limited, s(0.0));
-        retries.ended(Purpose::Rent, Outcome::Answered, s(0.0));
+        retries.record_outcome(Purpose::Write, Outcome::Limited, s(0.0));
+        retries.record_outcome(Purpose::Rent, Outcome::Answered, s(0.0));
     }
-    assert!(!retries.is_open(Side::Store) && !retries.is_open(Side::Cloud));
+    assert!(!retries.is_open(RemoteService::Store) && !retries.is_open(RemoteService::Cloud));
     assert!(
-        !retries.may(Purpose::Write, s(0.1))
-            && retries.may(Purpose::Lease, s(0.0))
-            && retries.may(Purpose::Rent, s(0.0))
+        !retries.allows(Purpose::Write, s(0.1))
+            && retries.allows(Purpose::Lease, s(0.0))
+            && retries.allows(Purpose::Rent, s(0.0))
     );
     assert_eq!(retries.take_counts(), vec![(Purpose::Write, 20)]);
     assert!(retries.take_counts().is_empty());
--- a/tests/models/attest.rs
+++ b/tests/models/attest.rs
@@ -2,8 +2,8 @@
 //! take a cancellation, whenever it reaches the store: it acts and tells by the answer,
 //! while its watch may stand still from then on. A reaches the store or not, heartbeats pass
 //! or not, or are held back and come late. What B knows of and A may not have seen it
-//! carries in its heartbeats. Stands for `Controller::{entitled, revocations, apply_revocations}`,
-//! `ClusterState::known_revision`, `attested` in `src/connectivity` and `Machine::lapsed`.
+//! carries in its heartbeats. Stands for `Controller::{may_act, revocations, apply_revocations}`,
+//! `ClusterState::known_revision`, `read_index_time` in `src/connectivity` and `Machine::lease_expired`.
 
 use finchquay_explorer::Model;
 
@@ -97,7 +97,7 @@
 }
 
 impl Attest {
-    fn entitled(&self, s: &State) -> bool {
+    fn may_act(&self, s: &State) -> bool {
         let young = |age: u8| age < CANCEL - LEASE;
         let t = &self.trust;
         let revocations = |w: &Word| {
@@ -154,7 +154,7 @@
         }
         // The machine reports to A while that answers, else to B.
         let knows = |view: u8, change: Option<u8>| change.is_some_and(|r| r <= view);
-        if self.entitled(&n) && !knows(n.a_view, n.granted) {
+        if self.may_act(&n) && !knows(n.a_view, n.granted) {
             n.answered = 0;
             n.runs &= !n.applied && !knows(n.a_view, n.cancelled);
         } else if n.adopted.is_some() {
