--- a/benches/planning.rs
+++ b/benches/planning.rs
@@ -2,8 +2,8 @@
 //! with four GPUs each, 500 waiting tasks, memory in steps of 256 MB.
 
 use criterion::{Criterion, criterion_group, criterion_main};
-use finchquay::placement::knapsack::{Group, Knapsack, value};
-use finchquay::placement::{MachineCapacity, Rules, Waiting, plan};
+use finchquay::placement::knapsack::{Knapsack, TaskGroup, task_value};
+use finchquay::placement::{MachineCapacity, PlacementSettings, WaitingJob, plan_starts};
 use finchquay::protocol::cloud::MachineType;
 use finchquay::protocol::user::{JobKind, JobSpec, Priority};
 use std::collections::BTreeMap;
@@ -54,40 +54,47 @@
     let empty = MachineCapacity::empty("", &machine(), "a", true);
     let capacities: Vec<MachineCapacity> =
         (0..170).map(|n| MachineCapacity { machine: format!("host-{n:06}"), ..empty.clone() }).collect();
-    let rules = Rules { window: 500, step_gb: 0.25, wait_limit_s: 30.0, keep: 0 };
-    let waits = |spec| Waiting {
+    let settings = PlacementSettings { window: 500, step_gb: 0.25, wait_limit_s: 30.0, kept_for_gangs: 0 };
+    let waits = |spec| WaitingJob {
         spec,
         tasks: (0..50).collect(),
         waited_s: 1.0,
-        zones: BTreeMap::new(),
+        tasks_by_zone: BTreeMap::new(),
         slack_s: 60.0,
-        work: 100.0,
+        remaining_cpu_s: 100.0,
         start_within_s: None,
-        hopeless: false,
-        aim_s: Some(200.0),
-        stay: 0,
+        misses_start_objective: false,
+        end_objective_s: Some(200.0),
+        waiting_for_image: 0,
     };
     let mut knapsack = Knapsack::default();
     c.bench_function("round of 170 machines and 500 tasks", |b| {
         b.iter(|| {
-            let mut waiting: Vec<Waiting> = jobs.iter().map(waits).collect();
-            black_box(plan(&mut capacities.clone(), &mut waiting, &rules, &mut knapsack))
+            let mut waiting: Vec<WaitingJob> = jobs.iter().map(waits).collect();
+            black_box(plan_starts(&mut capacities.clone(), &mut waiting, &settings, &mut knapsack))
         });
     });
 }
 
 fn knapsack(c: &mut Criterion) {
     let mut knapsack = Knapsack::default();
-    let groups = |gpu: u32| -> Vec<Group> {
+    let groups = |gpu: u32| -> Vec<TaskGroup> {
         let group = |id: usize| {
             let n = id as u32;
-            Group { id, count: 50, mem: 72 + n * 7, cpu: 16 + n * 3, gpu, value: value(4.0 + f64::from(n) * 0.7, 32.0) }
+            TaskGroup {
+                id,
+                count: 50,
+                mem: 72 + n * 7,
+                cpu: 16 + n * 3,
+                gpu,
+                value: task_value(4.0 + f64::from(n) * 0.7, 32.0),
+            }
         };
         (0..10).map(group).collect()
     };
     for (name, gpu) in [("knapsack where GPUs bind", 4), ("knapsack without GPUs", 0)] {
         let groups = groups(gpu);
-        c.bench_function(name, |b| b.iter(|| black_box(knapsack.fill(&groups, [512, 128, 16]))));
+        c.bench_function(name, |b| b.iter(|| black_box(knapsack.solve(&groups, [512, 128, 16]))));
     }
 }
 
--- a/src/config/operator.rs
+++ b/src/config/operator.rs
@@ -1,7 +1,7 @@
 //! The operator's file (HCL): tuning, disruption budgets and rolling replacements.
 
 use super::{SettingsError, Team, read_file};
-use crate::maintenance::budget::Budget;
+use crate::maintenance::budget::DisruptionBudget;
 use crate::maintenance::campaign::Campaign;
 use serde::Deserialize;
 use std::collections::BTreeMap;
@@ -27,7 +27,7 @@
     /// Headroom for services, as a share of what services use.
     pub spare_share: f64,
     /// Disruption budget of each team: what it may miss while machines are drained.
-    pub budget: BTreeMap<String, Budget>,
+    pub budget: BTreeMap<String, DisruptionBudget>,
     /// Rolling replacements: machines to be drained and returned, in the order of names.
     pub campaign: BTreeMap<String, Campaign>,
 }
--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -71,7 +71,7 @@
     assert!(read("windows = 100").unwrap_err().contains("windows"));
     let plan = "budget \"t\" { away = 2 }\ncampaign \"b\" { build = \"std\" }\ncampaign \"a\" { spot = true }";
     let plan = read(plan).unwrap();
-    assert_eq!((plan.budget["t"].away, plan.campaign.len(), plan.campaign["b"].wave), (2, 2, 8));
+    assert_eq!((plan.budget["t"].max_away, plan.campaign.len(), plan.campaign["b"].max_wave_size), (2, 2, 8));
     let refused = |t: &str| read(t).unwrap().validate(Path::new("o.hcl")).unwrap_err().to_string();
     assert!(refused("budget \"t\" { share = 1.5 }").contains("o.hcl: budget.t.share"));
     assert!(refused("campaign \"a\" { first = 9 }").contains("o.hcl: campaign.a"));
--- a/src/config/validation.rs
+++ b/src/config/validation.rs
@@ -79,12 +79,12 @@
         require_positive(file, &positive)?;
         for (team, budget) in &self.budget {
             let field = format!("budget.{team}.share");
-            require(file, &field, (0.0..=1.0).contains(&budget.share), "is a share, from 0 to 1")?;
+            require(file, &field, (0.0..=1.0).contains(&budget.max_away_share), "is a share, from 0 to 1")?;
         }
         for (name, campaign) in &self.campaign {
             require(file, "campaign", !name.is_empty(), "needs a name")?;
             let field = format!("campaign.{name}");
-            let valid = campaign.first > 0 && campaign.wave >= campaign.first;
+            let valid = campaign.first_wave_size > 0 && campaign.max_wave_size >= campaign.first_wave_size;
             require(file, &field, valid, "first must be above 0 and wave not below it")?;
         }
         let spare_valid = self.spare_share.is_finite() && self.spare_share >= 0.0;
--- a/src/controller/agents/commands.rs
+++ b/src/controller/agents/commands.rs
@@ -2,7 +2,7 @@
 
 use crate::config::Settings;
 use crate::controller::scheduler::is_partly_placed;
-use crate::controller::{Controller, Purpose};
+use crate::controller::{CallPurpose, Controller};
 use crate::coordination::machine::Machine;
 use crate::effects::{CallId, NoAnswer, Reply, Target};
 use crate::protocol::encode;
@@ -85,7 +85,7 @@
 
     /// Pushes commands to the agent without waiting for its next heartbeat, where that is safe.
     pub(in crate::controller) fn push_commands(&mut self, name: &str) {
-        if !self.entitled() || !self.fresh() {
+        if !self.may_act() || !self.is_replica_fresh() {
             return;
         }
         if self.state.machines.get(name).is_none_or(|machine| self.state.revision < machine.rec.granted) {
@@ -108,7 +108,7 @@
             agent_epoch: machine.newest_report.0,
             commands: commands.into(),
         };
-        let purpose = Purpose::Push { machine: name.to_string(), grant: machine.epoch };
+        let purpose = CallPurpose::Commands { machine: name.to_string(), grant: machine.epoch };
         let timeout = self.heartbeat_intervals(1.0);
         let id =
             self.call(Target::Worker(addr), "POST", COMMANDS_PATH.into(), Some(encode(&request)), timeout, purpose);
--- a/src/controller/agents/heartbeats.rs
+++ b/src/controller/agents/heartbeats.rs
@@ -120,11 +120,11 @@
         if let Some(peer) = self.better_connected_peer() {
             return Route::Redirect(Some(peer));
         }
-        if !self.entitled() {
+        if !self.may_act() {
             return Route::Refuse(STORE_UNREACHABLE);
         }
         let Some(machine) = self.state.machines.get(&heartbeat.machine) else {
-            self.enrol(heartbeat);
+            self.register_machine(heartbeat);
             return Route::Pending;
         };
         if !self.owns(machine) {
--- a/src/controller/agents/mod.rs
+++ b/src/controller/agents/mod.rs
@@ -202,11 +202,11 @@
     pub(super) fn check_agents(&mut self) {
         self.adopt_granted_machines();
         self.retry_pending_heartbeats();
-        if !self.fresh() {
+        if !self.is_replica_fresh() {
             return;
         }
         self.drain_machines_on_notice();
-        self.move_ticketed();
+        self.stop_permitted_replicas();
         self.release_due_machines();
         self.clear_empty_machines();
     }
--- a/src/controller/agents/preemption.rs
+++ b/src/controller/agents/preemption.rs
@@ -111,7 +111,7 @@
         match (job.spec.kind, save_s) {
             (JobKind::Service, _) => {
                 let capacities = capacities.get_or_insert_with(|| self.own_capacities());
-                let fits_elsewhere = self.takes_elsewhere(capacities, &placement.machine, job, true);
+                let fits_elsewhere = self.reserve_elsewhere(capacities, &placement.machine, job, true);
                 if fits_elsewhere { vec![Preemption::of_placement(uid, placement, 0.0)] } else { Vec::new() }
             }
             (JobKind::Array, Some(save_s)) => vec![Preemption::of_placement(uid, placement, save_s)],
--- a/src/controller/agents/release.rs
+++ b/src/controller/agents/release.rs
@@ -1,8 +1,8 @@
 //! Release of machines to the cloud, and removal of what was placed on them.
 
 use super::Agents;
-use crate::controller::transactions::Why;
-use crate::controller::{Controller, DRIFT, Purpose};
+use crate::controller::transactions::TxnPurpose;
+use crate::controller::{CallPurpose, Controller, MAX_CLOCK_RATE_RATIO};
 use crate::coordination::machine::Machine;
 use crate::effects::{NoAnswer, Reply, Target};
 use crate::protocol::cloud::{RELEASE, ReleaseRequest};
@@ -40,7 +40,7 @@
         self.releases.begin(&machines);
         let body = encode(&ReleaseRequest { machines: machines.as_slice().into() });
         let timeout = self.heartbeat_intervals(RELEASE_TIMEOUT_INTERVALS);
-        self.call(Target::Cloud, "POST", RELEASE.into(), Some(body), timeout, Purpose::Release { machines });
+        self.call(Target::Cloud, "POST", RELEASE.into(), Some(body), timeout, CallPurpose::Release { machines });
     }
 
     /// Processes the cloud's answer to a release, or the lack of one.
@@ -80,7 +80,7 @@
     /// When the lease of a machine has certainly expired.
     pub(super) fn lease_expiry(&self) -> LeaseExpiry {
         let workers = &self.config.settings.workers;
-        let with_margin = |seconds: f64| self.secs(seconds * DRIFT + workers.heartbeat_interval_s / 2.0);
+        let with_margin = |seconds: f64| self.secs(seconds * MAX_CLOCK_RATE_RATIO + workers.heartbeat_interval_s / 2.0);
         LeaseExpiry { lease: with_margin(workers.lease_s), cancel: with_margin(workers.cancel_s) }
     }
 
@@ -133,6 +133,6 @@
         };
         let unchanged = Condition { key, version: record.version };
         let conditions = vec![unchanged, self.shard_condition_of(&record.rec.owner)];
-        self.txn_keyed(Txn { conditions, ops: vec![op] }, Why::Forget);
+        self.transact_locking_machines(Txn { conditions, ops: vec![op] }, TxnPurpose::Forget);
     }
 }
--- a/src/controller/agents/suspicion.rs
+++ b/src/controller/agents/suspicion.rs
@@ -3,11 +3,11 @@
 
 use super::{CONTROLLER_SWITCH_S, CUT_OFF_LEASES, MAX_HEARTBEAT_GAP_INTERVALS};
 use crate::connectivity::partition_diagnosis::{LivenessCount, SilenceCause, diagnose_silence};
-use crate::controller::{Controller, DRIFT};
+use crate::controller::{Controller, MAX_CLOCK_RATE_RATIO};
 use crate::coordination::machine::Machine;
 use crate::effects::Instant;
 use crate::protocol::cloud::RELEASE_LIMIT;
-use crate::retry::Purpose as Retry;
+use crate::retry::Purpose as RetryPurpose;
 use crate::scaling::declared_lost_after_s;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -108,7 +108,7 @@
         let due: Vec<(String, ReleaseReason)> = machines
             .filter_map(|(name, machine)| Some((name.clone(), self.release_reason(name, machine, &limits, &liveness)?)))
             .collect();
-        if self.may_call_cloud(Retry::Release) {
+        if self.may_call_cloud(RetryPurpose::Release) {
             self.release_within_limits(due);
         }
     }
@@ -123,9 +123,9 @@
         SilenceLimits {
             after_heartbeat,
             without_heartbeat: (after_heartbeat + self.secs(CONTROLLER_SWITCH_S)).max(self.full_retry_round()),
-            lease: self.secs(workers.lease_s * DRIFT + workers.heartbeat_interval_s),
+            lease: self.secs(workers.lease_s * MAX_CLOCK_RATE_RATIO + workers.heartbeat_interval_s),
             cut_off: self.secs(workers.lease_s * CUT_OFF_LEASES),
-            cancel: self.secs(workers.cancel_s * DRIFT + workers.heartbeat_interval_s),
+            cancel: self.secs(workers.cancel_s * MAX_CLOCK_RATE_RATIO + workers.heartbeat_interval_s),
         }
     }
 
--- a/src/controller/api.rs
+++ b/src/controller/api.rs
@@ -1,7 +1,7 @@
 //! The HTTP interface: submissions, status queries and cancellations of users, health checks
 //! of the load balancer, and the dispatch of workers' heartbeats.
 
-use super::transactions::Ended;
+use super::transactions::TxnOutcome;
 use super::*;
 use crate::connectivity::peer_table::Peer;
 use crate::coordination::health::{HealthInputs, is_healthy};
@@ -96,7 +96,7 @@
             staleness: self.store.session.staleness(self.now),
             has_others: !self.config.others.is_empty(),
             other_staleness: recent.map(|peer| peer.replica_age.saturating_add(since(peer))).collect(),
-            may_act: self.entitled(),
+            may_act: self.may_act(),
             store_unavailable: self.retry.is_open(RemoteService::Store),
             freshness_limit,
         })
@@ -122,19 +122,20 @@
             return self.queue_request(conn, &spec.uid, RequestKind::Submit);
         }
         // Without the store nothing can be accepted, so the request is refused at once.
-        if !self.fresh() {
+        if !self.is_replica_fresh() {
             return self.refuse(conn, 503, "the state service does not answer");
         }
         if self.can_never_run(&spec) {
             return self.queue_request(conn, &spec.uid, RequestKind::SubmitImpossible);
         }
-        if !self.may_write_as(WritePriority::Responses) {
+        if !self.may_write_with_priority(WritePriority::Responses) {
             return self.refuse_write(conn, "too many submissions");
         }
         let uid = spec.uid.clone();
         let waiting: Vec<u32> = (0..spec.task_count).collect();
-        let counted = self.counted(&spec);
-        let (capacities, queues) = (self.capacities_counting(true, counted), self.queues(counted, spec.priority));
+        let counted = self.counted_tasks(&spec);
+        let (capacities, queues) =
+            (self.capacities_counting(true, counted), self.queued_cores_by_controller(counted, spec.priority));
         let task_ranges = self.task_ranges_for(&spec, &waiting, &capacities, &queues, &BTreeMap::new());
         let record = records::JobRecord {
             task_count: spec.task_count,
@@ -149,7 +150,7 @@
         };
         let deadline = self.now + self.request_timeout();
         self.api.requests.add(conn, &uid, RequestKind::Submit, Stage::Writing, deadline);
-        self.transact_within(txn, Why::Accept(uid), self.request_timeout());
+        self.transact_within(txn, TxnPurpose::Accept(uid), self.request_timeout());
     }
 
     /// Whether the job can never run: its team is unknown, the tasks that must run at once
@@ -223,12 +224,12 @@
 
     /// Answers the requests that asked this about the job, now that the write for them has
     /// ended.
-    pub(super) fn request_written(&mut self, uid: &str, kind: RequestKind, ended: &Ended) {
+    pub(super) fn request_written(&mut self, uid: &str, kind: RequestKind, ended: &TxnOutcome) {
         let write_outcome = match ended {
-            Ended::Done(_) => WriteOutcome::Done,
-            Ended::Void { .. } => WriteOutcome::Void,
-            Ended::Refused(429) => WriteOutcome::Limited,
-            Ended::Refused(_) | Ended::Unknown => WriteOutcome::Failed,
+            TxnOutcome::Done(_) => WriteOutcome::Done,
+            TxnOutcome::Void { .. } => WriteOutcome::Void,
+            TxnOutcome::Refused(429) => WriteOutcome::Limited,
+            TxnOutcome::Refused(_) | TxnOutcome::Unknown => WriteOutcome::Failed,
         };
         let replica = &self.state;
         let answered =
@@ -305,7 +306,7 @@
         if self.transactions.is_locked(&key) {
             return; // the next tick tries again
         }
-        if !self.may_write_as(WritePriority::Critical) {
+        if !self.may_write_with_priority(WritePriority::Critical) {
             let (kind, outcome) = (RequestKind::Cancel, WriteOutcome::Limited);
             let replica = &self.state;
             let answered = self.api.requests.apply_write_outcome(uid, kind, outcome, |uid| known_status(replica, uid));
@@ -317,7 +318,7 @@
             conditions: vec![Condition { key: key.clone(), version: job.rec.version }],
             ops: vec![Op::Put { key, data: records::to_value(&record), lease: None }],
         };
-        self.transact_within(txn, Why::Cancel(uid.to_string()), self.request_timeout());
+        self.transact_within(txn, TxnPurpose::Cancel(uid.to_string()), self.request_timeout());
     }
 }
 
--- a/src/controller/autoscaler/mod.rs
+++ b/src/controller/autoscaler/mod.rs
@@ -8,7 +8,7 @@
 mod scale_in;
 mod scale_out;
 
-use super::registration::GROUP_FROM;
+use super::registration::GROUP_RECORD_MIN_FRACTION;
 use super::*;
 use crate::scaling::Offer;
 use demand::FleetDemand;
@@ -23,7 +23,7 @@
 #[derive(Debug, Default)]
 pub(super) struct Autoscaler {
     /// Rented machines that are not known to be up yet, by name.
-    rented: BTreeMap<String, Rented>,
+    rented: BTreeMap<String, RentedMachine>,
     /// Machines rented while the cluster was starting for the first time, either by this
     /// controller or, as the leader reports, by the leader.
     newly_provisioned: BTreeSet<String>,
@@ -63,12 +63,12 @@
     }
 
     /// Whether a large rental is still to be recorded.
-    pub(super) fn has_unrecorded(&self) -> bool {
+    pub(super) fn has_unrecorded_rentals(&self) -> bool {
         !self.unrecorded.is_empty()
     }
 
     /// Takes the next large rental to record from the queue.
-    pub(super) fn pop_unrecorded(&mut self) -> Option<(Offer, Vec<String>)> {
+    pub(super) fn pop_unrecorded_rental(&mut self) -> Option<(Offer, Vec<String>)> {
         self.unrecorded.pop_front()
     }
 
--- a/src/controller/autoscaler/scale_in.rs
+++ b/src/controller/autoscaler/scale_in.rs
@@ -105,8 +105,8 @@
             }
         }
         names.truncate(RELEASE_LIMIT);
-        if !names.is_empty() && self.may_call_cloud(Retry::Release) {
-            tracing::info!(machines = names.len(), reason = "never came up", "machine release requested");
+        if !names.is_empty() && self.may_call_cloud(RetryPurpose::Release) {
+            tracing::info!(machines = names.len(), reason = "boot_timeout", "machine release requested");
             self.release_machines(names);
         }
     }
@@ -167,8 +167,8 @@
     /// machine and the fetch of an image.
     fn idle_window(&self, factor: f64) -> Duration {
         let pull_gb_per_s = self.cloud.fastest_pull_gb_per_s();
-        let image_s = self.state.jobs.values().map(|job| job.spec.image_gb / pull_gb_per_s);
-        let mean_image_s = image_s.sum::<f64>() / (self.state.jobs.len() as f64).max(1.0);
+        let seconds_until_image = self.state.jobs.values().map(|job| job.spec.image_gb / pull_gb_per_s);
+        let mean_image_s = seconds_until_image.sum::<f64>() / (self.state.jobs.len() as f64).max(1.0);
         let replacement_s = self.cloud.longest_startup_s() + mean_image_s;
         self.secs(replacement_s * self.config.operator.idle_boots * factor)
     }
@@ -209,7 +209,8 @@
         least_free: &LeastFreeCores,
         saves_cost: bool,
     ) -> IdleMachines {
-        let spare_writes = self.transactions.unspent_writes(self.now) - self.transactions.write_rate() * SPARE_WRITES;
+        let spare_writes =
+            self.transactions.unspent_writes(self.now) - self.transactions.write_rate() * SPARE_WRITES_FRACTION;
         let max_groups = if self.may_write(0.0) { spare_writes.max(0.0) as usize } else { 0 };
         // Unless cost is saved, machines are drained one at a time: the capacity of several
         // might be needed again before replacements are up.
@@ -240,7 +241,7 @@
         let demand = self.demand(capacities);
         let leaving: BTreeSet<&str> = chosen.machines.iter().map(|machine| machine.name.as_str()).collect();
         let stays = |capacity: &MachineCapacity| !leaving.contains(capacity.machine.as_str());
-        let lasting = self.capacities_counting(true, Counted::Lasting).into_iter().map(|(_, c)| c);
+        let lasting = self.capacities_counting(true, CountedTasks::ExceptArrays).into_iter().map(|(_, c)| c);
         let mut for_services: Vec<MachineCapacity> = lasting.filter(stays).collect();
         let mut for_others: Vec<MachineCapacity> = capacities.iter().filter(|c| stays(c)).cloned().collect();
         all_fit(&demand.services, &mut for_services) && all_fit(&demand.others, &mut for_others)
@@ -253,7 +254,7 @@
         tracing::debug!(machines = ?names, drain, "drain marks changed");
         let mut txn = Txn { conditions: vec![self.leader_condition()], ops: vec![op] };
         txn.conditions.extend(conditions);
-        self.txn_keyed(txn, Why::Mark);
+        self.transact_locking_machines(txn, TxnPurpose::Mark);
         true
     }
 
--- a/src/controller/autoscaler/scale_out.rs
+++ b/src/controller/autoscaler/scale_out.rs
@@ -18,7 +18,7 @@
 
 impl Controller {
     /// Free capacity of all machines that are up, booting or just rented, spot machines first.
-    pub(in crate::controller) fn expected_capacities(&self, counted: Counted) -> Vec<MachineCapacity> {
+    pub(in crate::controller) fn expected_capacities(&self, counted: CountedTasks) -> Vec<MachineCapacity> {
         let mut capacities: Vec<MachineCapacity> =
             self.capacities_counting(true, counted).into_iter().map(|(_, capacity)| capacity).collect();
         let expected = |name: &str| !self.is_up(name) && !self.releases.is_released(name) && !self.fell_silent(name);
@@ -32,7 +32,7 @@
         }
         for (name, rented) in &self.autoscaler.rented {
             let boot_limit = self.secs(self.boot_limit_s(&rented.offer.machine_type).min(MAX_BOOT_LIMIT_S));
-            let newly_rented = self.now.saturating_sub(rented.at) < boot_limit;
+            let newly_rented = self.now.saturating_sub(rented.rented_at) < boot_limit;
             if newly_rented
                 && expected(name)
                 && !self.cloud.machines().contains_key(name)
@@ -49,7 +49,7 @@
 
     /// Rents machines for the demand that does not fit in the expected capacity.
     pub(super) fn rent_machines(&mut self) {
-        if self.autoscaler.requests_in_flight > 0 || !self.may_call_cloud(Retry::Rent) {
+        if self.autoscaler.requests_in_flight > 0 || !self.may_call_cloud(RetryPurpose::Rent) {
             return;
         }
         for mut rental in self.wanted_rentals().into_iter().flat_map(split_into_requests) {
@@ -57,7 +57,7 @@
             if rental.number == 0 {
                 continue;
             }
-            if !self.may_call_cloud(Retry::Rent) {
+            if !self.may_call_cloud(RetryPurpose::Rent) {
                 return;
             }
             self.request_rental(rental);
@@ -67,10 +67,10 @@
     /// Rentals for all demand, up to what the cloud's rate limit allows now.
     fn wanted_rentals(&self) -> Vec<Rental> {
         let unavailable: BTreeSet<Offer> = self.autoscaler.unavailable.keys().cloned().collect();
-        let mut for_others = self.expected_capacities(Counted::All);
+        let mut for_others = self.expected_capacities(CountedTasks::All);
         let FleetDemand { services, others } = self.demand(&for_others);
         let max_machines = RENT_LIMIT * (self.cloud.available_requests(self.now) as u32).max(1);
-        let for_services = self.expected_capacities(Counted::Lasting);
+        let for_services = self.expected_capacities(CountedTasks::ExceptArrays);
         let types = self.cloud.catalog();
         let mut rentals = plan_rentals(&services, for_services, types, &unavailable, max_machines);
         // The free capacity for other jobs is known only once the fleet is.
@@ -110,7 +110,7 @@
             number: rental.number,
         });
         let timeout = self.heartbeat_intervals(RENT_TIMEOUT_INTERVALS);
-        let purpose = Purpose::Rent { offer: rental.offer, number: rental.number };
+        let purpose = CallPurpose::Rent { offer: rental.offer, number: rental.number };
         self.call(Target::Cloud, "POST", RENT.into(), Some(body), timeout, purpose);
     }
 
@@ -162,17 +162,17 @@
     /// Adds machines that the cloud has rented out to this controller.
     fn add_rented(&mut self, offer: Offer, names: Vec<String>) {
         tracing::info!(machine_type = %offer.machine_type, zone = %offer.zone, spot = offer.spot, machines = names.len(), "machines rented");
-        if names.len() as f64 >= self.transactions.write_rate() * GROUP_FROM {
+        if names.len() as f64 >= self.transactions.write_rate() * GROUP_RECORD_MIN_FRACTION {
             self.autoscaler.unrecorded.push_back((offer.clone(), names.clone()));
-            self.enrol_rentals();
+            self.register_rented_machines();
         }
-        if self.beginning() {
+        if self.is_cluster_bootstrapping() {
             // The other controllers have to know of these machines before one of them is up.
             self.update_newly_provisioned(&names);
             self.connectivity.hasten_heartbeat(self.now);
         }
         for name in names {
-            self.autoscaler.rented.insert(name, Rented { offer: offer.clone(), at: self.now });
+            self.autoscaler.rented.insert(name, RentedMachine { offer: offer.clone(), rented_at: self.now });
         }
     }
 
@@ -182,7 +182,7 @@
     pub(in crate::controller) fn forget_finished_rentals(&mut self) {
         let mut rented = std::mem::take(&mut self.autoscaler.rented);
         rented.retain(|name, rental| {
-            let age_s = self.now.saturating_sub(rental.at).as_secs_f64();
+            let age_s = self.now.saturating_sub(rental.rented_at).as_secs_f64();
             !self.is_up(name) && age_s < self.boot_limit_s(&rental.offer.machine_type)
         });
         self.autoscaler.rented = rented;
--- a/src/controller/capacity.rs
+++ b/src/controller/capacity.rs
@@ -13,11 +13,11 @@
 
 /// Which of the tasks placed on a machine count as using its capacity.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Counted {
+pub(super) enum CountedTasks {
     /// All tasks.
     All,
     /// All tasks but those of arrays, which are preempted for services with a start objective.
-    Lasting,
+    ExceptArrays,
 }
 
 /// Share of an image that counts as still to be fetched even if the fetch should be complete
@@ -28,9 +28,9 @@
 
 /// Which tasks count when capacity for the job is sought. A service with a start objective
 /// is placed where its image is, even if arrays have to be preempted there.
-pub(super) fn counted_for(spec: &JobSpec, objectives: &Objectives) -> Counted {
+pub(super) fn counted_tasks_for(spec: &JobSpec, objectives: &Objectives) -> CountedTasks {
     let starts_soon = spec.kind == JobKind::Service && objectives.start_within(spec).is_some();
-    if starts_soon { Counted::Lasting } else { Counted::All }
+    if starts_soon { CountedTasks::ExceptArrays } else { CountedTasks::All }
 }
 
 impl Controller {
@@ -42,11 +42,15 @@
     /// Free capacity, with its owner, of this controller's machines or of the machines of all
     /// controllers.
     pub(super) fn capacities(&self, all_owners: bool) -> Vec<(String, MachineCapacity)> {
-        self.capacities_counting(all_owners, Counted::All)
+        self.capacities_counting(all_owners, CountedTasks::All)
     }
 
     /// Free capacity as from [`Self::capacities`], where only the `counted` tasks use capacity.
-    pub(super) fn capacities_counting(&self, all_owners: bool, counted: Counted) -> Vec<(String, MachineCapacity)> {
+    pub(super) fn capacities_counting(
+        &self,
+        all_owners: bool,
+        counted: CountedTasks,
+    ) -> Vec<(String, MachineCapacity)> {
         let with_owner = |(name, machine): (&String, &Versioned<MachineRecord>)| {
             let capacity = self.capacity_of(name, machine, all_owners, counted)?;
             Some((machine.rec.owner.clone(), capacity))
@@ -55,8 +59,8 @@
     }
 
     /// Which tasks count when capacity for the job is sought.
-    pub(super) fn counted(&self, spec: &JobSpec) -> Counted {
-        counted_for(spec, &self.service_levels.objectives)
+    pub(super) fn counted_tasks(&self, spec: &JobSpec) -> CountedTasks {
+        counted_tasks_for(spec, &self.service_levels.objectives)
     }
 
     /// The machine's free capacity; none if it may not take tasks.
@@ -65,7 +69,7 @@
         name: &str,
         machine: &Versioned<MachineRecord>,
         all_owners: bool,
-        counted: Counted,
+        counted: CountedTasks,
     ) -> Option<MachineCapacity> {
         let record = &machine.rec;
         let is_own = self.owns(machine);
@@ -124,15 +128,15 @@
     }
 
     /// Subtracts what the `counted` tasks placed on the machine use.
-    fn subtract_placed_tasks(&self, capacity: &mut MachineCapacity, counted: Counted) {
+    fn subtract_placed_tasks(&self, capacity: &mut MachineCapacity, counted: CountedTasks) {
         let Some(load) = self.state.loads.get(&capacity.machine) else { return };
         let mut used = load.all;
-        if counted == Counted::Lasting {
+        if counted == CountedTasks::ExceptArrays {
             used.cores -= load.arrays.cores;
             used.gpus -= load.arrays.gpus;
             used.mem_gb -= load.arrays.mem_gb;
         }
-        capacity.arrays = load.arrays;
+        capacity.used_by_arrays = load.arrays;
         capacity.cores -= used.cores;
         capacity.gpus -= used.gpus;
         capacity.mem_gb -= used.mem_gb;
@@ -152,13 +156,13 @@
 
     /// Adds back the capacity of tasks that have ended on the machine, so that it counts as
     /// free at once and not only when the exit is stored.
-    fn add_ended_tasks(&self, capacity: &mut MachineCapacity, agent: &Machine, counted: Counted) {
+    fn add_ended_tasks(&self, capacity: &mut MachineCapacity, agent: &Machine, counted: CountedTasks) {
         let Some(placed) = self.state.placed.get(&capacity.machine) else { return };
         for (uid, index, attempt) in agent.ended_attempts() {
             let Some(job) = self.state.jobs.get(uid) else { continue };
             let is_placed = placed.get(&(uid.clone(), *index)) == Some(attempt);
-            if is_placed && (counted == Counted::All || job.spec.kind != JobKind::Array) {
-                capacity.put_back(&job.spec);
+            if is_placed && (counted == CountedTasks::All || job.spec.kind != JobKind::Array) {
+                capacity.release(&job.spec);
             }
         }
     }
--- a/src/controller/cloud.rs
+++ b/src/controller/cloud.rs
@@ -197,14 +197,14 @@
         &self.machines
     }
 
-    /// Whether a complete list was read since [`Self::require_new_list`] was last called.
+    /// Whether a complete list was read since [`Self::invalidate_list`] was last called.
     pub(super) fn has_list(&self) -> bool {
         self.list_complete_at.is_some()
     }
 
     /// Requires the list to be read again before any decision is based on it. A new leader
     /// calls this, so that it decides by a list of its own term.
-    pub(super) fn require_new_list(&mut self) {
+    pub(super) fn invalidate_list(&mut self) {
         self.list_complete_at = None;
         self.list_read.interrupted_at = None;
     }
@@ -286,20 +286,20 @@
 
 impl Controller {
     /// Whether the retry policy and the rate limit allow a request to the cloud now.
-    pub(super) fn may_call_cloud(&self, purpose: Retry) -> bool {
+    pub(super) fn may_call_cloud(&self, purpose: RetryPurpose) -> bool {
         self.retry.allows(purpose, self.now) && self.cloud.allows_request(self.now)
     }
 
     /// Reads the catalog when it is due.
     pub(super) fn read_catalog(&mut self) {
         let due = self.cloud.catalog_due(self.now) && !self.cloud.catalog_read_in_flight;
-        if !due || !self.may_call_cloud(Retry::Catalog) {
+        if !due || !self.may_call_cloud(RetryPurpose::Catalog) {
             return;
         }
         let interval = self.secs(self.config.settings.workers.lease_s);
         self.cloud.begin_catalog_read(self.now, interval);
         let timeout = self.heartbeat_intervals(READ_TIMEOUT_INTERVALS);
-        self.call(Target::Cloud, "GET", CATALOG.into(), None, timeout, Purpose::Catalog);
+        self.call(Target::Cloud, "GET", CATALOG.into(), None, timeout, CallPurpose::Catalog);
     }
 
     /// Keeps the catalog in the store, so that a controller that starts while the cloud does
@@ -313,7 +313,7 @@
             || types.len() > max_types
             || unchanged
             || self.transactions.is_locked(records::CATALOG_KEY)
-            || !self.may_write(1.0 + self.transactions.write_rate() * ACCEPT_RESERVE)
+            || !self.may_write(1.0 + self.transactions.write_rate() * SUBMISSION_RESERVE_FRACTION)
         {
             return;
         }
@@ -324,12 +324,12 @@
             conditions: vec![self.leader_condition(), Condition { key: key.clone(), version }],
             ops: vec![Op::Put { key, data: records::to_value(&record), lease: None }],
         };
-        self.txn_keyed(txn, Why::Catalog);
+        self.transact_locking_machines(txn, TxnPurpose::Catalog);
     }
 
     /// Reads the list of machines when it is due.
     pub(super) fn read_machine_list(&mut self) {
-        if self.cloud.list_due(self.now) && self.may_call_cloud(Retry::List) {
+        if self.cloud.list_due(self.now) && self.may_call_cloud(RetryPurpose::List) {
             let after = self.cloud.begin_list_read(self.now);
             self.request_list_page(&after);
         }
@@ -338,15 +338,15 @@
     /// Requests the page of the list that begins after this machine.
     fn request_list_page(&mut self, after: &str) {
         let timeout = self.heartbeat_intervals(READ_TIMEOUT_INTERVALS);
-        self.call(Target::Cloud, "GET", list_path(after), None, timeout, Purpose::List);
+        self.call(Target::Cloud, "GET", list_path(after), None, timeout, CallPurpose::List);
     }
 
     /// Handles an answer of the cloud: its catalog, a page of its list, or a rental.
-    pub(super) fn cloud_answer(&mut self, purpose: Purpose, result: Result<Reply, NoAnswer>) {
+    pub(super) fn handle_cloud_result(&mut self, purpose: CallPurpose, result: Result<Reply, NoAnswer>) {
         match purpose {
-            Purpose::Catalog => self.handle_catalog_answer(result),
-            Purpose::List => self.handle_list_answer(result),
-            Purpose::Rent { offer, number } => self.handle_rent_answer(offer, number, result),
+            CallPurpose::Catalog => self.handle_catalog_answer(result),
+            CallPurpose::List => self.handle_list_answer(result),
+            CallPurpose::Rent { offer, number } => self.handle_rent_answer(offer, number, result),
             _ => {}
         }
     }
--- a/src/controller/connectivity/heartbeats.rs
+++ b/src/controller/connectivity/heartbeats.rs
@@ -50,7 +50,7 @@
     /// What a heartbeat reports of the state that this controller observes.
     fn describe_view(&self) -> PeerHeartbeat {
         let is_following = self.store.session.is_following();
-        let is_leader = self.am_leader();
+        let is_leader = self.is_leader();
         let millis = |duration: Duration| duration.as_millis() as u64;
         let recent_machines =
             self.agents.alive_machines().map(|(machine, at, (agent_epoch, heartbeat_seq))| RecentMachine {
@@ -67,7 +67,7 @@
             acknowledgements: Vec::new(),
             unresponsive: Vec::new(),
             probe_answers: probe_answers.collect(),
-            members: if is_following && self.fresh() { self.live_members() } else { Vec::new() },
+            members: if is_following && self.is_replica_fresh() { self.live_members() } else { Vec::new() },
             revision: is_following.then_some(self.state.revision),
             known_revision: self.state.known_revision(),
             revocations: self.revocations(),
--- a/src/controller/connectivity/mod.rs
+++ b/src/controller/connectivity/mod.rs
@@ -155,12 +155,12 @@
     /// The controller to which agents are redirected while this one may not act or should not: one
     /// that removed us from the live controllers, or one that reaches the store if we do not.
     pub(super) fn better_connected_peer(&self) -> Option<String> {
-        if self.fresh() {
+        if self.is_replica_fresh() {
             return None;
         }
         let peers = self.connectivity.peers();
         let with_store_access =
-            || peers.find_with_store_access(self.now, self.heartbeat_intervals(1.0)).filter(|_| !self.entitled());
+            || peers.find_with_store_access(self.now, self.heartbeat_intervals(1.0)).filter(|_| !self.may_act());
         peers.find_that_removed_us(self.now).or_else(with_store_access).map(Into::into)
     }
 
--- a/src/controller/connectivity/partitions.rs
+++ b/src/controller/connectivity/partitions.rs
@@ -72,7 +72,7 @@
     pub(in crate::controller) fn diagnose_partitions(&mut self) {
         let now = self.now;
         self.connectivity.update_ownership(&self.state, now);
-        self.sharding.avoid.retain(|_, until| *until > now);
+        self.sharding.avoid_until.retain(|_, until| *until > now);
         if !self.connectivity.begin_diagnosis(now, self.full_retry_round()) {
             return;
         }
@@ -113,7 +113,7 @@
     /// Machines that sent heartbeats to another controller than their owner, and when last. The
     /// leader takes all that it knows of, any other controller its own machines.
     fn last_heard_by_others(&self) -> BTreeMap<&str, Instant> {
-        let is_leader = self.am_leader();
+        let is_leader = self.is_leader();
         let mut elsewhere: BTreeMap<&str, Instant> = BTreeMap::new();
         let mut record = |machine: &str, member: &str, at: Instant| {
             let Some((name, machine)) = self.state.machines.get_key_value(machine) else { return };
@@ -166,7 +166,7 @@
         let unanswered =
             silent.iter().map(|(name, _)| name.as_str()).filter(|name| self.agents.probe_answered_at(name).is_none());
         names.extend(unanswered);
-        let moved: BTreeSet<&str> = self.sharding.avoid.keys().map(|(machine, _)| machine.as_str()).collect();
+        let moved: BTreeSet<&str> = self.sharding.avoid_until.keys().map(|(machine, _)| machine.as_str()).collect();
         let with_reached_member = |name: &str| {
             let owner = self.owner_of(name)?;
             let may_move = !moved.contains(name) || self.misses_new_owner(name, owner);
@@ -223,6 +223,6 @@
     /// Whether a machine reaches a controller, as far as is known here.
     pub(in crate::controller) fn reaches(&self, machine: &str, member: &str) -> bool {
         let key = (machine.to_string(), member.to_string());
-        self.sharding.avoid.get(&key).is_none_or(|until| *until <= self.now)
+        self.sharding.avoid_until.get(&key).is_none_or(|until| *until <= self.now)
     }
 }
--- a/src/controller/connectivity/probes.rs
+++ b/src/controller/connectivity/probes.rs
@@ -3,7 +3,7 @@
 use super::heartbeats::HASTENED_HEARTBEAT_INTERVALS;
 use crate::connectivity::heartbeat_tracking::HeartbeatCounters;
 use crate::controller::agents::MAX_HEARTBEAT_GAP_INTERVALS;
-use crate::controller::{Controller, Purpose};
+use crate::controller::{CallPurpose, Controller};
 use crate::coordination::machine::Machine;
 use crate::effects::{NoAnswer, Reply, Target};
 use crate::protocol::worker::Heartbeat;
@@ -37,7 +37,7 @@
     pub(in crate::controller) fn probe(&mut self, silent: &[(String, String)]) {
         for (machine, addr) in silent.iter().take(MAX_PROBES) {
             let Ok(addr) = addr.parse() else { continue };
-            let purpose = Purpose::Probe { machine: machine.clone(), known: self.agents.newest_counters(machine) };
+            let purpose = CallPurpose::Probe { machine: machine.clone(), known: self.agents.newest_counters(machine) };
             let timeout = self.heartbeat_intervals(1.0);
             self.call(Target::Worker(addr), "GET", STATUS_PATH.into(), None, timeout, purpose);
         }
--- a/src/controller/journal/compaction.rs
+++ b/src/controller/journal/compaction.rs
@@ -3,8 +3,8 @@
 #![warn(missing_docs)]
 
 use super::LogSlot;
-use crate::controller::transactions::{Transactions, Why};
-use crate::controller::{Controller, SPARE_WRITES};
+use crate::controller::transactions::{Transactions, TxnPurpose};
+use crate::controller::{Controller, SPARE_WRITES_FRACTION};
 use crate::coordination::log_writer::count_that_fit;
 use crate::protocol::encode;
 use crate::protocol::store::{Condition, Op, Txn};
@@ -77,7 +77,7 @@
 
     /// Frees slots ahead of need while the write rate has capacity to spare.
     pub(in crate::controller) fn compact_ahead(&mut self) {
-        let spare = self.transactions.unspent_writes(self.now) - self.transactions.write_rate() * SPARE_WRITES;
+        let spare = self.transactions.unspent_writes(self.now) - self.transactions.write_rate() * SPARE_WRITES_FRACTION;
         if self.journal.compacting || spare < 1.0 || !self.may_write(1.0) {
             return;
         }
@@ -129,6 +129,6 @@
             txn.ops.push(checkpoint.op);
         }
         let keys = txn.conditions.iter().map(|condition| condition.key.clone()).collect();
-        self.send_txn(txn, Why::Fold, keys);
+        self.transact_locking(txn, TxnPurpose::Fold, keys);
     }
 }
--- a/src/controller/journal/mod.rs
+++ b/src/controller/journal/mod.rs
@@ -13,7 +13,7 @@
 
 use super::Controller;
 use super::quota::Reservation;
-use super::transactions::{Ended, Why};
+use super::transactions::{TxnOutcome, TxnPurpose};
 use crate::config::Settings;
 use crate::coordination::log_writer::{LogWriter, SegmentLimits, byte_limits, may_exceed_segment};
 use crate::effects::Instant;
@@ -107,7 +107,7 @@
     }
 
     /// Records that this controller has to end the records of these jobs.
-    pub(super) fn end_jobs(&mut self, uids: impl IntoIterator<Item = String>) {
+    pub(super) fn mark_jobs_to_end(&mut self, uids: impl IntoIterator<Item = String>) {
         self.jobs_to_end.extend(uids);
     }
 
@@ -221,20 +221,20 @@
         }
         self.journal.segment_sent(self.now, self.heartbeat_intervals(SEGMENT_INTERVAL_HEARTBEATS));
         let timeout = self.heartbeat_intervals(SEGMENT_TIMEOUT_HEARTBEATS);
-        self.send_txn_within(txn, Why::Segment { facts: draft.facts, reservations }, keys, timeout);
+        self.transact_locking_within(txn, TxnPurpose::Segment { facts: draft.facts, reservations }, keys, timeout);
     }
 
     /// Handles the answer to a segment, or that there was none.
-    pub(super) fn segment_answer(
+    pub(super) fn handle_segment_result(
         &mut self,
         txn: &Txn,
         facts: BTreeMap<String, Facts>,
         reservations: Vec<Reservation>,
-        ended: &Ended,
+        ended: &TxnOutcome,
     ) {
         self.scheduler.request_round();
-        let carried_out = matches!(ended, Ended::Done(_));
-        if matches!(ended, Ended::Unknown) {
+        let carried_out = matches!(ended, TxnOutcome::Done(_));
+        if matches!(ended, TxnOutcome::Unknown) {
             self.journal.in_doubt.extend(reservations);
         } else {
             for reservation in reservations {
@@ -269,8 +269,8 @@
 
     /// Marks the records whose conditions failed as outdated until the replica shows their new
     /// versions. Returns whether a log slot is among them.
-    pub(super) fn mark_outdated_records(&mut self, txn: &Txn, ended: &Ended) -> bool {
-        let Ended::Void { failed, revision } = ended else { return false };
+    pub(super) fn mark_outdated_records(&mut self, txn: &Txn, ended: &TxnOutcome) -> bool {
+        let TxnOutcome::Void { failed, revision } = ended else { return false };
         // Without a list of the failed conditions any of them may have failed.
         let all = txn.conditions.iter().map(|condition| &condition.key).filter(|_| failed.is_empty());
         let mut slot_lost = false;
--- a/src/controller/journal/tests.rs
+++ b/src/controller/journal/tests.rs
@@ -40,7 +40,7 @@
 #[test]
 fn jobs_to_end_are_taken_once() {
     let mut journal = Journal::default();
-    journal.end_jobs(["run-1".to_string(), "run-2".to_string(), "run-1".to_string()]);
+    journal.mark_jobs_to_end(["run-1".to_string(), "run-2".to_string(), "run-1".to_string()]);
     assert_eq!(journal.take_jobs_to_end().len(), 2);
     assert!(journal.take_jobs_to_end().is_empty());
 }
--- a/src/controller/leadership.rs
+++ b/src/controller/leadership.rs
@@ -121,16 +121,16 @@
         if !self.leadership.check_due(self.now, self.state.members_changed, interval) {
             return;
         }
-        if !self.am_leader() {
+        if !self.is_leader() {
             self.stand_for_election();
             return;
         }
         self.begin_term();
-        if !self.fresh() {
+        if !self.is_replica_fresh() {
             return;
         }
         self.grant_shards();
-        self.enrol_rentals();
+        self.register_rented_machines();
         if self.sharding.reassignment_due(self.now, self.heartbeat_intervals(REASSIGN_INTERVALS)) {
             self.reassign_tasks();
             self.advance_maintenance();
@@ -143,7 +143,7 @@
     fn begin_term(&mut self) {
         let term = self.term();
         if self.leadership.begin_term(term) {
-            self.cloud.require_new_list();
+            self.cloud.invalidate_list();
             tracing::info!(term, member = %self.process.member, "leader elected");
         }
     }
@@ -155,17 +155,17 @@
         let Some(lease) = self.store.session.lease else { return };
         if !self.state.is_live(&self.process.member, self.process.incarnation)
             || self.transactions.is_locked(records::TERM_KEY)
-            || !self.retry.allows(Retry::Write, self.now)
+            || !self.retry.allows(RetryPurpose::Write, self.now)
         {
             return;
         }
         if let Some(txn) = election_txn(&self.state, &self.process, lease) {
-            self.txn(txn, Why::Election);
+            self.transact(txn, TxnPurpose::Election);
         }
     }
 
     /// Whether the replica shows this process as the leader.
-    pub(super) fn am_leader(&self) -> bool {
+    pub(super) fn is_leader(&self) -> bool {
         self.state.leader.as_ref().is_some_and(|leader| self.process.is(&leader.rec.member, leader.rec.incarnation))
     }
 
--- a/src/controller/maintenance.rs
+++ b/src/controller/maintenance.rs
@@ -1,11 +1,13 @@
-//! Maintenance campaigns: the leader writes waves and tickets, and the owners of the machines
-//! stop a replica that has a ticket once it can start elsewhere at once.
+//! Maintenance campaigns: the leader writes waves and permits, and the owners of the machines
+//! stop a replica that has a permit once it can start elsewhere at once.
 
 #![warn(missing_docs)]
 
 use super::*;
 use crate::maintenance::budget::TeamReplicas;
-use crate::maintenance::campaign::{Campaign, Candidate, MaintenanceRecord, Step, Ticket, WaitReason, next};
+use crate::maintenance::campaign::{
+    Campaign, Candidate, DisruptionPermit, MaintenanceRecord, Step, WaitReason, next_step,
+};
 use crate::placement::{MachineCapacity, zone_capacity};
 use crate::protocol::store::{Condition, Op};
 use crate::protocol::user::JobKind;
@@ -14,32 +16,32 @@
 /// State of the campaign that this process keeps beside the stored record.
 #[derive(Debug, Default)]
 pub(super) struct Maintenance {
-    /// Tickets whose replica has been placed elsewhere and may not run yet, and since when.
-    starting: BTreeMap<Ticket, Instant>,
-    /// Tickets for this controller's machines, and since when they are known.
-    known_since: BTreeMap<Ticket, Instant>,
+    /// Permits whose replica has been placed elsewhere and may not run yet, and since when.
+    starting: BTreeMap<DisruptionPermit, Instant>,
+    /// Permits for this controller's machines, and since when they are known.
+    known_since: BTreeMap<DisruptionPermit, Instant>,
     /// Why the campaign did not advance when this was last logged.
     logged_wait: Option<WaitReason>,
 }
 
 /// A replica that was placed on a machine with its image counts as running after this many
 /// heartbeat intervals, since its start command is sent with the answer to the next heartbeat
-/// at the latest. A ticketed replica waits as long for capacity on a machine with its image.
+/// at the latest. A replica with a permit waits as long for capacity on a machine with its image.
 const START_INTERVALS: f64 = 2.0;
-/// The largest number of tickets in one step. It limits by how much a step makes the record
-/// grow, which holds the names of machines and the tickets.
-const MAX_TICKETS_PER_STEP: usize = 16;
+/// The largest number of permits in one step. It limits by how much a step makes the record
+/// grow, which holds the names of machines and the permits.
+const MAX_PERMITS_PER_STEP: usize = 16;
 
 impl Controller {
     /// The current campaign, or else the first one that is not finished, by name. A campaign
     /// that is added to the file with an earlier name waits for the current one.
     fn campaign(&self, rec: &MaintenanceRecord) -> Option<(&String, &Campaign)> {
         let campaigns = &self.config.operator.campaign;
-        let unfinished = || campaigns.iter().find(|(name, _)| !rec.finished.contains(name));
+        let unfinished = || campaigns.iter().find(|(name, _)| !rec.finished_campaigns.contains(name));
         campaigns.get_key_value(&rec.name).or_else(unfinished)
     }
 
-    /// Advances maintenance, on the leader: begins campaigns and waves, and issues tickets as
+    /// Advances maintenance, on the leader: begins campaigns and waves, and issues permits as
     /// budgets allow.
     pub(super) fn advance_maintenance(&mut self) {
         let stored = self.state.maintenance.as_ref().map(|versioned| versioned.rec.clone()).unwrap_or_default();
@@ -48,7 +50,7 @@
         if idle && campaign.is_none()
             || !self.startup.fleet_known()
             || self.transactions.is_locked(records::MAINTENANCE_KEY)
-            || !self.may_write(1.0 + self.transactions.write_rate() * ACCEPT_RESERVE)
+            || !self.may_write(1.0 + self.transactions.write_rate() * SUBMISSION_RESERVE_FRACTION)
         {
             return;
         }
@@ -56,75 +58,80 @@
         let Some((name, campaign)) = campaign.filter(|(name, _)| idle || *name == stored.name) else {
             // The campaign was cancelled: the machines of its wave take tasks again.
             let undrained = std::mem::take(&mut rec.wave);
-            rec.tickets.clear();
+            rec.permits.clear();
             tracing::info!(campaign = %stored.name, machines = undrained.len(), "campaign cancelled");
             self.write_maintenance(rec, &undrained, false);
             return;
         };
         if stored.name != name {
-            let upto = self.state.machines.keys().next_back().cloned().unwrap_or_default();
-            let finished = std::mem::take(&mut rec.finished);
-            rec = MaintenanceRecord { name: name.clone(), upto, finished, ..MaintenanceRecord::default() };
+            let last_machine = self.state.machines.keys().next_back().cloned().unwrap_or_default();
+            let finished = std::mem::take(&mut rec.finished_campaigns);
+            rec = MaintenanceRecord {
+                name: name.clone(),
+                last_machine,
+                finished_campaigns: finished,
+                ..MaintenanceRecord::default()
+            };
         }
         rec.wave.retain(|name| self.state.machines.contains_key(name));
-        rec.gone += (stored.wave.len() - rec.wave.len().min(stored.wave.len())) as u32;
-        rec.waves += u32::from(rec.wave.is_empty() && !stored.wave.is_empty());
-        self.return_tickets(&mut rec);
-        let remaining = self.candidates(&campaign, &rec.upto);
+        rec.machines_gone += (stored.wave.len() - rec.wave.len().min(stored.wave.len())) as u32;
+        rec.finished_waves += u32::from(rec.wave.is_empty() && !stored.wave.is_empty());
+        self.return_permits(&mut rec);
+        let remaining = self.candidates(&campaign, &rec.last_machine);
         let teams = self.replicas_by_team(&rec);
         let budget = |team: &str| self.config.operator.budget.get(team).copied().unwrap_or_default();
-        let Step { wave, tickets, finished, wait } =
-            next(&rec, &campaign, &remaining, &teams, budget, MAX_TICKETS_PER_STEP);
+        let Step { wave, permits, finished, wait } =
+            next_step(&rec, &campaign, &remaining, &teams, budget, MAX_PERMITS_PER_STEP);
         if self.maintenance.logged_wait != wait {
-            tracing::info!(campaign = %name, waves = rec.waves, gone = rec.gone, left = remaining.len(), ?wait, "campaign");
+            tracing::info!(campaign = %name, waves = rec.finished_waves, gone = rec.machines_gone, left = remaining.len(), ?wait, "campaign progress");
             self.maintenance.logged_wait = wait;
         }
         if finished {
-            tracing::info!(campaign = %name, waves = rec.waves, gone = rec.gone, "campaign finished");
-            rec.finished.push(std::mem::take(&mut rec.name));
+            tracing::info!(campaign = %name, waves = rec.finished_waves, gone = rec.machines_gone, "campaign finished");
+            rec.finished_campaigns.push(std::mem::take(&mut rec.name));
         }
-        for ticket in &tickets {
-            tracing::debug!(job = %ticket.job, index = ticket.index, machine = %ticket.machine, "ticket");
+        for permit in &permits {
+            tracing::debug!(job = %permit.job, index = permit.index, machine = %permit.machine, "disruption permit issued");
         }
-        rec.tickets.extend(tickets);
+        rec.permits.extend(permits);
         rec.wave.extend(wave.iter().cloned());
         self.write_maintenance(rec, &wave, true);
     }
 
-    /// Whether the ticket's replica is still placed on its machine.
-    fn is_still_placed(&self, ticket: &Ticket) -> bool {
-        let placed = self.state.placed.get(&ticket.machine);
-        placed.and_then(|tasks| tasks.get(&(ticket.job.clone(), ticket.index))) == Some(&ticket.attempt)
+    /// Whether the permit's replica is still placed on its machine.
+    fn is_still_placed(&self, permit: &DisruptionPermit) -> bool {
+        let placed = self.state.placed.get(&permit.machine);
+        placed.and_then(|tasks| tasks.get(&(permit.job.clone(), permit.index))) == Some(&permit.attempt)
     }
 
-    /// Returns tickets to the budget: those whose replica is proved gone from its machine, and
+    /// Returns permits to the budget: those whose replica is proved gone from its machine, and
     /// either runs again or is no longer wanted.
-    fn return_tickets(&mut self, rec: &mut MaintenanceRecord) {
+    fn return_permits(&mut self, rec: &mut MaintenanceRecord) {
         let start_time = self.heartbeat_intervals(START_INTERVALS);
         let pull_gb_per_s = self.cloud.slowest_pull_gb_per_s();
         let now = self.now;
         let mut starting = std::mem::take(&mut self.maintenance.starting);
-        starting.retain(|ticket, _| rec.tickets.contains(ticket));
-        rec.tickets.retain(|ticket| {
-            if self.is_still_placed(ticket) {
+        starting.retain(|permit, _| rec.permits.contains(permit));
+        rec.permits.retain(|permit| {
+            if self.is_still_placed(permit) {
                 return true;
             }
-            let Some(job) = self.state.jobs.get(&ticket.job).filter(|job| !job.cancelled()) else { return false };
+            let Some(job) = self.state.jobs.get(&permit.job).filter(|job| !job.cancelled()) else { return false };
             if job.placed < job.spec.task_count {
-                starting.remove(ticket);
+                starting.remove(permit);
                 return true;
             }
             // Its image may have to be fetched first, at worst at the lowest rate.
             let fetch_time = self.secs(job.spec.image_gb / pull_gb_per_s);
-            now.saturating_sub(*starting.entry(ticket.clone()).or_insert(now)) < start_time + fetch_time
+            now.saturating_sub(*starting.entry(permit.clone()).or_insert(now)) < start_time + fetch_time
         });
         self.maintenance.starting = starting;
     }
 
-    /// The existing machines that the campaign selects, up to the machine `upto`.
-    fn candidates(&self, campaign: &Campaign, upto: &str) -> Vec<Candidate> {
+    /// The existing machines that the campaign selects, up to the machine `last_machine`.
+    fn candidates(&self, campaign: &Campaign, last_machine: &str) -> Vec<Candidate> {
         let selected = |name: &str, machine: &records::MachineRecord| {
-            name <= upto && campaign.selects(name, &machine.machine_type, &machine.zone, machine.spot)
+            name <= last_machine && campaign.selects(name, &machine.machine_type, &machine.zone, machine.spot)
         };
         let machines = self.state.machines.iter().filter(|(name, machine)| selected(name, &machine.rec));
         machines.map(|(name, _)| self.candidate(name)).collect()
@@ -139,8 +146,8 @@
             match job.spec.kind {
                 JobKind::Service => {
                     let machine = name.to_string();
-                    let ticket = Ticket { job: uid.clone(), index: *index, attempt: *attempt, machine };
-                    candidate.standing.push((ticket, job.spec.team.clone()));
+                    let permit = DisruptionPermit { job: uid.clone(), index: *index, attempt: *attempt, machine };
+                    candidate.replicas.push((permit, job.spec.team.clone()));
                 }
                 JobKind::Array => candidate.array_cores += job.spec.cores,
                 JobKind::Gang => candidate.has_gang = true,
@@ -158,7 +165,7 @@
     }
 
     /// How many service replicas each team wants, and how many of these are away: waiting, on
-    /// a machine that no controller hears, or under a ticket.
+    /// a machine that no controller hears, or with a permit.
     fn replicas_by_team(&self, rec: &MaintenanceRecord) -> BTreeMap<String, TeamReplicas> {
         let mut teams: BTreeMap<String, TeamReplicas> = BTreeMap::new();
         for job in self.state.jobs.values().filter(|job| job.spec.kind == JobKind::Service && !job.cancelled()) {
@@ -168,14 +175,14 @@
         }
         let silent = self.state.placed.iter().filter(|(name, _)| !self.recently_heard(name));
         let on_silent = silent.flat_map(|(_, tasks)| tasks.keys()).map(|(uid, _)| uid);
-        // Ticketed replicas on silent machines are counted in `on_silent` already. Replicas in
+        // Replicas with a permit on silent machines are counted in `on_silent` already. Replicas in
         // `starting` are placed again, but not known to run.
-        let is_away = |ticket: &&Ticket| {
-            self.maintenance.starting.contains_key(*ticket)
-                || self.is_still_placed(ticket) && self.recently_heard(&ticket.machine)
+        let is_away = |permit: &&DisruptionPermit| {
+            self.maintenance.starting.contains_key(*permit)
+                || self.is_still_placed(permit) && self.recently_heard(&permit.machine)
         };
-        let ticketed = rec.tickets.iter().filter(is_away).map(|ticket| &ticket.job);
-        let away = on_silent.chain(ticketed).filter_map(|uid| self.state.jobs.get(uid));
+        let with_permit = rec.permits.iter().filter(is_away).map(|permit| &permit.job);
+        let away = on_silent.chain(with_permit).filter_map(|uid| self.state.jobs.get(uid));
         for job in away.filter(|job| job.spec.kind == JobKind::Service) {
             teams.entry(job.spec.team.clone()).or_default().away += 1;
         }
@@ -217,13 +224,13 @@
         }
         txn.conditions.push(Condition { key: key.clone(), version });
         txn.ops.push(Op::Put { key, data: records::to_value(&rec), lease: None });
-        self.txn_keyed(txn, Why::Maintenance);
+        self.transact_locking_machines(txn, TxnPurpose::Maintenance);
     }
 
-    /// Stops replicas that have a ticket, on the owner of their machine, once they can start
+    /// Stops replicas that have a permit, on the owner of their machine, once they can start
     /// elsewhere at once.
-    pub(super) fn move_ticketed(&mut self) {
-        let Some(maintenance) = self.state.maintenance.as_ref().filter(|stored| !stored.rec.tickets.is_empty()) else {
+    pub(super) fn stop_permitted_replicas(&mut self) {
+        let Some(maintenance) = self.state.maintenance.as_ref().filter(|stored| !stored.rec.permits.is_empty()) else {
             return;
         };
         let image_wait = self.heartbeat_intervals(START_INTERVALS);
@@ -231,29 +238,29 @@
         let mut all_capacities: Option<Vec<MachineCapacity>> = None;
         let mut stops: Vec<(String, (String, u32, u64))> = Vec::new();
         let mut known_since = std::mem::take(&mut self.maintenance.known_since);
-        known_since.retain(|ticket, _| maintenance.rec.tickets.contains(ticket));
-        for ticket in &maintenance.rec.tickets {
-            let Some(agent) = self.agents.machine(&ticket.machine) else { continue };
-            let key = (ticket.job.clone(), ticket.index, ticket.attempt);
-            let Some(job) = self.state.jobs.get(&ticket.job).filter(|job| !job.cancelled()) else { continue };
-            if !self.is_still_placed(ticket) || agent.preempted.contains_key(&key) || agent.has_ended(&key) {
+        known_since.retain(|permit, _| maintenance.rec.permits.contains(permit));
+        for permit in &maintenance.rec.permits {
+            let Some(agent) = self.agents.machine(&permit.machine) else { continue };
+            let key = (permit.job.clone(), permit.index, permit.attempt);
+            let Some(job) = self.state.jobs.get(&permit.job).filter(|job| !job.cancelled()) else { continue };
+            if !self.is_still_placed(permit) || agent.preempted.contains_key(&key) || agent.has_ended(&key) {
                 continue;
             }
             let capacities =
                 |all_owners| self.capacities(all_owners).into_iter().map(|(_, c)| c).collect::<Vec<MachineCapacity>>();
             let own = own_capacities.get_or_insert_with(|| capacities(false));
-            let fits_on_own = self.takes_elsewhere(own, &ticket.machine, job, true);
+            let fits_on_own = self.reserve_elsewhere(own, &permit.machine, job, true);
             // If there is no capacity where the image is for some time, any capacity will do. The
             // replica then stays away, and counts against the budget, during the fetch as well.
-            let waited = self.now.saturating_sub(*known_since.entry(ticket.clone()).or_insert(self.now)) >= image_wait;
+            let waited = self.now.saturating_sub(*known_since.entry(permit.clone()).or_insert(self.now)) >= image_wait;
             let can_move = fits_on_own
                 || waited && {
                     let all = all_capacities.get_or_insert_with(|| capacities(true));
-                    self.takes_elsewhere(all, &ticket.machine, job, true)
-                        || self.takes_elsewhere(all, &ticket.machine, job, false)
+                    self.reserve_elsewhere(all, &permit.machine, job, true)
+                        || self.reserve_elsewhere(all, &permit.machine, job, false)
                 };
             if can_move {
-                stops.push((ticket.machine.clone(), key));
+                stops.push((permit.machine.clone(), key));
             }
         }
         self.maintenance.known_since = known_since;
@@ -267,7 +274,7 @@
     /// Whether a replica on `machine` could start in one of these capacities, which is then
     /// reduced by what the replica needs. With `needs_image`, only machines that hold its image
     /// count, where it can start at once.
-    pub(super) fn takes_elsewhere(
+    pub(super) fn reserve_elsewhere(
         &self,
         capacities: &mut [MachineCapacity],
         machine: &str,
@@ -281,7 +288,9 @@
         }
         let can_start = |capacity: &&mut MachineCapacity| {
             let zone_allows = zone_capacity(&job.spec, job.spec.task_count, &tasks_by_zone, &capacity.zone) > 0;
-            zone_allows && capacity.fits(&job.spec) > 0 && (!needs_image || capacity.image_s(&job.spec) <= 0.0)
+            zone_allows
+                && capacity.fitting_tasks(&job.spec) > 0
+                && (!needs_image || capacity.seconds_until_image(&job.spec) <= 0.0)
         };
         match capacities.iter_mut().find(can_start) {
             Some(capacity) => {
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -39,21 +39,21 @@
 use crate::protocol::worker::Heartbeat;
 use crate::reconciliation::phase::Startup;
 use crate::requests::{Event as RequestEvent, Requests};
-use crate::retry::{Outcome, Purpose as Retry, RemoteService, RetryAfter, RetryPolicy};
+use crate::retry::{Outcome, Purpose as RetryPurpose, RemoteService, RetryAfter, RetryPolicy};
 use crate::state::ClusterState;
 use crate::state::objectives::Objectives;
 use crate::state::records::{self, Versioned};
 use agents::Agents;
 use api::Api;
 use autoscaler::Autoscaler;
-use capacity::Counted;
+use capacity::CountedTasks;
 use cloud::CloudAccess;
 use connectivity::Connectivity;
 use hdrhistogram::Histogram;
 use journal::Journal;
 use leadership::Leadership;
 use maintenance::Maintenance;
-use outbox::{Outbox, Purpose, retry_outcome};
+use outbox::{CallPurpose, Outbox, retry_outcome};
 use process::Process;
 use quota::QuotaReservations;
 use releases::Releases;
@@ -63,7 +63,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::time::Duration;
 use store_sync::StoreAccess;
-use transactions::{Transactions, Why};
+use transactions::{Transactions, TxnPurpose};
 
 /// Transactions that take longer than this count as taking this long in the summary.
 const MAX_TXN_DURATION_MS: u64 = 60_000;
@@ -80,41 +80,41 @@
 /// no better use for them.
 const SCAN_BURST_S: f64 = 0.5;
 /// The part of one second's writes that is kept free for submissions.
-const ACCEPT_RESERVE: f64 = 0.25;
+const SUBMISSION_RESERVE_FRACTION: f64 = 0.25;
 /// Writes that lose nothing by waiting are made only while this part of one second's writes
 /// is unspent: the longer they wait, the more changes go into each transaction.
-const SPARE_WRITES: f64 = 0.5;
+const SPARE_WRITES_FRACTION: f64 = 0.5;
 
 /// The largest ratio between the rates of the monotonic clocks of two machines. Each clock
 /// may run 0.05% fast, which is doubled to allow for rounding.
-const DRIFT: f64 = 1.001;
+const MAX_CLOCK_RATE_RATIO: f64 = 1.001;
 
 /// The shortest pause after a failed call, by the purpose of the call. Pauses are fractions
 /// of the intervals in the settings, of the lease's `ttl` and of the `read_interval` between reads.
-fn base_pauses(config: &Settings, ttl: Duration, read_interval: Duration) -> Vec<(Retry, Duration)> {
+fn base_pauses(config: &Settings, ttl: Duration, read_interval: Duration) -> Vec<(RetryPurpose, Duration)> {
     let heartbeat_interval = Duration::from_secs_f64(config.settings.workers.heartbeat_interval_s);
     let list_lag = Duration::from_secs_f64(config.settings.cloud.list_lag_s);
     vec![
-        (Retry::Lease, read_interval * 2),
-        (Retry::Renew, ttl / 16),
-        (Retry::Scan, read_interval),
-        (Retry::Watch, read_interval * 2),
-        (Retry::Barrier, read_interval * 2),
-        (Retry::Write, heartbeat_interval / 10),
-        (Retry::Catalog, heartbeat_interval / 4),
-        (Retry::List, list_lag / 8),
-        (Retry::Rent, heartbeat_interval / 4),
-        (Retry::Release, heartbeat_interval / 4),
+        (RetryPurpose::Lease, read_interval * 2),
+        (RetryPurpose::Renew, ttl / 16),
+        (RetryPurpose::Scan, read_interval),
+        (RetryPurpose::Watch, read_interval * 2),
+        (RetryPurpose::Barrier, read_interval * 2),
+        (RetryPurpose::Write, heartbeat_interval / 10),
+        (RetryPurpose::Catalog, heartbeat_interval / 4),
+        (RetryPurpose::List, list_lag / 8),
+        (RetryPurpose::Rent, heartbeat_interval / 4),
+        (RetryPurpose::Release, heartbeat_interval / 4),
     ]
 }
 
 /// A machine that was provisioned and is not known to be up.
 #[derive(Debug)]
-struct Rented {
+struct RentedMachine {
     /// The offer of the cloud that the machine belongs to.
     offer: crate::scaling::Offer,
     /// When the machine was provisioned.
-    at: Instant,
+    rented_at: Instant,
 }
 
 /// One controller of the cluster: a component for each of its duties, and the state that
@@ -195,7 +195,7 @@
         self.now = now;
         match event {
             Event::Request { conn, method, path, body } => self.handle_request(conn, &method, &path, &body),
-            Event::Answer { id, result } => {
+            Event::CallEnded { id, result } => {
                 if let Some(purpose) = self.outbox.end_call(id) {
                     self.handle_result(id, purpose, result);
                 }
@@ -216,7 +216,7 @@
                 self.probe(&heartbeat.unresponsive);
             }
             Event::Peer { frame: Frame::Hello { .. }, .. } => {}
-            Event::Operator(operator) => {
+            Event::OperatorSettings(operator) => {
                 tracing::info!(
                     budgets = operator.budget.len(),
                     campaigns = operator.campaign.len(),
@@ -253,7 +253,7 @@
             self.check_jobs();
             self.record_overdue();
         }
-        self.close_tick();
+        self.end_complete_jobs();
         self.update_leadership();
         if self.service_levels.summary_due(self.now, self.heartbeat_intervals(4.0)) {
             self.log_summary();
@@ -271,7 +271,7 @@
         let others = (self.config.controllers() as f64 - 1.0).max(1.0);
         let live = (self.state.members.len() as f64).max(1.0);
         let (write_shares, cloud_fraction) =
-            if self.am_leader() { (2.0, LEADER_CLOUD_FRACTION) } else { (1.0, (1.0 - LEADER_CLOUD_FRACTION) / others) };
+            if self.is_leader() { (2.0, LEADER_CLOUD_FRACTION) } else { (1.0, (1.0 - LEADER_CLOUD_FRACTION) / others) };
         let equal_shares = self
             .transactions
             .since_store_recovered(self.now)
@@ -300,10 +300,10 @@
     /// Whether this controller may act for the whole cluster: its replica is recent enough
     /// that a cancellation it has not seen yet still meets its deadline. A worker that is
     /// answered now stops its tasks at most `lease_s` later.
-    fn entitled(&self) -> bool {
+    fn may_act(&self) -> bool {
         let workers = &self.config.settings.workers;
         let margin_s = workers.heartbeat_interval_s;
-        let max_age = self.secs((workers.cancel_s - workers.lease_s - margin_s) / DRIFT);
+        let max_age = self.secs((workers.cancel_s - workers.lease_s - margin_s) / MAX_CLOCK_RATE_RATIO);
         let is_recent = |at: Instant| self.now.saturating_sub(at) < max_age;
         // A replica that was read again may lack changes that its predecessor answered with.
         let complete = self.store.session.is_following() && self.state.has_applied_all_known();
@@ -312,7 +312,7 @@
     }
 
     /// Whether the replica is known to be less than one heartbeat interval old.
-    fn fresh(&self) -> bool {
+    fn is_replica_fresh(&self) -> bool {
         self.store.session.staleness(self.now).is_some_and(|staleness| staleness < self.heartbeat_intervals(1.0))
     }
 
@@ -334,13 +334,13 @@
         path: String,
         body: Option<Vec<u8>>,
         timeout: Duration,
-        purpose: Purpose,
+        purpose: CallPurpose,
     ) -> CallId {
         self.outbox.call(target, method, path, body, timeout, purpose)
     }
 
     /// Handles the result of a call, after the retry policy has taken note of it.
-    fn handle_result(&mut self, id: CallId, purpose: Purpose, result: Result<Reply, NoAnswer>) {
+    fn handle_result(&mut self, id: CallId, purpose: CallPurpose, result: Result<Reply, NoAnswer>) {
         if let Some(retry) = purpose.retry_purpose() {
             let was_unavailable = self.retry.is_open(RemoteService::Store);
             self.retry.record_outcome(retry, retry_outcome(retry, &result), self.now);
@@ -349,16 +349,16 @@
             }
         }
         match purpose {
-            Purpose::Lease | Purpose::Renew | Purpose::Scan | Purpose::Watch | Purpose::Barrier => {
+            CallPurpose::Lease | CallPurpose::Renew | CallPurpose::Scan | CallPurpose::Watch | CallPurpose::Barrier => {
                 self.handle_store_result(&purpose, result);
             }
-            Purpose::Catalog | Purpose::List | Purpose::Rent { .. } => {
-                self.cloud_answer(purpose, result);
+            CallPurpose::Catalog | CallPurpose::List | CallPurpose::Rent { .. } => {
+                self.handle_cloud_result(purpose, result);
             }
-            Purpose::Release { machines } => self.handle_release_answer(machines, result),
-            Purpose::Push { machine, grant } => self.handle_push_answer(id, &machine, grant, result),
-            Purpose::Probe { machine, known } => self.handle_probe_answer(machine, known, result),
-            Purpose::Txn(pending) => self.handle_txn_result(id, pending, &result),
+            CallPurpose::Release { machines } => self.handle_release_answer(machines, result),
+            CallPurpose::Commands { machine, grant } => self.handle_push_answer(id, &machine, grant, result),
+            CallPurpose::Probe { machine, known } => self.handle_probe_answer(machine, known, result),
+            CallPurpose::Txn(pending) => self.handle_txn_result(id, pending, &result),
         }
     }
 
@@ -373,8 +373,8 @@
             self.service_levels.record_first_machine(self.now, wall_ms, startup_s);
         }
         for uid in std::mem::take(&mut self.state.complete) {
-            if self.ends(&uid) {
-                self.journal.end_jobs([uid]);
+            if self.has_to_end(&uid) {
+                self.journal.mark_jobs_to_end([uid]);
             }
         }
         for (spec, submitted_ms) in std::mem::take(&mut self.state.finished) {
--- a/src/controller/outbox.rs
+++ b/src/controller/outbox.rs
@@ -4,7 +4,7 @@
 use crate::controller::transactions::PendingTransaction;
 use crate::effects::{Action, CallId, NoAnswer, Reply, Target};
 use crate::protocol::user::ErrorBody;
-use crate::retry::{Outcome, Purpose as Retry};
+use crate::retry::{Outcome, Purpose as RetryPurpose};
 use std::collections::HashMap;
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 
 /// The purpose of a call, which decides how its result is handled.
 #[derive(Debug)]
-pub(super) enum Purpose {
+pub(super) enum CallPurpose {
     /// Requests a lease from the store.
     Lease,
     /// Renews the lease.
@@ -41,7 +41,7 @@
         machines: Vec<String>,
     },
     /// Sends commands to a worker.
-    Push {
+    Commands {
         /// The machine of the worker.
         machine: String,
         /// The epoch of the grant that permits the commands.
@@ -59,33 +59,35 @@
     Txn(PendingTransaction),
 }
 
-impl Purpose {
+impl CallPurpose {
     /// The purpose under which the retry policy counts the call. `None` for calls to workers:
     /// if they fail, they are discarded rather than repeated.
-    pub(super) fn retry_purpose(&self) -> Option<Retry> {
+    pub(super) fn retry_purpose(&self) -> Option<RetryPurpose> {
         Some(match self {
-            Purpose::Lease => Retry::Lease,
-            Purpose::Renew => Retry::Renew,
-            Purpose::Scan => Retry::Scan,
-            Purpose::Watch => Retry::Watch,
-            Purpose::Barrier => Retry::Barrier,
-            Purpose::Catalog => Retry::Catalog,
-            Purpose::List => Retry::List,
-            Purpose::Rent { .. } => Retry::Rent,
-            Purpose::Release { .. } => Retry::Release,
-            Purpose::Txn(_) => Retry::Write,
-            Purpose::Push { .. } | Purpose::Probe { .. } => return None,
+            CallPurpose::Lease => RetryPurpose::Lease,
+            CallPurpose::Renew => RetryPurpose::Renew,
+            CallPurpose::Scan => RetryPurpose::Scan,
+            CallPurpose::Watch => RetryPurpose::Watch,
+            CallPurpose::Barrier => RetryPurpose::Barrier,
+            CallPurpose::Catalog => RetryPurpose::Catalog,
+            CallPurpose::List => RetryPurpose::List,
+            CallPurpose::Rent { .. } => RetryPurpose::Rent,
+            CallPurpose::Release { .. } => RetryPurpose::Release,
+            CallPurpose::Txn(_) => RetryPurpose::Write,
+            CallPurpose::Commands { .. } | CallPurpose::Probe { .. } => return None,
         })
     }
 }
 
 /// How a call ended, as the retry policy counts it.
-pub(super) fn retry_outcome(purpose: Retry, result: &Result<Reply, NoAnswer>) -> Outcome {
+pub(super) fn retry_outcome(purpose: RetryPurpose, result: &Result<Reply, NoAnswer>) -> Outcome {
     match result {
         Err(NoAnswer) => Outcome::Failed,
         Ok(reply) if reply.status == 429 => Outcome::Limited,
         // A cloud that has no more machines of one offer is available.
-        Ok(reply) if reply.status == 503 && purpose == Retry::Rent && has_no_capacity(reply) => Outcome::Answered,
+        Ok(reply) if reply.status == 503 && purpose == RetryPurpose::Rent && has_no_capacity(reply) => {
+            Outcome::Answered
+        }
         Ok(reply) if reply.status == 503 => Outcome::Failed,
         Ok(_) => Outcome::Answered,
     }
@@ -104,7 +106,7 @@
     /// The id of the next call; ids are never reused.
     next_call: CallId,
     /// The purposes of the calls in flight.
-    calls: HashMap<CallId, Purpose>,
+    calls: HashMap<CallId, CallPurpose>,
 }
 
 impl Outbox {
@@ -126,7 +128,7 @@
         path: String,
         body: Option<Vec<u8>>,
         timeout: Duration,
-        purpose: Purpose,
+        purpose: CallPurpose,
     ) -> CallId {
         let id = self.next_call;
         self.next_call += 1;
@@ -141,7 +143,7 @@
     }
 
     /// Ends a call and returns its purpose; `None` if the call has ended before.
-    pub(super) fn end_call(&mut self, id: CallId) -> Option<Purpose> {
+    pub(super) fn end_call(&mut self, id: CallId) -> Option<CallPurpose> {
         self.calls.remove(&id)
     }
 
--- a/src/controller/outbox/tests.rs
+++ b/src/controller/outbox/tests.rs
@@ -2,7 +2,7 @@
 
 /// Starts a call with the purpose `Barrier`.
 fn start_call(outbox: &mut Outbox) -> CallId {
-    outbox.call(Target::State, "GET", "/key".into(), None, Duration::from_secs(1), Purpose::Barrier)
+    outbox.call(Target::Store, "GET", "/key".into(), None, Duration::from_secs(1), CallPurpose::Barrier)
 }
 
 fn reply(status: u16) -> Result<Reply, NoAnswer> {
@@ -42,16 +42,16 @@
 
 #[test]
 fn only_missing_answers_and_503_count_as_failures() {
-    assert_eq!(retry_outcome(Retry::Write, &Err(NoAnswer)), Outcome::Failed);
-    assert_eq!(retry_outcome(Retry::Write, &reply(503)), Outcome::Failed);
-    assert_eq!(retry_outcome(Retry::Write, &reply(429)), Outcome::Limited);
-    assert_eq!(retry_outcome(Retry::Write, &reply(409)), Outcome::Answered);
+    assert_eq!(retry_outcome(RetryPurpose::Write, &Err(NoAnswer)), Outcome::Failed);
+    assert_eq!(retry_outcome(RetryPurpose::Write, &reply(503)), Outcome::Failed);
+    assert_eq!(retry_outcome(RetryPurpose::Write, &reply(429)), Outcome::Limited);
+    assert_eq!(retry_outcome(RetryPurpose::Write, &reply(409)), Outcome::Answered);
 }
 
 #[test]
 fn a_cloud_without_capacity_counts_as_available() {
     let body = crate::protocol::encode(&ErrorBody { error: NO_CAPACITY.into() });
     let result = Ok(Reply { status: 503, body });
-    assert_eq!(retry_outcome(Retry::Rent, &result), Outcome::Answered);
-    assert_eq!(retry_outcome(Retry::List, &result), Outcome::Failed);
+    assert_eq!(retry_outcome(RetryPurpose::Rent, &result), Outcome::Answered);
+    assert_eq!(retry_outcome(RetryPurpose::List, &result), Outcome::Failed);
 }
--- a/src/controller/quota.rs
+++ b/src/controller/quota.rs
@@ -4,7 +4,7 @@
 #![warn(missing_docs)]
 
 use super::Controller;
-use super::transactions::Why;
+use super::transactions::TxnPurpose;
 use crate::config::Team;
 use crate::coordination::quota_reservation::{QuotaLimit, QuotaReservation};
 use crate::coordination::rate_limiter::WritePriority;
@@ -148,12 +148,12 @@
     /// Makes the team's record strict: from then on every start of the team changes the record. A
     /// replica that shows this change also shows all starts that did not change the record.
     pub(super) fn make_quota_strict(&mut self, condition: Condition) {
-        if self.transactions.is_locked(&condition.key) || !self.may_write_as(WritePriority::Critical) {
+        if self.transactions.is_locked(&condition.key) || !self.may_write_with_priority(WritePriority::Critical) {
             return;
         }
         let record = records::TeamRecord { strict: true, count: self.outbox.next_call_id() };
         let ops = vec![Op::Put { key: condition.key.clone(), data: records::to_value(&record), lease: None }];
-        self.txn(Txn { conditions: vec![condition], ops }, Why::Limit);
+        self.transact(Txn { conditions: vec![condition], ops }, TxnPurpose::Limit);
     }
 }
 
--- a/src/controller/registration.rs
+++ b/src/controller/registration.rs
@@ -8,7 +8,7 @@
 
 /// The machines of a provisioning request are recorded together if recording them one by one
 /// would take at least this part of one second of the leader's writes.
-pub(super) const GROUP_FROM: f64 = 0.5;
+pub(super) const GROUP_RECORD_MIN_FRACTION: f64 = 0.5;
 
 impl Controller {
     /// Records a machine that sends heartbeats and has no record. The machine joins the shard
@@ -19,7 +19,7 @@
     /// The machine must have answered a probe first. Otherwise a delayed copy of an old
     /// heartbeat would bring back a machine that was released, and tasks placed on it would
     /// never reach a machine.
-    pub(super) fn enrol(&mut self, heartbeat: &Heartbeat) {
+    pub(super) fn register_machine(&mut self, heartbeat: &Heartbeat) {
         if self.agents.probe_answered_at(&heartbeat.machine).is_none() {
             return self.probe_sender(heartbeat);
         }
@@ -27,7 +27,7 @@
         let has_leader =
             self.leader_name().is_some() && self.state.is_live(&self.process.member, self.process.incarnation);
         // Starts on machines that are already recorded go first.
-        let required_writes = 1.0 + self.transactions.write_rate() * ACCEPT_RESERVE;
+        let required_writes = 1.0 + self.transactions.write_rate() * SUBMISSION_RESERVE_FRACTION;
         if !has_leader
             || self.transactions.is_locked(&key)
             || self.releases.is_released(&heartbeat.machine)
@@ -43,7 +43,7 @@
             incarnation: self.process.incarnation,
             term: self.term(),
             epoch: 0,
-            base: self.beginning() && !self.autoscaler.newly_provisioned().contains(&heartbeat.machine),
+            base: self.is_cluster_bootstrapping() && !self.autoscaler.newly_provisioned().contains(&heartbeat.machine),
             machines: vec![heartbeat.machine.clone()],
             drain: Vec::new(),
         };
@@ -55,7 +55,7 @@
             ],
             ops: vec![Op::Put { key, data: records::to_value(&record), lease: None }],
         };
-        self.txn_keyed(txn, Why::RegisterMachines);
+        self.transact_locking_machines(txn, TxnPurpose::RegisterMachines);
     }
 
     /// The condition that the replica shows every group of several machines that has been
@@ -71,17 +71,17 @@
     /// No machine may be in two groups. So this write is conditional on none of the machines
     /// having a record of its own, and the record of a single machine is conditional on no
     /// larger group having been written meanwhile.
-    pub(super) fn enrol_rentals(&mut self) {
+    pub(super) fn register_rented_machines(&mut self) {
         if self.transactions.is_locked(records::MACHINE_GROUPS_KEY)
-            || !self.am_leader()
-            || !self.autoscaler.has_unrecorded()
+            || !self.is_leader()
+            || !self.autoscaler.has_unrecorded_rentals()
         {
             return;
         }
-        if !self.may_write_as(WritePriority::Critical) {
+        if !self.may_write_with_priority(WritePriority::Critical) {
             return;
         }
-        let Some((offer, mut names)) = self.autoscaler.pop_unrecorded() else { return };
+        let Some((offer, mut names)) = self.autoscaler.pop_unrecorded_rental() else { return };
         let limits = &self.config.settings.state;
         let members = self.state.members.len().max(1);
         // The numbers of records and of conditions in one transaction are limited.
@@ -116,14 +116,14 @@
             let key = records::machine_group_key(&machines[0]);
             txn.ops.push(Op::Put { key, data: records::to_value(&record), lease: None });
         }
-        self.txn_keyed(txn, Why::RegisterMachines);
+        self.transact_locking_machines(txn, TxnPurpose::RegisterMachines);
     }
 
     /// Notes machines that were provisioned while the cluster is being set up. They may send
     /// heartbeats before the setup has ended, and do not belong to the machines that were
     /// running before.
     pub(super) fn update_newly_provisioned(&mut self, names: &[String]) {
-        if self.beginning() {
+        if self.is_cluster_bootstrapping() {
             self.autoscaler.add_newly_provisioned(names);
         } else {
             self.autoscaler.clear_newly_provisioned();
@@ -133,7 +133,7 @@
     /// Whether the cluster is being set up: less than 1.5 heartbeat intervals of its first term
     /// have passed. A machine that sends heartbeats then, and was not provisioned by the
     /// controllers, was running before.
-    pub(super) fn beginning(&self) -> bool {
+    pub(super) fn is_cluster_bootstrapping(&self) -> bool {
         let since = self.leadership.since_first_leader(self.now);
         self.term() == 1 && since.is_some_and(|since| since < self.heartbeat_intervals(1.5))
     }
--- a/src/controller/scheduler/mod.rs
+++ b/src/controller/scheduler/mod.rs
@@ -103,7 +103,7 @@
 
     /// Runs a scheduling round: plans starts, and writes them and the pending exits to the log.
     pub(super) fn schedule(&mut self) {
-        if !self.store.session.is_following() || !self.entitled() {
+        if !self.store.session.is_following() || !self.may_act() {
             return;
         }
         self.adopt_granted_machines();
@@ -123,7 +123,7 @@
         if order.jobs.is_empty() {
             return;
         }
-        if !due && !order.urgent || !self.may_write_as(order.priority) {
+        if !due && !order.urgent || !self.may_write_with_priority(order.priority) {
             self.scheduler.request_round(); // more facts accumulate until then
             return;
         }
@@ -157,7 +157,7 @@
 
     /// Plans the starts of this round, and preempts tasks for urgent ones that found no room.
     fn plan_starts(&mut self) -> Vec<Start> {
-        if !self.fresh() {
+        if !self.is_replica_fresh() {
             return Vec::new();
         }
         let wall_ms = self.wall_ms();
--- a/src/controller/scheduler/preemption.rs
+++ b/src/controller/scheduler/preemption.rs
@@ -86,7 +86,7 @@
         let within_s = self.start_limit_s(round, entry, &zones, candidates);
         for _ in 0..entry.tasks {
             let has_room = |(capacity, _): &&mut Candidate| {
-                capacity.fits(spec) > 0
+                capacity.fitting_tasks(spec) > 0
                     && may_run_on(entry.job, &zones, capacity)
                     && capacity.starts_within(spec, within_s)
             };
@@ -106,7 +106,7 @@
                     for_job = %entry.uid,
                     "task preempted"
                 );
-                capacity.put_back(victim.spec);
+                capacity.release(victim.spec);
                 victims.retain(|other| (&other.uid, other.index) != (&victim.uid, victim.index));
                 preemptions.push(Preemption {
                     machine: capacity.machine.clone(),
@@ -186,7 +186,7 @@
         // The room of a task that is being preempted already counts as free. The task is not a
         // candidate again, so that its room counts only once.
         if machine.preempted.contains_key(&key) {
-            capacity.put_back(&job.spec);
+            capacity.release(&job.spec);
         } else if job.spec.kind == JobKind::Array && !job.cancelled() {
             let ran_s =
                 machine.running_since.get(&key).map_or(0.0, |since| round.now.saturating_sub(*since).as_secs_f64());
--- a/src/controller/scheduler/round.rs
+++ b/src/controller/scheduler/round.rs
@@ -5,7 +5,7 @@
 use super::age_s;
 use crate::config::Settings;
 use crate::controller::agents::Agents;
-use crate::controller::capacity::{Counted, counted_for};
+use crate::controller::capacity::{CountedTasks, counted_tasks_for};
 use crate::controller::journal::Journal;
 use crate::controller::transactions::Transactions;
 use crate::effects::Instant;
@@ -64,7 +64,7 @@
     /// Whether the job's tasks must start so soon that arrays are preempted for them. That is so
     /// for services with an objective for their start.
     pub(super) fn must_start_soon(&self, spec: &JobSpec) -> bool {
-        counted_for(spec, self.objectives) == Counted::Lasting
+        counted_tasks_for(spec, self.objectives) == CountedTasks::ExceptArrays
     }
 
     /// The job's task ranges that are assigned to this controller, as first and last index.
--- a/src/controller/scheduler/starts.rs
+++ b/src/controller/scheduler/starts.rs
@@ -6,7 +6,7 @@
 use super::round::SchedulingRound;
 use super::{OPTIMISTIC_RUN_SHARE, Scheduler};
 use crate::controller::quota::{RemainingQuota, has_limit};
-use crate::placement::{MachineCapacity, Rules, Start, Waiting, plan};
+use crate::placement::{MachineCapacity, PlacementSettings, Start, WaitingJob, plan_starts};
 use crate::protocol::user::{JobKind, JobSpec};
 use crate::state::Job;
 use std::collections::{BTreeMap, HashMap};
@@ -27,11 +27,11 @@
             return Vec::new();
         }
         sort_by_preference(&mut capacities);
-        plan(&mut capacities, &mut waiting, &placement_rules(round), &mut self.knapsack.borrow_mut())
+        plan_starts(&mut capacities, &mut waiting, &placement_settings(round), &mut self.knapsack.borrow_mut())
     }
 
     /// The jobs with tasks that may start in this round.
-    fn waiting_jobs<'a>(&self, round: &SchedulingRound<'a>, capacities: &[MachineCapacity]) -> Vec<Waiting<'a>> {
+    fn waiting_jobs<'a>(&self, round: &SchedulingRound<'a>, capacities: &[MachineCapacity]) -> Vec<WaitingJob<'a>> {
         let mut limits = RoundLimits::new(round, capacities);
         let jobs = round.state.jobs.iter().filter(|(_, job)| job.waiting_count() > 0);
         jobs.filter_map(|(uid, job)| self.waiting_job(round, &mut limits, uid, job)).collect()
@@ -44,7 +44,7 @@
         limits: &mut RoundLimits<'a>,
         uid: &str,
         job: &'a Job,
-    ) -> Option<Waiting<'a>> {
+    ) -> Option<WaitingJob<'a>> {
         let queued = self.queue.get(uid)?;
         let blocked = queued.in_backoff(round.now) || round.is_locked(uid) || round.is_outdated(uid);
         // Under load most jobs fit nowhere: this check skips them quickly.
@@ -61,16 +61,16 @@
         let run_s = spec.estimated_run_s * OPTIMISTIC_RUN_SHARE;
         let deadline_s = round.objectives.end_from(spec, age_s, run_s);
         let waited_s = queued.waited(round.now).unwrap_or_default().as_secs_f64();
-        Some(Waiting {
+        Some(WaitingJob {
             spec,
             waited_s,
-            zones: round.state.tasks_by_zone(job),
+            tasks_by_zone: round.state.tasks_by_zone(job),
             slack_s: deadline_s.map_or(f64::INFINITY, |deadline_s| deadline_s - age_s - run_s),
-            work: f64::from(spec.task_count - job.done) * spec.cores * spec.estimated_run_s,
+            remaining_cpu_s: f64::from(spec.task_count - job.done) * spec.cores * spec.estimated_run_s,
             start_within_s: round.objectives.start_within(spec),
-            hopeless: false,
-            aim_s: deadline_s,
-            stay: limits.images.tasks_to_keep_waiting(spec, tasks.len(), waited_s),
+            misses_start_objective: false,
+            end_objective_s: deadline_s,
+            waiting_for_image: limits.images.tasks_to_keep_waiting(spec, tasks.len(), waited_s),
             tasks,
         })
     }
@@ -107,15 +107,15 @@
 }
 
 /// The settings of the placement round.
-fn placement_rules(round: &SchedulingRound) -> Rules {
+fn placement_settings(round: &SchedulingRound) -> PlacementSettings {
     let operator = &round.settings.operator;
     let needs_on_demand_machines = |job: &&Job| job.spec.kind == JobKind::Gang && !job.spec.spot_allowed;
     let gangs = round.state.jobs.values().filter(needs_on_demand_machines);
-    Rules {
+    PlacementSettings {
         window: operator.window,
         step_gb: operator.step_mb / MEGABYTES_PER_GIGABYTE,
         wait_limit_s: operator.wait_limit_s,
-        keep: gangs.map(Job::waiting_count).sum::<u32>() as usize,
+        kept_for_gangs: gangs.map(Job::waiting_count).sum::<u32>() as usize,
     }
 }
 
--- a/src/controller/service_levels.rs
+++ b/src/controller/service_levels.rs
@@ -104,7 +104,7 @@
     /// Logs a summary of store writes and failed calls and, on the leader, of the cluster.
     pub(super) fn log_summary(&mut self) {
         self.log_calls();
-        if self.am_leader() {
+        if self.is_leader() {
             self.log_cluster();
             self.log_service_levels();
         }
@@ -130,7 +130,7 @@
                 *waiting.entry(&job.spec.class).or_default() += waiting_tasks;
             }
         }
-        let booting = self.expected_capacities(Counted::All).len() - capacities.len();
+        let booting = self.expected_capacities(CountedTasks::All).len() - capacities.len();
         tracing::debug!(
             jobs = self.state.jobs.len(),
             ?waiting,
@@ -139,7 +139,7 @@
             cores = sum(|capacity| capacity.total_cores),
             free_cores = sum(MachineCapacity::free_cores),
             behind = self.service_levels.objectives.behind(),
-            "cluster"
+            "cluster summary"
         );
     }
 
@@ -148,7 +148,7 @@
     fn log_service_levels(&self) {
         for (who, tally) in self.service_levels.served.tallies(self.state.jobs.values(), self.wall_ms()) {
             let ServiceTally { judged, in_time, live, untouched, waits_s, replicas, placed } = tally;
-            tracing::debug!(?who, judged, in_time, live, untouched, waits_s, replicas, placed, "served");
+            tracing::debug!(?who, judged, in_time, live, untouched, waits_s, replicas, placed, "service level");
             if let Some(share) = tally.least_share().filter(|share| *share < HARDLY_SERVED_SHARE) {
                 tracing::warn!(
                     ?who,
@@ -160,7 +160,7 @@
                     waits_s,
                     replicas,
                     placed,
-                    "hardly served"
+                    "service level low"
                 );
             }
         }
@@ -169,10 +169,10 @@
     /// Records a job that completed, unless it has already been counted as missing its
     /// objective.
     pub(super) fn record_finished(&mut self, spec: &JobSpec, submitted_ms: u64) {
-        if self.am_leader() {
+        if self.is_leader() {
             let took_s = self.seconds_since(submitted_ms);
             let objective_s = self.service_levels.objectives.end_within(spec);
-            tracing::debug!(job = %spec.uid, class = %spec.class, took_s, aim_s = objective_s, "done");
+            tracing::debug!(job = %spec.uid, class = %spec.class, took_s, aim_s = objective_s, "job finished");
         }
         if !self.service_levels.counted_missed.remove(&spec.uid) {
             self.record_end(spec, submitted_ms);
--- a/src/controller/sharding.rs
+++ b/src/controller/sharding.rs
@@ -26,7 +26,7 @@
     pub(super) rebalance_after_gang: Instant,
     /// By machine and controller that the machine did not reach, until when the machine is not
     /// granted to that controller.
-    pub(super) avoid: HashMap<(String, String), Instant>,
+    pub(super) avoid_until: HashMap<(String, String), Instant>,
 }
 
 impl Sharding {
@@ -53,7 +53,7 @@
     pub(super) fn grant_shards(&mut self) {
         for member in self.state.restarted() {
             let key = records::shard_grant_key(&member);
-            if self.transactions.is_locked(&key) || !self.may_write_as(WritePriority::Critical) {
+            if self.transactions.is_locked(&key) || !self.may_write_with_priority(WritePriority::Critical) {
                 continue;
             }
             let Some(member_record) = self.state.members.get(&member) else { continue };
@@ -68,7 +68,7 @@
                 ],
                 ops: vec![Op::Put { key, data: records::to_value(&record), lease: None }],
             };
-            self.txn_keyed(txn, Why::Grant);
+            self.transact_locking_machines(txn, TxnPurpose::Grant);
         }
         if !self.startup.members_known() {
             return; // a controller that restarts meanwhile gets its whole shard back
@@ -96,8 +96,11 @@
                     now + self.heartbeat_intervals(REBALANCE_PAUSE_AFTER_GANG_HEARTBEATS);
             }
         }
-        let may_write =
-            if is_urgent { self.may_write_as(WritePriority::Critical) } else { self.may_write(moves.len() as f64) };
+        let may_write = if is_urgent {
+            self.may_write_with_priority(WritePriority::Critical)
+        } else {
+            self.may_write(moves.len() as f64)
+        };
         if moves.is_empty() || !may_write {
             return;
         }
@@ -125,7 +128,7 @@
             let is_unreached = |machine: &&String| unreached.iter().any(|entry| entry.0 == **machine);
             for machine in old.rec.machines.iter().filter(is_unreached) {
                 let until = now + self.secs(self.config.settings.workers.lease_s * AVOID_UNREACHED_LEASES);
-                self.sharding.avoid.insert((machine.clone(), old.rec.owner.clone()), until);
+                self.sharding.avoid_until.insert((machine.clone(), old.rec.owner.clone()), until);
             }
             tracing::debug!(
                 group = %wanted.group,
@@ -144,7 +147,7 @@
             txn.ops.push(Op::Put { key, data: records::to_value(&record), lease: None });
         }
         if !txn.ops.is_empty() {
-            self.txn_keyed(txn, Why::Grant);
+            self.transact_locking_machines(txn, TxnPurpose::Grant);
         }
     }
 
--- a/src/controller/startup.rs
+++ b/src/controller/startup.rs
@@ -38,7 +38,7 @@
         let observations = if self.startup.phase() == Phase::Settled {
             // The phase is final; only the elapsed time still counts.
             let unused = HeardCount::default();
-            StartupObservations { fresh: self.fresh(), members: unused, shard: unused, fleet: unused }
+            StartupObservations { fresh: self.is_replica_fresh(), members: unused, shard: unused, fleet: unused }
         } else {
             self.observe_startup()
         };
@@ -80,7 +80,7 @@
             }
         }
         let members = HeardCount { heard: self.state.members.len(), all: self.config.controllers() };
-        StartupObservations { fresh: self.fresh(), members, shard, fleet }
+        StartupObservations { fresh: self.is_replica_fresh(), members, shard, fleet }
     }
 
     /// Counts the differences between the stored state and a machine's first heartbeat to this
--- a/src/controller/store_sync.rs
+++ b/src/controller/store_sync.rs
@@ -149,7 +149,7 @@
     /// Renews the lease, or requests one if there is none.
     fn renew_lease(&mut self) {
         let lease = self.store.session.lease;
-        let purpose = if lease.is_some() { Retry::Renew } else { Retry::Lease };
+        let purpose = if lease.is_some() { RetryPurpose::Renew } else { RetryPurpose::Lease };
         if !self.store.lease_call_due(self.now) || !self.retry.allows(purpose, self.now) {
             return;
         }
@@ -158,23 +158,23 @@
         match lease {
             Some(id) => {
                 let timeout = ttl / RENEWALS_PER_LEASE;
-                self.call(Target::State, "POST", store::renew_path(id), None, timeout, Purpose::Renew);
+                self.call(Target::Store, "POST", store::renew_path(id), None, timeout, CallPurpose::Renew);
             }
             None => {
                 let body = crate::protocol::encode(&LeaseRequest { ttl_ms: ttl.as_millis() as u64 });
-                self.call(Target::State, "POST", store::LEASES.into(), Some(body), ttl / 2, Purpose::Lease);
+                self.call(Target::Store, "POST", store::LEASES.into(), Some(body), ttl / 2, CallPurpose::Lease);
             }
         }
     }
 
     /// Reads the next page of the scan, if it is due.
     fn read_next_page(&mut self) {
-        if !self.store.page_due(self.now) || !self.retry.allows(Retry::Scan, self.now) {
+        if !self.store.page_due(self.now) || !self.retry.allows(RetryPurpose::Scan, self.now) {
             return;
         }
         self.store.begin_page(self.now);
         let path = store::scan_path(records::PREFIX, &self.store.session.scan_cursor);
-        self.call(Target::State, "GET", path, None, self.store.session.ttl, Purpose::Scan);
+        self.call(Target::Store, "GET", path, None, self.store.session.ttl, CallPurpose::Scan);
     }
 
     /// Sends a read barrier if requests wait for one, or if the last proof that the replica
@@ -184,25 +184,25 @@
         let max_staleness = self.heartbeat_intervals(BARRIER_INTERVALS);
         let stale = self.store.session.staleness(now).is_none_or(|staleness| staleness > max_staleness);
         let due = self.api.awaits_read() || stale;
-        if !due || !self.store.barrier_allowed(now) || !self.retry.allows(Retry::Barrier, now) {
+        if !due || !self.store.barrier_allowed(now) || !self.retry.allows(RetryPurpose::Barrier, now) {
             return;
         }
         self.store.begin_barrier(now);
         self.answer_requests(RequestEvent::ReadSent);
         let path = store::key_path(records::BARRIER_KEY);
         let timeout = self.heartbeat_intervals(BARRIER_TIMEOUT_INTERVALS);
-        self.call(Target::State, "GET", path, None, timeout, Purpose::Barrier);
+        self.call(Target::Store, "GET", path, None, timeout, CallPurpose::Barrier);
     }
 
     /// Requests the changes after the replica's revision.
     fn watch_store(&mut self) {
-        if !self.store.watch_due(self.now) || !self.retry.allows(Retry::Watch, self.now) {
+        if !self.store.watch_due(self.now) || !self.retry.allows(RetryPurpose::Watch, self.now) {
             return;
         }
         self.store.begin_watch(self.now);
         let hold = self.heartbeat_intervals(WATCH_HOLD_INTERVALS);
         let path = store::watch_path(records::PREFIX, self.state.revision, hold.as_millis() as u64);
-        self.call(Target::State, "GET", path, None, hold * 2, Purpose::Watch);
+        self.call(Target::Store, "GET", path, None, hold * 2, CallPurpose::Watch);
     }
 
     /// Writes the member record of this incarnation, attached to the lease, if the replica
@@ -213,7 +213,7 @@
         let key = records::member_key(&self.process.member);
         if self.state.is_live(&self.process.member, self.process.incarnation)
             || self.transactions.is_locked(&key)
-            || !self.retry.allows(Retry::Write, self.now)
+            || !self.retry.allows(RetryPurpose::Write, self.now)
         {
             return;
         }
@@ -223,17 +223,17 @@
             conditions: vec![Condition { key: key.clone(), version }],
             ops: vec![Op::Put { key, data: records::to_value(&record), lease: Some(lease) }],
         };
-        self.txn(txn, Why::RegisterMember);
+        self.transact(txn, TxnPurpose::RegisterMember);
     }
 
     /// Handles the result of a call that synchronizes this controller with the store.
-    pub(super) fn handle_store_result(&mut self, purpose: &Purpose, result: Result<Reply, NoAnswer>) {
+    pub(super) fn handle_store_result(&mut self, purpose: &CallPurpose, result: Result<Reply, NoAnswer>) {
         match purpose {
-            Purpose::Lease => self.handle_lease_result(result),
-            Purpose::Renew => self.store.end_renewal(self.now, &result),
-            Purpose::Scan => self.handle_page_result(result),
-            Purpose::Watch => self.handle_watch_result(result),
-            Purpose::Barrier => self.handle_barrier_result(&result),
+            CallPurpose::Lease => self.handle_lease_result(result),
+            CallPurpose::Renew => self.store.end_renewal(self.now, &result),
+            CallPurpose::Scan => self.handle_page_result(result),
+            CallPurpose::Watch => self.handle_watch_result(result),
+            CallPurpose::Barrier => self.handle_barrier_result(&result),
             _ => {}
         }
     }
--- a/src/controller/task_ranges.rs
+++ b/src/controller/task_ranges.rs
@@ -24,12 +24,12 @@
     /// Whether this controller has to end the job: the one that has the first task range, or the
     /// leader if that one is gone. Only one does, so that controllers do not make each other's
     /// writes conflict.
-    pub(super) fn ends(&self, uid: &str) -> bool {
+    pub(super) fn has_to_end(&self, uid: &str) -> bool {
         let Some(job) = self.state.jobs.get(uid) else { return false };
         let first = job.rec.rec.task_ranges.first().map(|range| &range.member);
         match first.filter(|member| self.state.members.contains_key(*member)) {
             Some(member) => *member == self.process.member,
-            None => self.am_leader(),
+            None => self.is_leader(),
         }
     }
 
@@ -38,12 +38,12 @@
     /// no session lease.
     pub(super) fn find_jobs_to_end(&mut self) {
         let complete = self.state.jobs.iter().filter(|(_, job)| job.complete());
-        let own: Vec<String> = complete.map(|(uid, _)| uid.clone()).filter(|uid| self.ends(uid)).collect();
-        self.journal.end_jobs(own);
+        let own: Vec<String> = complete.map(|(uid, _)| uid.clone()).filter(|uid| self.has_to_end(uid)).collect();
+        self.journal.mark_jobs_to_end(own);
     }
 
     /// Ends the records of jobs whose last task is done or gone, as far as the write rate allows.
-    pub(super) fn close_tick(&mut self) {
+    pub(super) fn end_complete_jobs(&mut self) {
         for uid in self.journal.take_jobs_to_end() {
             let key = records::job_key(&uid);
             let Some(job) = self.state.jobs.get(&uid).filter(|job| job.complete()) else { continue };
@@ -55,11 +55,11 @@
             let cancelled = job.cancelled();
             let may_write = match () {
                 _ if !is_ready => false,
-                _ if cancelled => self.may_write(1.0 + self.transactions.write_rate() * SPARE_WRITES),
-                _ => self.may_write_as(WritePriority::Responses),
+                _ if cancelled => self.may_write(1.0 + self.transactions.write_rate() * SPARE_WRITES_FRACTION),
+                _ => self.may_write_with_priority(WritePriority::Responses),
             };
             let Some(job) = self.state.jobs.get(&uid).filter(|_| may_write) else {
-                self.journal.end_jobs([uid]);
+                self.journal.mark_jobs_to_end([uid]);
                 continue;
             };
             let status = if job.cancelled() { Status::Cancelled } else { Status::Done };
@@ -72,7 +72,7 @@
             txn.ops.extend(
                 stored.map(|(range, _)| Op::Delete { key: records::checkpoint_key(&uid, *range) }).take(max_deletes),
             );
-            self.txn(txn, Why::Close);
+            self.transact(txn, TxnPurpose::Close);
         }
     }
 
@@ -81,7 +81,7 @@
     pub(super) fn reassign_tasks(&mut self) {
         let size = self.state.checkpoint_size;
         let capacities_by_kind =
-            [Counted::All, Counted::Lasting].map(|counted| self.capacities_counting(true, counted));
+            [CountedTasks::All, CountedTasks::ExceptArrays].map(|counted| self.capacities_counting(true, counted));
         let mut queues_by_priority: BTreeMap<(bool, Priority), BTreeMap<String, f64>> = BTreeMap::new();
         let members: Vec<String> = self.state.members.keys().cloned().collect();
         let min_wait = self.heartbeat_intervals(MIN_WAIT_HEARTBEATS);
@@ -102,12 +102,13 @@
             }
             let waiting = job.waiting(size);
             let is_lost = any_gone && waiting.iter().any(|index| assignee(*index).is_none_or(is_gone));
-            let starts_soon = self.counted(&job.spec) == Counted::Lasting;
+            let starts_soon = self.counted_tasks(&job.spec) == CountedTasks::ExceptArrays;
             let capacities = &capacities_by_kind[usize::from(starts_soon)];
             let queues = queues_by_priority.entry((starts_soon, job.spec.priority));
             // The queues of all other jobs.
-            let mut other_queues =
-                queues.or_insert_with(|| self.queues(self.counted(&job.spec), job.spec.priority)).clone();
+            let mut other_queues = queues
+                .or_insert_with(|| self.queued_cores_by_controller(self.counted_tasks(&job.spec), job.spec.priority))
+                .clone();
             for (member, cores) in waiting_cores_by_controller(job) {
                 if let Some(queue) = other_queues.get_mut(member) {
                     *queue = (*queue - cores).max(0.0);
@@ -153,7 +154,7 @@
         for (can_wait, _, txn) in txns {
             // A part of the write rate stays reserved for accepting jobs and recording exits.
             if self.may_write(if can_wait { self.transactions.write_rate() / 2.0 } else { 1.0 }) {
-                self.txn(txn, Why::ReassignTasks);
+                self.transact(txn, TxnPurpose::ReassignTasks);
             }
         }
     }
@@ -206,11 +207,15 @@
     /// The cores that waiting tasks assigned to each controller need: of services that must start
     /// soon, or of all other jobs, as `counted` says. Jobs of lower priority and jobs that miss
     /// their objective do not count, since others go before them.
-    pub(super) fn queues(&self, counted: Counted, priority: Priority) -> BTreeMap<String, f64> {
+    pub(super) fn queued_cores_by_controller(
+        &self,
+        counted: CountedTasks,
+        priority: Priority,
+    ) -> BTreeMap<String, f64> {
         let mut queues = BTreeMap::new();
         let goes_before = |job: &&Job| job.waiting_count() > 0 && job.spec.priority >= priority;
         for job in self.state.jobs.values().filter(goes_before) {
-            if self.counted(&job.spec) == counted && self.can_meet_deadline(job) {
+            if self.counted_tasks(&job.spec) == counted && self.can_meet_deadline(job) {
                 for (member, cores) in waiting_cores_by_controller(job) {
                     *queues.entry(member.to_string()).or_default() += cores;
                 }
--- a/src/controller/transactions.rs
+++ b/src/controller/transactions.rs
@@ -112,18 +112,18 @@
         &mut self,
         id: CallId,
         txn: Txn,
-        why: Why,
+        purpose: TxnPurpose,
         keys: Vec<String>,
         known_revision: u64,
         now: Instant,
     ) -> PendingTransaction {
         let charge = self.rate.charge(now, txn.ops.len() as f64);
-        let counts = self.written.entry(why.name()).or_default();
+        let counts = self.written.entry(purpose.name()).or_default();
         counts.sent += 1;
         counts.changes += txn.ops.len();
         self.locked_keys.extend(keys.iter().cloned());
         self.in_flight.track(id, &txn, known_revision);
-        PendingTransaction { txn, why, keys, charge, sent_at: now }
+        PendingTransaction { txn, purpose, keys, charge, sent_at: now }
     }
 
     /// Handles the end of a transaction's call: what the store shows no longer resolves the
@@ -137,14 +137,14 @@
     }
 
     /// Unlocks the keys of a transaction that has ended, and counts its duration.
-    fn finish(&mut self, pending: &PendingTransaction, ended: &Ended, now: Instant) {
+    fn finish(&mut self, pending: &PendingTransaction, ended: &TxnOutcome, now: Instant) {
         let duration_ms = now.saturating_sub(pending.sent_at).as_millis() as u64;
         self.durations_ms.saturating_record(duration_ms);
         for key in &pending.keys {
             self.locked_keys.remove(key);
         }
-        if !matches!(ended, Ended::Done(_)) {
-            self.written.entry(pending.why.name()).or_default().failed += 1;
+        if !matches!(ended, TxnOutcome::Done(_)) {
+            self.written.entry(pending.purpose.name()).or_default().failed += 1;
         }
     }
 
@@ -170,7 +170,7 @@
 #[derive(Debug)]
 pub(super) struct PendingTransaction {
     txn: Txn,
-    why: Why,
+    purpose: TxnPurpose,
     /// Keys that are locked until the transaction ends.
     keys: Vec<String>,
     /// What it took from the write rate; refunded if the store refuses it with status 503.
@@ -180,7 +180,7 @@
 
 /// The purpose of a transaction.
 #[derive(Debug)]
-pub(super) enum Why {
+pub(super) enum TxnPurpose {
     /// Accepts the submission of this job.
     Accept(String),
     /// Cancels this job.
@@ -218,32 +218,32 @@
     Maintenance,
 }
 
-impl Why {
+impl TxnPurpose {
     /// The name of this kind of transaction in log fields.
     pub(super) fn name(&self) -> &'static str {
         match self {
-            Why::Accept(_) => "accept",
-            Why::Cancel(_) => "withdraw",
-            Why::Segment { .. } => "segment",
-            Why::Fold => "fold",
-            Why::Election => "lead",
-            Why::RegisterMember => "member",
-            Why::RegisterMachines => "enrol",
-            Why::Grant => "grant",
-            Why::Close => "close",
-            Why::ReassignTasks => "relet",
-            Why::Mark => "mark",
-            Why::Catalog => "catalog",
-            Why::Maintenance => "upkeep",
-            Why::Forget => "forget",
-            Why::Limit => "limit",
+            TxnPurpose::Accept(_) => "accept",
+            TxnPurpose::Cancel(_) => "withdraw",
+            TxnPurpose::Segment { .. } => "segment",
+            TxnPurpose::Fold => "fold",
+            TxnPurpose::Election => "lead",
+            TxnPurpose::RegisterMember => "member",
+            TxnPurpose::RegisterMachines => "enrol",
+            TxnPurpose::Grant => "grant",
+            TxnPurpose::Close => "close",
+            TxnPurpose::ReassignTasks => "relet",
+            TxnPurpose::Mark => "mark",
+            TxnPurpose::Catalog => "catalog",
+            TxnPurpose::Maintenance => "upkeep",
+            TxnPurpose::Forget => "forget",
+            TxnPurpose::Limit => "limit",
         }
     }
 }
 
 /// The outcome of a transaction, by the first proof of any kind.
 #[derive(Debug)]
-pub(super) enum Ended {
+pub(super) enum TxnOutcome {
     /// Carried out at this revision.
     Done(u64),
     /// Not carried out and never will be, because records that it is conditional on have
@@ -260,16 +260,16 @@
     Unknown,
 }
 
-impl Ended {
+impl TxnOutcome {
     /// The outcome that the result of the call proves.
-    fn of(result: &Result<Reply, NoAnswer>) -> Ended {
-        let Ok(reply) = result else { return Ended::Unknown };
+    fn of(result: &Result<Reply, NoAnswer>) -> TxnOutcome {
+        let Ok(reply) = result else { return TxnOutcome::Unknown };
         let response = crate::protocol::decode::<store::TxnResponse>(&reply.body);
         match (reply.status, response) {
-            (200, Ok(response)) => Ended::Done(response.revision),
-            (409, Ok(response)) => Ended::Void { failed: response.failed, revision: response.revision },
-            (200, Err(_)) => Ended::Unknown,
-            (status, _) => Ended::Refused(status),
+            (200, Ok(response)) => TxnOutcome::Done(response.revision),
+            (409, Ok(response)) => TxnOutcome::Void { failed: response.failed, revision: response.revision },
+            (200, Err(_)) => TxnOutcome::Unknown,
+            (status, _) => TxnOutcome::Refused(status),
         }
     }
 }
@@ -287,52 +287,58 @@
 impl Controller {
     /// Whether this many changes that can also wait may be written now.
     pub(super) fn may_write(&self, changes: f64) -> bool {
-        self.retry.allows(Retry::Write, self.now) && self.transactions.rate.has_balance_for(self.now, changes)
+        self.retry.allows(RetryPurpose::Write, self.now) && self.transactions.rate.has_balance_for(self.now, changes)
     }
 
     /// Whether a change of this priority may be written now. One that may not is remembered
     /// as waiting.
-    pub(super) fn may_write_as(&mut self, priority: WritePriority) -> bool {
-        self.retry.allows(Retry::Write, self.now) && self.transactions.rate.admits(priority, self.now)
+    pub(super) fn may_write_with_priority(&mut self, priority: WritePriority) -> bool {
+        self.retry.allows(RetryPurpose::Write, self.now) && self.transactions.rate.admits(priority, self.now)
     }
 
     /// Sends a transaction with the timeout of one heartbeat interval. See
     /// [`Controller::transact_within`] for the keys that it locks.
-    pub(super) fn txn(&mut self, txn: Txn, why: Why) {
-        self.transact_within(txn, why, self.heartbeat_intervals(1.0));
+    pub(super) fn transact(&mut self, txn: Txn, purpose: TxnPurpose) {
+        self.transact_within(txn, purpose, self.heartbeat_intervals(1.0));
     }
 
     /// Sends a transaction that times out after `timeout`. It locks the keys of its
     /// conditions, except those of machine groups, shard grants and the leader, and of teams
     /// whose record it does not write.
-    pub(super) fn transact_within(&mut self, txn: Txn, why: Why, timeout: Duration) {
+    pub(super) fn transact_within(&mut self, txn: Txn, purpose: TxnPurpose, timeout: Duration) {
         let mut keys: Vec<String> = txn.conditions.iter().map(|c| c.key.clone()).collect();
         keys.retain(|key| {
             !key.starts_with("fq/h/") && !key.starts_with(records::SHARD_GRANTS_PREFIX) && key != records::LEADER_KEY
         });
         // A condition on a team's record alone does not keep others from writing the record.
         keys.retain(|key| !key.starts_with(records::TEAMS_PREFIX) || txn.puts(key));
-        self.send_txn_within(txn, why, keys, timeout);
+        self.transact_locking_within(txn, purpose, keys, timeout);
     }
 
     /// Sends a transaction that locks `keys` until it ends, with the timeout of one
     /// heartbeat interval.
-    pub(super) fn send_txn(&mut self, txn: Txn, why: Why, keys: Vec<String>) {
-        self.send_txn_within(txn, why, keys, self.heartbeat_intervals(1.0));
+    pub(super) fn transact_locking(&mut self, txn: Txn, purpose: TxnPurpose, keys: Vec<String>) {
+        self.transact_locking_within(txn, purpose, keys, self.heartbeat_intervals(1.0));
     }
 
     /// Sends a transaction that locks `keys` until it ends, and times out after `timeout`.
     /// Every transaction is sent from here.
-    pub(super) fn send_txn_within(&mut self, txn: Txn, why: Why, keys: Vec<String>, timeout: Duration) {
+    pub(super) fn transact_locking_within(
+        &mut self,
+        txn: Txn,
+        purpose: TxnPurpose,
+        keys: Vec<String>,
+        timeout: Duration,
+    ) {
         debug_assert!(
-            self.retry.allows(Retry::Write, self.now),
+            self.retry.allows(RetryPurpose::Write, self.now),
             "transaction \"{}\" is sent against the retry policy",
-            why.name()
+            purpose.name()
         );
         let body = crate::protocol::encode(&txn);
         let id = self.outbox.next_call_id();
-        let pending = self.transactions.begin(id, txn, why, keys, self.state.known_revision(), self.now);
-        self.call(Target::State, "POST", store::TXN.into(), Some(body), timeout, Purpose::Txn(pending));
+        let pending = self.transactions.begin(id, txn, purpose, keys, self.state.known_revision(), self.now);
+        self.call(Target::Store, "POST", store::TXN.into(), Some(body), timeout, CallPurpose::Txn(pending));
     }
 
     /// Ends the transactions in flight whose outcome the store has shown; a later answer to
@@ -340,18 +346,18 @@
     /// the replica may then lack some of what they put.
     pub(super) fn resolve_transactions(&mut self, after_scan: bool) {
         for (id, proof) in self.transactions.in_flight.take_resolved() {
-            let Some(Purpose::Txn(pending)) = self.outbox.end_call(id) else { continue };
+            let Some(CallPurpose::Txn(pending)) = self.outbox.end_call(id) else { continue };
             let ended = match proof {
-                Proof::Done(revision) => Ended::Done(revision),
-                Proof::Void { key, revision } => Ended::Void { failed: vec![key], revision },
+                Proof::Done(revision) => TxnOutcome::Done(revision),
+                Proof::Void { key, revision } => TxnOutcome::Void { failed: vec![key], revision },
             };
-            if let Ended::Done(revision) = ended {
-                self.retry.record_outcome(Retry::Write, Outcome::Answered, self.now);
+            if let TxnOutcome::Done(revision) = ended {
+                self.retry.record_outcome(RetryPurpose::Write, Outcome::Answered, self.now);
                 if after_scan {
                     self.apply_puts(&pending.txn, revision);
                 }
             }
-            tracing::debug!(kind = pending.why.name(), ?ended, "transaction resolved by watch or scan");
+            tracing::debug!(kind = pending.purpose.name(), ?ended, "transaction resolved by watch or scan");
             self.end_txn(pending, ended);
         }
     }
@@ -364,8 +370,8 @@
         result: &Result<Reply, NoAnswer>,
     ) {
         self.transactions.end_call(id, pending.charge, result, self.now);
-        let ended = Ended::of(result);
-        if let Ended::Done(revision) = ended {
+        let ended = TxnOutcome::of(result);
+        if let TxnOutcome::Done(revision) = ended {
             self.apply_puts(&pending.txn, revision);
         }
         self.end_txn(pending, ended);
@@ -384,28 +390,30 @@
 
     /// Does what follows from the outcome of a transaction. If it was carried out, the
     /// replica shows what it put.
-    fn end_txn(&mut self, pending: PendingTransaction, ended: Ended) {
+    fn end_txn(&mut self, pending: PendingTransaction, ended: TxnOutcome) {
         self.transactions.finish(&pending, &ended, self.now);
-        let PendingTransaction { txn, why, .. } = pending;
-        if matches!(ended, Ended::Done(_)) {
+        let PendingTransaction { txn, purpose, .. } = pending;
+        if matches!(ended, TxnOutcome::Done(_)) {
             self.scheduler.request_round();
             self.quota.records_changed(&txn);
         } else {
-            tracing::debug!(?ended, ?why, "transaction not applied");
+            tracing::debug!(?ended, why = ?purpose, "transaction not applied");
         }
-        match why {
-            Why::Accept(uid) => self.request_written(&uid, RequestKind::Submit, &ended),
-            Why::Cancel(uid) => self.request_written(&uid, RequestKind::Cancel, &ended),
-            Why::Segment { facts, reservations } => self.segment_answer(&txn, facts, reservations, &ended),
-            Why::Fold => {
+        match purpose {
+            TxnPurpose::Accept(uid) => self.request_written(&uid, RequestKind::Submit, &ended),
+            TxnPurpose::Cancel(uid) => self.request_written(&uid, RequestKind::Cancel, &ended),
+            TxnPurpose::Segment { facts, reservations } => {
+                self.handle_segment_result(&txn, facts, reservations, &ended)
+            }
+            TxnPurpose::Fold => {
                 self.journal.compaction_ended();
                 self.scheduler.request_round();
                 self.mark_outdated_records(&txn, &ended);
             }
-            Why::Close => {
+            TxnPurpose::Close => {
                 self.mark_outdated_records(&txn, &ended);
             }
-            Why::RegisterMachines => self.enrol_rentals(),
+            TxnPurpose::RegisterMachines => self.register_rented_machines(),
             _ => {}
         }
         self.replica_changed();
@@ -413,12 +421,12 @@
 
     /// Sends a transaction that also locks the machine groups that it is conditional on, and
     /// the shard grants that it writes.
-    pub(super) fn txn_keyed(&mut self, txn: Txn, why: Why) {
+    pub(super) fn transact_locking_machines(&mut self, txn: Txn, purpose: TxnPurpose) {
         let mut keys: Vec<String> = txn.conditions.iter().map(|c| c.key.clone()).collect();
         keys.retain(|key| {
             key != records::LEADER_KEY && (!key.starts_with(records::SHARD_GRANTS_PREFIX) || txn.puts(key))
         });
-        self.send_txn(txn, why, keys);
+        self.transact_locking(txn, purpose, keys);
     }
 }
 
--- a/src/controller/transactions/tests.rs
+++ b/src/controller/transactions/tests.rs
@@ -8,7 +8,7 @@
     let mut transactions = Transactions::new(10.0);
     let op = store::Op::Delete { key: KEY.into() };
     let txn = Txn { conditions: Vec::new(), ops: vec![op] };
-    let pending = transactions.begin(CALL, txn, Why::Close, vec![KEY.into()], 0, Duration::ZERO);
+    let pending = transactions.begin(CALL, txn, TxnPurpose::Close, vec![KEY.into()], 0, Duration::ZERO);
     (transactions, pending)
 }
 
@@ -16,7 +16,7 @@
 fn keys_are_locked_until_the_transaction_ends() {
     let (mut transactions, pending) = with_one_in_flight();
     assert!(transactions.is_locked(KEY));
-    transactions.finish(&pending, &Ended::Unknown, Duration::ZERO);
+    transactions.finish(&pending, &TxnOutcome::Unknown, Duration::ZERO);
     assert!(!transactions.is_locked(KEY));
 }
 
--- a/src/coordination/shards/assignment.rs
+++ b/src/coordination/shards/assignment.rs
@@ -55,7 +55,7 @@
 ) -> BTreeMap<&'a str, ShardCapacity> {
     let mut by_zone: BTreeMap<(&str, &str), ShardCapacity> = BTreeMap::new();
     for (member, capacity) in capacities {
-        let tasks = capacity.fits(spec).min(spec.task_count);
+        let tasks = capacity.fitting_tasks(spec).min(spec.task_count);
         if tasks > 0 {
             let with_image = if capacity.has_image(spec) { tasks } else { 0 };
             let in_zone = by_zone.entry((member, &capacity.zone)).or_default();
--- a/src/coordination/shards/machine_moves.rs
+++ b/src/coordination/shards/machine_moves.rs
@@ -186,10 +186,10 @@
         return Vec::new();
     };
     let Some((to, present)) = tasks_by_member.iter().max_by_key(|(_, tasks)| **tasks) else { return Vec::new() };
-    let is_usable = |c: &MachineCapacity| (!spec.zone_affinity || c.zone == *zone) && c.fits(spec) > 0;
+    let is_usable = |c: &MachineCapacity| (!spec.zone_affinity || c.zone == *zone) && c.fitting_tasks(spec) > 0;
     let others = capacities.iter().filter(|(member, c)| member != to && is_usable(c));
     let mut others: Vec<&MachineCapacity> = others.map(|(_, c)| c).collect();
-    others.sort_by_key(|c| Reverse(c.fits(spec)));
+    others.sort_by_key(|c| Reverse(c.fitting_tasks(spec)));
     moves_for_tasks(state, others, spec, spec.task_count.saturating_sub(*present), to)
 }
 
@@ -202,7 +202,7 @@
 ) -> BTreeMap<&'a str, TasksByMember<'a>> {
     let mut zones: BTreeMap<&str, TasksByMember> = BTreeMap::new();
     for (member, capacity) in capacities.iter().filter(|(member, _)| state.members.contains_key(member)) {
-        let tasks = capacity.fits(spec).min(spec.task_count);
+        let tasks = capacity.fitting_tasks(spec).min(spec.task_count);
         let zone = if spec.zone_affinity { capacity.zone.as_str() } else { "" };
         if tasks > 0 {
             *zones.entry(zone).or_default().entry(member).or_default() += tasks;
@@ -231,7 +231,7 @@
         if !moves.iter().any(|m| m.group == record.rec.group) {
             moves.push(GroupMove { group: record.rec.group.clone(), to: to.to_string() });
         }
-        missing = missing.saturating_sub(capacity.fits(spec));
+        missing = missing.saturating_sub(capacity.fitting_tasks(spec));
     }
     moves
 }
--- a/src/effects.rs
+++ b/src/effects.rs
@@ -19,7 +19,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Target {
     /// The state service, which is also called the store.
-    State,
+    Store,
     /// The cloud provider's interface.
     Cloud,
     /// The worker at this address.
@@ -40,7 +40,7 @@
         /// Seconds after which the client may retry.
         retry_after: Option<u32>,
     },
-    /// Send a request; its result is returned as [`Event::Answer`].
+    /// Send a request; its result is returned as [`Event::CallEnded`].
     Call {
         /// The id that its result will have.
         id: CallId,
@@ -94,7 +94,7 @@
         body: Vec<u8>,
     },
     /// The end of a call.
-    Answer {
+    CallEnded {
         /// The id of the call.
         id: CallId,
         /// The response, or an error if none came in time.
@@ -108,7 +108,7 @@
         frame: Frame,
     },
     /// A new version of the operator's file, which has been validated.
-    Operator(Box<Operator>),
+    OperatorSettings(Box<Operator>),
     /// The passage of time, sent at short intervals.
     Tick,
 }
--- a/src/maintenance/budget.rs
+++ b/src/maintenance/budget.rs
@@ -9,23 +9,25 @@
 /// The disruption budget that a team has agreed to. The larger of the two limits applies.
 #[derive(Debug, Clone, Copy, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Budget {
+pub struct DisruptionBudget {
     /// The number of replicas that may be away at a time.
-    pub away: u32,
+    #[serde(rename = "away")]
+    pub max_away: u32,
     /// The share of all the team's wanted replicas that may be away at a time.
-    pub share: f64,
+    #[serde(rename = "share")]
+    pub max_away_share: f64,
 }
 
-impl Default for Budget {
+impl Default for DisruptionBudget {
     fn default() -> Self {
-        Budget { away: 1, share: 0.0 }
+        DisruptionBudget { max_away: 1, max_away_share: 0.0 }
     }
 }
 
-impl Budget {
+impl DisruptionBudget {
     /// The number of replicas that may be away at a time, of `wanted` ones.
     pub fn allowed_away(&self, wanted: u32) -> u32 {
-        self.away.max((f64::from(wanted) * self.share).floor() as u32)
+        self.max_away.max((f64::from(wanted) * self.max_away_share).floor() as u32)
     }
 }
 
@@ -35,13 +37,13 @@
     /// The number of replicas that the team wants.
     pub wanted: u32,
     /// The number of replicas that are away: waiting, on a machine that no controller hears,
-    /// just placed, or under a ticket.
+    /// just placed, or with a permit.
     pub away: u32,
 }
 
 impl TeamReplicas {
     /// The number of replicas that may be stopped within the budget, beside those away already.
-    pub fn remaining(&self, budget: &Budget) -> u32 {
+    pub fn remaining(&self, budget: &DisruptionBudget) -> u32 {
         budget.allowed_away(self.wanted).saturating_sub(self.away)
     }
 }
@@ -54,7 +56,7 @@
     /// because a zone is partitioned.
     #[test]
     fn failures_count_against_the_budget_first() {
-        let budget = Budget { away: 2, share: 0.1 };
+        let budget = DisruptionBudget { max_away: 2, max_away_share: 0.1 };
         assert_eq!(TeamReplicas { wanted: 50, away: 0 }.remaining(&budget), 5);
         assert_eq!(TeamReplicas { wanted: 50, away: 4 }.remaining(&budget), 1);
         assert_eq!(TeamReplicas { wanted: 50, away: 30 }.remaining(&budget), 0);
--- a/src/maintenance/campaign.rs
+++ b/src/maintenance/campaign.rs
@@ -4,7 +4,7 @@
 
 #![warn(missing_docs)]
 
-use super::budget::{Budget, TeamReplicas};
+use super::budget::{DisruptionBudget, TeamReplicas};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -27,15 +27,17 @@
     /// The names of the machines.
     pub machines: Option<Vec<String>>,
     /// The number of machines in the first wave. Each further wave has twice as many as the
-    /// one before it, up to `wave`.
-    pub first: u32,
+    /// one before it, up to `max_wave_size`.
+    #[serde(rename = "first")]
+    pub first_wave_size: u32,
     /// The largest number of machines in a wave.
-    pub wave: u32,
+    #[serde(rename = "wave")]
+    pub max_wave_size: u32,
 }
 
 impl Default for Campaign {
     fn default() -> Self {
-        Campaign { machine_type: None, zone: None, spot: None, machines: None, first: 1, wave: 8 }
+        Campaign { machine_type: None, zone: None, spot: None, machines: None, first_wave_size: 1, max_wave_size: 8 }
     }
 }
 
@@ -50,8 +52,8 @@
 
     /// The number of machines in the next wave after `waves` finished ones.
     fn next_wave_size(&self, waves: u32) -> usize {
-        let doubled = u64::from(self.first) << waves.min(MAX_DOUBLINGS);
-        doubled.min(u64::from(self.wave)) as usize
+        let doubled = u64::from(self.first_wave_size) << waves.min(MAX_DOUBLINGS);
+        doubled.min(u64::from(self.max_wave_size)) as usize
     }
 }
 
@@ -59,7 +61,7 @@
 /// budget from the moment it is written until the replica is proved gone from its machine
 /// and runs elsewhere.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Ticket {
+pub struct DisruptionPermit {
     /// The job of the replica.
     pub job: String,
     /// The index of the replica in its job.
@@ -77,17 +79,22 @@
     pub name: String,
     /// The last machine that existed when the campaign began. Names are in order of creation,
     /// so machines with a later name do not belong to the campaign.
-    pub upto: String,
+    #[serde(rename = "upto")]
+    pub last_machine: String,
     /// The machines of the current wave, which are draining.
     pub wave: Vec<String>,
     /// The number of finished waves.
-    pub waves: u32,
+    #[serde(rename = "waves")]
+    pub finished_waves: u32,
     /// The number of machines that are gone so far.
-    pub gone: u32,
-    /// The tickets that have been issued and not returned to the budget yet.
-    pub tickets: Vec<Ticket>,
+    #[serde(rename = "gone")]
+    pub machines_gone: u32,
+    /// The permits that have been issued and not returned to the budget yet.
+    #[serde(rename = "tickets")]
+    pub permits: Vec<DisruptionPermit>,
     /// The names of finished campaigns.
-    pub finished: Vec<String>,
+    #[serde(rename = "finished")]
+    pub finished_campaigns: Vec<String>,
 }
 
 /// A machine that the campaign selects.
@@ -95,8 +102,8 @@
 pub struct Candidate {
     /// The name of the machine.
     pub name: String,
-    /// The service replicas placed on the machine, as tickets, and the team of each.
-    pub standing: Vec<(Ticket, String)>,
+    /// The service replicas placed on the machine, as permits, and the team of each.
+    pub replicas: Vec<(DisruptionPermit, String)>,
     /// The number of cores that arrays use on the machine.
     pub array_cores: f64,
     /// Whether gang tasks run on the machine. Such a machine is not drained before they end.
@@ -114,7 +121,7 @@
     BudgetForbids(String),
     /// This many machines of the wave still have tasks on them or are being released.
     WaveInProgress(usize),
-    /// The machines of the wave are gone, but this many replicas under a ticket do not run yet.
+    /// The machines of the wave are gone, but this many replicas with a permit do not run yet.
     ReplicasStarting(usize),
     /// All of the remaining machines, this many, run gang tasks or are not heard by any
     /// controller.
@@ -126,8 +133,8 @@
 pub struct Step {
     /// The machines of a new wave.
     pub wave: Vec<String>,
-    /// The tickets to issue.
-    pub tickets: Vec<Ticket>,
+    /// The permits to issue.
+    pub permits: Vec<DisruptionPermit>,
     /// Whether the campaign is finished.
     pub finished: bool,
     /// Why the campaign does not advance any further at the moment.
@@ -135,19 +142,19 @@
 }
 
 /// The next step of a campaign. `remaining` holds all existing machines that the campaign
-/// selects, including those of the current wave. At most `max_tickets` tickets are issued.
-pub fn next(
+/// selects, including those of the current wave. At most `max_permits` permits are issued.
+pub fn next_step(
     rec: &MaintenanceRecord,
     campaign: &Campaign,
     remaining: &[Candidate],
     teams: &BTreeMap<String, TeamReplicas>,
-    budget: impl Fn(&str) -> Budget,
-    max_tickets: usize,
+    budget: impl Fn(&str) -> DisruptionBudget,
+    max_permits: usize,
 ) -> Step {
     let mut step = Step::default();
     if rec.wave.is_empty() {
-        if !rec.tickets.is_empty() {
-            step.wait = Some(WaitReason::ReplicasStarting(rec.tickets.len()));
+        if !rec.permits.is_empty() {
+            step.wait = Some(WaitReason::ReplicasStarting(rec.permits.len()));
             return step;
         }
         if remaining.is_empty() {
@@ -161,10 +168,10 @@
         }
         let mut drainable: Vec<&Candidate> = remaining.iter().filter(|c| c.heard && !c.has_gang).collect();
         drainable.sort_by(|a, b| {
-            let by_replicas = a.standing.len().cmp(&b.standing.len());
+            let by_replicas = a.replicas.len().cmp(&b.replicas.len());
             by_replicas.then(a.array_cores.total_cmp(&b.array_cores)).then_with(|| a.name.cmp(&b.name))
         });
-        drainable.truncate(campaign.next_wave_size(rec.waves));
+        drainable.truncate(campaign.next_wave_size(rec.finished_waves));
         if drainable.is_empty() {
             step.wait = Some(WaitReason::NoDrainableMachine(remaining.len()));
         }
@@ -173,23 +180,23 @@
     }
     let mut issued: BTreeMap<&str, u32> = BTreeMap::new();
     let wave = || remaining.iter().filter(|c| rec.wave.contains(&c.name));
-    for (ticket, team) in wave().flat_map(|c| &c.standing) {
-        if rec.tickets.contains(ticket) {
+    for (permit, team) in wave().flat_map(|c| &c.replicas) {
+        if rec.permits.contains(permit) {
             continue;
         }
         let replicas = teams.get(team).copied().unwrap_or_default();
         let budget = budget(team);
         let issued = issued.entry(team).or_default();
-        if step.tickets.len() < max_tickets && *issued < replicas.remaining(&budget) {
+        if step.permits.len() < max_permits && *issued < replicas.remaining(&budget) {
             *issued += 1;
-            step.tickets.push(ticket.clone());
+            step.permits.push(permit.clone());
         } else if budget.allowed_away(replicas.wanted) == 0 {
             step.wait = Some(WaitReason::BudgetForbids(team.clone()));
         } else if step.wait.is_none() {
             step.wait = Some(WaitReason::BudgetUsedUp(team.clone()));
         }
     }
-    if step.wait.is_none() && step.tickets.is_empty() {
+    if step.wait.is_none() && step.permits.is_empty() {
         step.wait = Some(WaitReason::WaveInProgress(wave().count()));
     }
     step
@@ -199,48 +206,54 @@
 mod tests {
     use super::*;
 
-    fn ticket(machine: &str, index: u32) -> Ticket {
-        Ticket { job: "run-1".into(), index, attempt: 1, machine: machine.into() }
+    fn permit(machine: &str, index: u32) -> DisruptionPermit {
+        DisruptionPermit { job: "run-1".into(), index, attempt: 1, machine: machine.into() }
     }
 
     fn machine(name: &str, replicas: std::ops::Range<u32>) -> Candidate {
-        let standing = replicas.map(|i| (ticket(name, i), "t".to_string())).collect();
-        Candidate { name: name.into(), standing, heard: true, ..Candidate::default() }
+        let replicas = replicas.map(|i| (permit(name, i), "t".to_string())).collect();
+        Candidate { name: name.into(), replicas, heard: true, ..Candidate::default() }
     }
 
-    fn step(rec: &MaintenanceRecord, remaining: &[Candidate], wanted: u32, away: u32, budget: Budget) -> Step {
+    fn step(
+        rec: &MaintenanceRecord,
+        remaining: &[Candidate],
+        wanted: u32,
+        away: u32,
+        budget: DisruptionBudget,
+    ) -> Step {
         let teams = BTreeMap::from([("t".to_string(), TeamReplicas { wanted, away })]);
-        next(rec, &Campaign::default(), remaining, &teams, |_| budget, 10)
+        next_step(rec, &Campaign::default(), remaining, &teams, |_| budget, 10)
     }
 
     #[test]
     fn waves_grow_and_start_with_the_machines_that_have_the_fewest_replicas() {
         let mut left = vec![machine("a", 0..3), machine("b", 3..4), machine("c", 4..4), machine("d", 5..7)];
         left[2].heard = false;
-        let two = Budget { away: 2, share: 0.0 };
+        let two = DisruptionBudget { max_away: 2, max_away_share: 0.0 };
         assert_eq!(step(&MaintenanceRecord::default(), &left, 7, 0, two).wave, ["b"]);
-        let rec = MaintenanceRecord { waves: 1, ..MaintenanceRecord::default() };
+        let rec = MaintenanceRecord { finished_waves: 1, ..MaintenanceRecord::default() };
         assert_eq!(step(&rec, &left, 7, 0, two).wave, ["b", "d"]);
         left.iter_mut().for_each(|candidate| candidate.has_gang = true);
         assert_eq!(step(&rec, &left, 7, 0, two).wait, Some(WaitReason::NoDrainableMachine(4)));
         assert!(step(&rec, &[], 7, 0, two).finished);
     }
 
-    /// At most two tickets are issued at a time, however many replicas are in the wave; none
+    /// At most two permits are issued at a time, however many replicas are in the wave; none
     /// while failures use up the budget, and none twice.
     #[test]
-    fn tickets_stay_within_the_remaining_budget() {
+    fn permits_stay_within_the_remaining_budget() {
         let left = [machine("a", 0..3), machine("b", 3..5)];
         let rec = MaintenanceRecord { wave: vec!["a".into(), "b".into()], ..MaintenanceRecord::default() };
-        let two = Budget { away: 2, share: 0.0 };
+        let two = DisruptionBudget { max_away: 2, max_away_share: 0.0 };
         let s = step(&rec, &left, 9, 0, two);
-        assert_eq!(s.tickets, [ticket("a", 0), ticket("a", 1)]);
+        assert_eq!(s.permits, [permit("a", 0), permit("a", 1)]);
         assert_eq!(s.wait, Some(WaitReason::BudgetUsedUp("t".into())));
-        assert_eq!(step(&rec, &left, 9, 1, two).tickets, [ticket("a", 0)]);
-        assert_eq!(step(&rec, &left, 9, 2, two).tickets, []);
-        let rec = MaintenanceRecord { tickets: vec![ticket("a", 0)], ..rec };
-        assert_eq!(step(&rec, &left, 9, 1, two).tickets, [ticket("a", 1)]);
-        let none = Budget { away: 0, share: 0.01 };
+        assert_eq!(step(&rec, &left, 9, 1, two).permits, [permit("a", 0)]);
+        assert_eq!(step(&rec, &left, 9, 2, two).permits, []);
+        let rec = MaintenanceRecord { permits: vec![permit("a", 0)], ..rec };
+        assert_eq!(step(&rec, &left, 9, 1, two).permits, [permit("a", 1)]);
+        let none = DisruptionBudget { max_away: 0, max_away_share: 0.01 };
         assert_eq!(step(&rec, &left, 9, 0, none).wait, Some(WaitReason::BudgetForbids("t".into())));
     }
 
@@ -249,8 +262,8 @@
     #[test]
     fn no_wave_begins_before_the_replicas_of_the_last_one_run() {
         let left = [machine("a", 0..3)];
-        let one = Budget::default();
-        let rec = MaintenanceRecord { tickets: vec![ticket("z", 8)], ..MaintenanceRecord::default() };
+        let one = DisruptionBudget::default();
+        let rec = MaintenanceRecord { permits: vec![permit("z", 8)], ..MaintenanceRecord::default() };
         assert_eq!(step(&rec, &left, 9, 1, one).wait, Some(WaitReason::ReplicasStarting(1)));
         let s = step(&MaintenanceRecord::default(), &left, 9, 4, one);
         assert_eq!((s.wave.len(), s.wait), (0, Some(WaitReason::BudgetUsedUp("t".into()))));
--- a/src/maintenance/mod.rs
+++ b/src/maintenance/mod.rs
@@ -4,8 +4,8 @@
 //! and teams is passed in, steps are returned, and only the leader writes them to the store.
 //! `docs/notes/drains.md` gives the reasons for this design.
 //!
-//! Invariant: a replica is stopped for a campaign only under a ticket. The leader writes
-//! tickets in the transaction that takes them from the budget. A team never has more tickets
+//! Invariant: a replica is stopped for a campaign only with a permit. The leader writes
+//! permits in the transaction that takes them from the budget. A team never has more permits
 //! than its budget leaves beside the replicas that are away because of failures.
 
 #![warn(missing_docs)]
--- a/src/placement/capacity.rs
+++ b/src/placement/capacity.rs
@@ -40,7 +40,7 @@
     /// fetches, and those that it is known to hold.
     pub images: [Images; 2],
     /// Resources used by array tasks, which can be preempted for services.
-    pub arrays: Resources,
+    pub used_by_arrays: Resources,
     /// Amount still to be fetched of the images that the machine is fetching, in GB.
     pub fetching_gb: f64,
 }
@@ -61,7 +61,7 @@
             total_mem_gb: machine_type.mem_gb,
             pull_gb_per_s: machine_type.pull_gb_per_s,
             images: Default::default(),
-            arrays: Resources::default(),
+            used_by_arrays: Resources::default(),
             fetching_gb: 0.0,
         }
     }
@@ -75,11 +75,11 @@
     }
 
     /// The number of tasks of the job's size that fit, regardless of how many tasks the job has.
-    pub fn fits(&self, spec: &JobSpec) -> u32 {
+    pub fn fitting_tasks(&self, spec: &JobSpec) -> u32 {
         self.fits_beside(spec, &Resources::default())
     }
 
-    /// Like [`fits`](Self::fits), as if the resources in `preempted` were free as well.
+    /// Like [`fitting_tasks`](Self::fitting_tasks), as if the resources in `preempted` were free as well.
     pub(super) fn fits_beside(&self, spec: &JobSpec, preempted: &Resources) -> u32 {
         if self.cores + preempted.cores + ROUNDING_TOLERANCE < spec.cores || !self.allowed(spec) {
             return 0;
@@ -114,7 +114,7 @@
 
     /// Seconds until the machine holds the job's image. Fetches share the machine's rate, so all
     /// fetches in progress are included.
-    pub fn image_s(&self, spec: &JobSpec) -> f64 {
+    pub fn seconds_until_image(&self, spec: &JobSpec) -> f64 {
         let gb = match () {
             _ if self.images[1].contains(&spec.image) => 0.0,
             _ if self.images[0].contains(&spec.image) => self.fetching_gb,
@@ -126,11 +126,11 @@
     /// Whether the machine holds the job's image, or is expected to within `seconds` with a
     /// margin for slow fetches.
     pub fn starts_within(&self, spec: &JobSpec, seconds: f64) -> bool {
-        self.image_s(spec) <= seconds * FETCH_TIME_SHARE
+        self.seconds_until_image(spec) <= seconds * FETCH_TIME_SHARE
     }
 
     /// Adds the resources of one task of the job back to the free capacity.
-    pub fn put_back(&mut self, spec: &JobSpec) {
+    pub fn release(&mut self, spec: &JobSpec) {
         self.cores += spec.cores;
         self.gpus += spec.gpus;
         self.mem_gb += spec.mem_gb;
--- a/src/placement/gang.rs
+++ b/src/placement/gang.rs
@@ -2,7 +2,7 @@
 
 #![warn(missing_docs)]
 
-use super::{MachineCapacity, Start, Waiting, placeable_tasks, start_tasks, zone_capacity};
+use super::{MachineCapacity, Start, WaitingJob, placeable_tasks, start_tasks, zone_capacity};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The share of the machines that may be reserved for waiting gangs.
@@ -17,7 +17,7 @@
     /// Number of the gang's tasks that fit there.
     tasks: u32,
     /// Seconds until the machine holds the gang's image.
-    image_s: f64,
+    seconds_until_image: f64,
     /// Free capacity of the machine, as a number of cores.
     free_cores: f64,
 }
@@ -25,7 +25,7 @@
 /// A placement of all tasks of the gang.
 struct GangPlacement {
     /// Seconds until the last machine holds the image, which the whole gang waits for.
-    image_s: f64,
+    seconds_until_image: f64,
     /// Machines, by index, with the number of tasks placed on each.
     tasks_by_machine: Vec<(usize, u32)>,
 }
@@ -34,7 +34,7 @@
 /// the whole gang waits for its last fetch; among equal ones, the fullest.
 pub(super) fn place_gang(
     capacities: &mut [MachineCapacity],
-    gang: &mut Waiting,
+    gang: &mut WaitingJob,
     reserved: &BTreeSet<String>,
     starts: &mut Vec<Start>,
 ) {
@@ -48,7 +48,7 @@
 /// zone separately; of equally good zones the first by name is chosen.
 fn best_placement(
     capacities: &[MachineCapacity],
-    gang: &Waiting,
+    gang: &WaitingJob,
     reserved: &BTreeSet<String>,
 ) -> Option<GangPlacement> {
     let candidates = candidates(capacities, gang, reserved);
@@ -59,7 +59,7 @@
     let mut best: Option<GangPlacement> = None;
     for zone in zones {
         if let Some(placement) = place_on(candidates.iter().filter(|c| c.zone == zone), gang)
-            && best.as_ref().is_none_or(|best| placement.image_s < best.image_s)
+            && best.as_ref().is_none_or(|best| placement.seconds_until_image < best.seconds_until_image)
         {
             best = Some(placement);
         }
@@ -70,7 +70,7 @@
 /// The unreserved machines with room for tasks of the gang, in order of preference.
 fn candidates<'a>(
     capacities: &'a [MachineCapacity],
-    gang: &Waiting,
+    gang: &WaitingJob,
     reserved: &BTreeSet<String>,
 ) -> Vec<Candidate<'a>> {
     let unreserved = capacities.iter().enumerate().filter(|(_, capacity)| !reserved.contains(&capacity.machine));
@@ -79,22 +79,24 @@
             machine,
             zone: &capacity.zone,
             tasks: placeable_tasks(capacity, gang),
-            image_s: capacity.image_s(gang.spec),
+            seconds_until_image: capacity.seconds_until_image(gang.spec),
             free_cores: capacity.free_cores(),
         })
         .filter(|candidate| candidate.tasks > 0)
         .collect();
     // The sort is stable: equal machines keep their order.
-    candidates.sort_by(|a, b| a.image_s.total_cmp(&b.image_s).then(a.free_cores.total_cmp(&b.free_cores)));
+    candidates.sort_by(|a, b| {
+        a.seconds_until_image.total_cmp(&b.seconds_until_image).then(a.free_cores.total_cmp(&b.free_cores))
+    });
     candidates
 }
 
 /// Places all tasks of the gang on these machines, in this order. `None` if they do not all
 /// fit.
-fn place_on<'a>(candidates: impl Iterator<Item = &'a Candidate<'a>>, gang: &Waiting) -> Option<GangPlacement> {
+fn place_on<'a>(candidates: impl Iterator<Item = &'a Candidate<'a>>, gang: &WaitingJob) -> Option<GangPlacement> {
     let mut left = gang.tasks.len() as u32;
-    let mut zones = gang.zones.clone();
-    let mut placement = GangPlacement { image_s: 0.0, tasks_by_machine: Vec::new() };
+    let mut zones = gang.tasks_by_zone.clone();
+    let mut placement = GangPlacement { seconds_until_image: 0.0, tasks_by_machine: Vec::new() };
     for candidate in candidates {
         if left == 0 {
             break;
@@ -104,7 +106,7 @@
         if tasks > 0 {
             *zones.entry(candidate.zone.to_string()).or_default() += tasks;
             left -= tasks;
-            placement.image_s = placement.image_s.max(candidate.image_s);
+            placement.seconds_until_image = placement.seconds_until_image.max(candidate.seconds_until_image);
             placement.tasks_by_machine.push((candidate.machine, tasks));
         }
     }
@@ -116,7 +118,7 @@
 /// such machines. Without a reservation other tasks would take them one by one, and the gang
 /// would need several machines to come free at the same moment. The reserved share of the
 /// fleet is limited ([`MAX_RESERVED_SHARE`]), so that gangs do not leave it idle.
-pub(super) fn reserve_for_gang(capacities: &[MachineCapacity], gang: &Waiting, reserved: &mut BTreeSet<String>) {
+pub(super) fn reserve_for_gang(capacities: &[MachineCapacity], gang: &WaitingJob, reserved: &mut BTreeSet<String>) {
     if gang.tasks.is_empty() {
         return;
     }
--- a/src/placement/knapsack.rs
+++ b/src/placement/knapsack.rs
@@ -9,7 +9,7 @@
 
 /// Identical waiting tasks that one machine could take.
 #[derive(Debug, Clone)]
-pub struct Group {
+pub struct TaskGroup {
     /// Identifier chosen by the caller, by which the result refers to the group.
     pub id: usize,
     /// Number of tasks.
@@ -20,7 +20,7 @@
     pub cpu: u32,
     /// GPUs of one task, in steps, rounded up.
     pub gpu: u32,
-    /// Value of one task (see [`value`]).
+    /// Value of one task (see [`task_value`]).
     pub value: f32,
 }
 
@@ -32,7 +32,7 @@
 /// Amounts of memory, CPUs and GPUs, in this order and in steps.
 pub type Steps = [u32; 3];
 
-impl Group {
+impl TaskGroup {
     /// What one task takes.
     fn steps(&self) -> Steps {
         [self.mem, self.cpu, self.gpu]
@@ -40,7 +40,7 @@
 }
 
 /// The value of a task that takes `cpus` of the machine's `total` CPUs.
-pub fn value(cpus: f64, total: f64) -> f32 {
+pub fn task_value(cpus: f64, total: f64) -> f32 {
     if total <= 0.0 {
         return 0.0;
     }
@@ -69,10 +69,10 @@
 impl Knapsack {
     /// Chooses how many tasks of each group to take so that their total value is greatest and
     /// they fit into `free`. Returns group identifiers with counts above zero.
-    pub fn fill(&mut self, groups: &[Group], free: Steps) -> Vec<(usize, u32)> {
+    pub fn solve(&mut self, groups: &[TaskGroup], free: Steps) -> Vec<(usize, u32)> {
         let usable =
-            |group: &&Group| group.count > 0 && group.steps().iter().zip(free).all(|(need, free)| *need <= free);
-        let groups: Vec<&Group> = groups.iter().filter(usable).collect();
+            |group: &&TaskGroup| group.count > 0 && group.steps().iter().zip(free).all(|(need, free)| *need <= free);
+        let groups: Vec<&TaskGroup> = groups.iter().filter(usable).collect();
         let binds = binding_dimensions(&groups, free);
         if binds == [false; 3] {
             return groups.iter().map(|group| (group.id, group.count)).collect();
@@ -83,7 +83,7 @@
         let divisors = [0, 1, 2].map(divisor);
         let sizes = [0, 1, 2].map(|d| if binds[d] { (free[d] / divisors[d]) as usize + 1 } else { 1 });
         let weight_of =
-            |group: &Group| [0, 1, 2].map(|d| if binds[d] { (group.steps()[d] / divisors[d]) as usize } else { 0 });
+            |group: &TaskGroup| [0, 1, 2].map(|d| if binds[d] { (group.steps()[d] / divisors[d]) as usize } else { 0 });
         let [mem_size, cpu_size, gpu_size] = sizes;
         let cells = mem_size * cpu_size * gpu_size;
         let items = split_into_items(&groups, weight_of, sizes);
@@ -130,14 +130,14 @@
 /// For memory, CPUs and GPUs, whether that dimension can keep a set of tasks from fitting. It
 /// cannot if there is enough of it for all tasks, or if every set that fits in another
 /// dimension that binds fits in this one as well.
-fn binding_dimensions(groups: &[&Group], free: Steps) -> [bool; 3] {
+fn binding_dimensions(groups: &[&TaskGroup], free: Steps) -> [bool; 3] {
     let sum =
         |d: usize| -> u64 { groups.iter().map(|group| u64::from(group.steps()[d]) * u64::from(group.count)).sum() };
     let mut binds = [0, 1, 2].map(|d| sum(d) > u64::from(free[d]));
     for d in 0..3 {
         let is_implied_by = |other: usize| {
             // Every task takes no larger share of this dimension than of the other one.
-            let takes_no_larger_share = |group: &&Group| {
+            let takes_no_larger_share = |group: &&TaskGroup| {
                 let (need, need_of_other) = (u64::from(group.steps()[d]), u64::from(group.steps()[other]));
                 need * u64::from(free[other]) <= need_of_other * u64::from(free[d])
             };
@@ -150,7 +150,11 @@
 
 /// Binary splitting: n identical tasks become about log2(n) items, sums of which give every
 /// number of tasks up to n.
-fn split_into_items(groups: &[&Group], weight_of: impl Fn(&Group) -> [usize; 3], sizes: [usize; 3]) -> Vec<Item> {
+fn split_into_items(
+    groups: &[&TaskGroup],
+    weight_of: impl Fn(&TaskGroup) -> [usize; 3],
+    sizes: [usize; 3],
+) -> Vec<Item> {
     let mut items = Vec::new();
     for (index, group) in groups.iter().enumerate() {
         let weight = weight_of(group);
--- a/src/placement/knapsack/tests.rs
+++ b/src/placement/knapsack/tests.rs
@@ -4,7 +4,7 @@
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 
 /// The greatest value of any set of tasks that fits, found by trying all sets.
-fn best_value(groups: &[Group], free: Steps) -> f32 {
+fn best_value(groups: &[TaskGroup], free: Steps) -> f32 {
     let Some((first, rest)) = groups.split_first() else {
         return 0.0;
     };
@@ -25,19 +25,19 @@
     let mut knapsack = Knapsack::default();
     for round in 0..600 {
         let gpus = if round % 3 == 0 { 1 } else { 5 };
-        let groups: Vec<Group> = (0..rng.random_range(1..5))
-            .map(|id| Group {
+        let groups: Vec<TaskGroup> = (0..rng.random_range(1..5))
+            .map(|id| TaskGroup {
                 id,
                 count: rng.random_range(0..6),
                 mem: rng.random_range(0..9),
                 cpu: rng.random_range(0..9),
                 gpu: rng.random_range(0..gpus),
-                value: value(rng.random_range(0.0..8.0), 8.0),
+                value: task_value(rng.random_range(0.0..8.0), 8.0),
             })
             .collect();
         let free = [rng.random_range(0..30), rng.random_range(0..30), rng.random_range(0..12)];
-        let chosen = knapsack.fill(&groups, free);
-        let total = |f: &dyn Fn(&Group) -> f32| -> f32 {
+        let chosen = knapsack.solve(&groups, free);
+        let total = |f: &dyn Fn(&TaskGroup) -> f32| -> f32 {
             chosen.iter().map(|(id, count)| f(&groups[*id]) * *count as f32).sum()
         };
         for (d, free) in free.iter().enumerate() {
--- a/src/placement/mod.rs
+++ b/src/placement/mod.rs
@@ -18,7 +18,7 @@
 
 use crate::protocol::user::{JobKind, JobSpec, Priority};
 use gang::{place_gang, reserve_for_gang};
-use knapsack::{CPU_STEPS, GPU_STEPS, Group, Knapsack, value};
+use knapsack::{CPU_STEPS, GPU_STEPS, Knapsack, TaskGroup, task_value};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Weight of a job's position in the order of service, which decides among tasks of equal value;
@@ -32,34 +32,34 @@
 
 /// A job with waiting tasks that this controller may start.
 #[derive(Debug)]
-pub struct Waiting<'a> {
+pub struct WaitingJob<'a> {
     /// Specification of the job.
     pub spec: &'a JobSpec,
-    /// Indices of the waiting tasks, in the order in which they are started. [`plan`] cuts them
+    /// Indices of the waiting tasks, in the order in which they are started. [`plan_starts`] cuts them
     /// to the window.
     pub tasks: Vec<u32>,
     /// How long the job has waited, in seconds.
     pub waited_s: f64,
     /// Number of the job's tasks by zone that are, or may still be, on machines.
-    pub zones: BTreeMap<String, u32>,
+    pub tasks_by_zone: BTreeMap<String, u32>,
     /// Seconds that would be left before the deadline if the tasks started now and ran as long
     /// as expected. Negative if they would miss the deadline; infinite for jobs without one.
     pub slack_s: f64,
     /// Work that is left, in CPU seconds.
-    pub work: f64,
+    pub remaining_cpu_s: f64,
     /// Objective for the start, in seconds after the submission.
     pub start_within_s: Option<f64>,
     /// Whether no machine of the shard could start a task within the objective. Set by
-    /// [`plan`].
-    pub hopeless: bool,
+    /// [`plan_starts`].
+    pub misses_start_objective: bool,
     /// Objective for the end, in seconds after the submission.
-    pub aim_s: Option<f64>,
+    pub end_objective_s: Option<f64>,
     /// Number of tasks that are kept waiting for machines that hold their image, since those
     /// should have room for them before the image could be fetched elsewhere.
-    pub stay: u32,
+    pub waiting_for_image: u32,
 }
 
-impl Waiting<'_> {
+impl WaitingJob<'_> {
     /// Whether the job would miss its deadline even if its tasks started now.
     fn misses_deadline(&self) -> bool {
         self.slack_s < 0.0
@@ -74,12 +74,12 @@
     /// Whether the job has no objective for its start that can still be met: it has none at all,
     /// it has missed it already, or no machine can meet it.
     fn has_no_reachable_start_objective(&self) -> bool {
-        self.hopeless || self.start_within_s.is_none_or(|limit_s| self.waited_s > limit_s)
+        self.misses_start_objective || self.start_within_s.is_none_or(|limit_s| self.waited_s > limit_s)
     }
 
     /// The number of tasks that the job may still get in this zone.
     fn zone_capacity(&self, zone: &str) -> u32 {
-        zone_capacity(self.spec, self.spec.task_count, &self.zones, zone)
+        zone_capacity(self.spec, self.spec.task_count, &self.tasks_by_zone, zone)
     }
 }
 
@@ -100,8 +100,8 @@
 
 /// Settings of a placement round.
 #[derive(Debug, Clone)]
-pub struct Rules {
-    /// Number of tasks of each priority that a round considers (see [`plan`]).
+pub struct PlacementSettings {
+    /// Number of tasks of each priority that a round considers (see [`plan_starts`]).
     pub window: usize,
     /// Resolution of memory amounts in the knapsack, in GB.
     pub step_gb: f64,
@@ -110,7 +110,7 @@
     pub wait_limit_s: f64,
     /// Number of empty on-demand machines that are kept free of jobs that may run on spot
     /// machines, because gangs that may not use spot machines wait in some shard.
-    pub keep: usize,
+    pub kept_for_gangs: usize,
 }
 
 /// A task to start, and the machine that it starts on.
@@ -129,18 +129,18 @@
 /// jobs come before all others. Except for gangs, only a window of a priority's tasks is
 /// considered: the longest-waiting ones, and the longest-waiting ones of jobs that can still meet
 /// their deadline. The jobs' tasks that start are removed from `waiting`.
-pub fn plan(
+pub fn plan_starts(
     capacities: &mut [MachineCapacity],
-    waiting: &mut [Waiting],
-    rules: &Rules,
+    waiting: &mut [WaitingJob],
+    settings: &PlacementSettings,
     knapsack: &mut Knapsack,
 ) -> Vec<Start> {
     waiting.sort_by(|a, b| b.spec.priority.cmp(&a.spec.priority).then(b.waited_s.total_cmp(&a.waited_s)));
-    mark_hopeless(waiting, capacities);
+    mark_missed_start_objectives(waiting, capacities);
     let least_cores = waiting.iter().map(|job| job.spec.cores).fold(f64::INFINITY, f64::min);
     let mut round = Round {
         capacities,
-        rules,
+        settings,
         knapsack,
         least_cores,
         reserved: BTreeSet::new(),
@@ -148,8 +148,8 @@
         starts: Vec::new(),
     };
     for priority in [Priority::Production, Priority::High, Priority::Normal, Priority::Low] {
-        let mut jobs: Vec<&mut Waiting> = waiting.iter_mut().filter(|job| job.spec.priority == priority).collect();
-        limit_to_window(&mut jobs, rules.window);
+        let mut jobs: Vec<&mut WaitingJob> = waiting.iter_mut().filter(|job| job.spec.priority == priority).collect();
+        limit_to_window(&mut jobs, settings.window);
         round.place_gangs_and_overdue(&mut jobs);
         round.fill_machines(&mut jobs);
     }
@@ -158,12 +158,12 @@
 
 /// Marks jobs of which no machine of the shard could start a task within the objective. Waiting
 /// for a better machine pays only where capacity is free or arrays can be preempted for it.
-fn mark_hopeless(waiting: &mut [Waiting], capacities: &[MachineCapacity]) {
+fn mark_missed_start_objectives(waiting: &mut [WaitingJob], capacities: &[MachineCapacity]) {
     for job in waiting {
-        job.hopeless = !capacities.iter().any(|capacity| {
+        job.misses_start_objective = !capacities.iter().any(|capacity| {
             job.starts_in_time_on(capacity)
                 && job.zone_capacity(&capacity.zone) > 0
-                && capacity.fits_beside(job.spec, &capacity.arrays) > 0
+                && capacity.fits_beside(job.spec, &capacity.used_by_arrays) > 0
         });
     }
 }
@@ -171,7 +171,7 @@
 /// Limits the tasks considered to the longest-waiting ones, and to the longest-waiting ones of
 /// jobs that can still meet their deadline: otherwise a backlog of jobs that miss theirs would
 /// fill the window. Gangs stay whole.
-fn limit_to_window(jobs: &mut [&mut Waiting], window: usize) {
+fn limit_to_window(jobs: &mut [&mut WaitingJob], window: usize) {
     let (mut left, mut left_in_time) = (window, window);
     for job in jobs.iter_mut().filter(|job| job.spec.kind != JobKind::Gang) {
         job.tasks.truncate(if job.misses_deadline() { left } else { left.max(left_in_time) });
@@ -185,7 +185,7 @@
 /// A placement round with the decisions made so far.
 struct Round<'a> {
     capacities: &'a mut [MachineCapacity],
-    rules: &'a Rules,
+    settings: &'a PlacementSettings,
     knapsack: &'a mut Knapsack,
     /// The fewest cores that any waiting task needs.
     least_cores: f64,
@@ -198,9 +198,9 @@
 
 impl Round<'_> {
     /// Places gangs and overdue jobs, and reserves machines for those that do not fit.
-    fn place_gangs_and_overdue(&mut self, jobs: &mut [&mut Waiting]) {
+    fn place_gangs_and_overdue(&mut self, jobs: &mut [&mut WaitingJob]) {
         for job in jobs {
-            let is_overdue = job.waited_s >= self.rules.wait_limit_of(job);
+            let is_overdue = job.waited_s >= self.settings.wait_limit_of(job);
             if job.spec.kind == JobKind::Gang {
                 place_gang(self.capacities, job, &self.reserved, &mut self.starts);
                 reserve_for_gang(self.capacities, job, &mut self.reserved);
@@ -216,11 +216,11 @@
     /// Solves the knapsacks of all machines that are not reserved, tier by tier: jobs that can
     /// still meet their deadline come first, and for each of these two groups machines that
     /// hold the image.
-    fn fill_machines(&mut self, jobs: &mut [&mut Waiting]) {
-        self.kept_for_gangs = empty_on_demand_machines(self.capacities, self.rules.keep);
+    fn fill_machines(&mut self, jobs: &mut [&mut WaitingJob]) {
+        self.kept_for_gangs = empty_on_demand_machines(self.capacities, self.settings.kept_for_gangs);
         // The job with the least work left comes first: that way the most jobs meet their
         // deadline when there is not room for all.
-        jobs.sort_by(|a, b| a.work.total_cmp(&b.work));
+        jobs.sort_by(|a, b| a.remaining_cpu_s.total_cmp(&b.remaining_cpu_s));
         for tier in Tier::all() {
             for machine in 0..self.capacities.len() {
                 let capacity = &self.capacities[machine];
@@ -233,7 +233,7 @@
     }
 
     /// Solves the knapsack of one machine for a tier, and starts the chosen tasks.
-    fn fill_machine(&mut self, machine: usize, jobs: &mut [&mut Waiting], tier: Tier) {
+    fn fill_machine(&mut self, machine: usize, jobs: &mut [&mut WaitingJob], tier: Tier) {
         let groups = self.knapsack_groups(&self.capacities[machine], jobs, tier);
         if groups.is_empty() {
             return;
@@ -242,17 +242,17 @@
         let steps =
             |amount: f64, steps_per_unit: f64| ((amount + ROUNDING_TOLERANCE) * steps_per_unit).floor().max(0.0) as u32;
         let free = [
-            steps(capacity.mem_gb, 1.0 / self.rules.step_gb),
+            steps(capacity.mem_gb, 1.0 / self.settings.step_gb),
             steps(capacity.cores, CPU_STEPS),
             steps(capacity.gpus, GPU_STEPS),
         ];
-        for (id, count) in self.knapsack.fill(&groups, free) {
+        for (id, count) in self.knapsack.solve(&groups, free) {
             start_tasks(capacity, jobs[id], count, &mut self.starts);
         }
     }
 
     /// The tasks of each job that may enter the machine's knapsack in this tier.
-    fn knapsack_groups(&self, capacity: &MachineCapacity, jobs: &[&mut Waiting], tier: Tier) -> Vec<Group> {
+    fn knapsack_groups(&self, capacity: &MachineCapacity, jobs: &[&mut WaitingJob], tier: Tier) -> Vec<TaskGroup> {
         let steps =
             |amount: f64, steps_per_unit: f64| ((amount - ROUNDING_TOLERANCE) * steps_per_unit).ceil().max(0.0) as u32;
         let kept_for_gangs = self.kept_for_gangs.contains(&capacity.machine);
@@ -264,7 +264,7 @@
             if excluded || job.tasks.is_empty() || !in_tier || !tier.pass.admits(job, capacity, only_image) {
                 continue;
             }
-            let waiting_for_image = if tier.pass.finds_image() { 0 } else { job.stay };
+            let waiting_for_image = if tier.pass.finds_image() { 0 } else { job.waiting_for_image };
             let count = placeable_tasks(capacity, job).min((job.tasks.len() as u32).saturating_sub(waiting_for_image));
             if count == 0 {
                 continue;
@@ -273,23 +273,23 @@
                 only_image = Some(&job.spec.image);
             }
             let tie_breaker = TIE_BREAKER_WEIGHT * (1.0 - id as f32 / jobs.len() as f32);
-            groups.push(Group {
+            groups.push(TaskGroup {
                 id,
                 count,
-                mem: steps(job.spec.mem_gb, 1.0 / self.rules.step_gb),
+                mem: steps(job.spec.mem_gb, 1.0 / self.settings.step_gb),
                 cpu: steps(job.spec.cores, CPU_STEPS),
                 gpu: steps(job.spec.gpus, GPU_STEPS),
-                value: value(job.spec.cores, capacity.total_cores) + tie_breaker,
+                value: task_value(job.spec.cores, capacity.total_cores) + tie_breaker,
             });
         }
         groups
     }
 }
 
-impl Rules {
+impl PlacementSettings {
     /// Seconds after which the job is overdue.
-    fn wait_limit_of(&self, job: &Waiting) -> f64 {
-        let objective_s = job.spec.deadline_s.or(job.aim_s).unwrap_or(0.0);
+    fn wait_limit_of(&self, job: &WaitingJob) -> f64 {
+        let objective_s = job.spec.deadline_s.or(job.end_objective_s).unwrap_or(0.0);
         self.wait_limit_s.max(objective_s * OBJECTIVES_UNTIL_OVERDUE)
     }
 }
@@ -316,7 +316,7 @@
 
     /// Whether tasks of the job may start on the machine in this pass. `only_image` is the one
     /// image that the machine takes in the pass `SingleImage`, once a job has determined it.
-    fn admits(self, job: &Waiting, capacity: &MachineCapacity, only_image: Option<&str>) -> bool {
+    fn admits(self, job: &WaitingJob, capacity: &MachineCapacity, only_image: Option<&str>) -> bool {
         match self {
             Pass::Held => capacity.images[1].contains(&job.spec.image),
             Pass::Fetching => capacity.has_image(job.spec),
@@ -352,28 +352,28 @@
 }
 
 /// Starts the next `count` tasks of the job on the machine.
-fn start_tasks(capacity: &mut MachineCapacity, job: &mut Waiting, count: u32, starts: &mut Vec<Start>) {
+fn start_tasks(capacity: &mut MachineCapacity, job: &mut WaitingJob, count: u32, starts: &mut Vec<Start>) {
     capacity.take(job.spec, count);
     if !capacity.has_image(job.spec) {
         std::rc::Rc::make_mut(&mut capacity.images[0]).insert(job.spec.image.clone());
         capacity.fetching_gb += job.spec.image_gb;
     }
-    *job.zones.entry(capacity.zone.clone()).or_default() += count;
+    *job.tasks_by_zone.entry(capacity.zone.clone()).or_default() += count;
     for index in job.tasks.drain(..count as usize) {
         starts.push(Start { uid: job.spec.uid.clone(), index, machine: capacity.machine.clone() });
     }
 }
 
 /// The number of the job's waiting tasks that may start on the machine.
-fn placeable_tasks(capacity: &MachineCapacity, job: &Waiting) -> u32 {
-    capacity.fits(job.spec).min(job.zone_capacity(&capacity.zone)).min(job.tasks.len() as u32)
+fn placeable_tasks(capacity: &MachineCapacity, job: &WaitingJob) -> u32 {
+    capacity.fitting_tasks(job.spec).min(job.zone_capacity(&capacity.zone)).min(job.tasks.len() as u32)
 }
 
 /// Starts as many of the job's tasks as fit on each unreserved machine in turn, whether or not
 /// the machine holds the image.
 fn place_first_fit(
     capacities: &mut [MachineCapacity],
-    job: &mut Waiting,
+    job: &mut WaitingJob,
     reserved: &BTreeSet<String>,
     starts: &mut Vec<Start>,
 ) {
@@ -393,7 +393,7 @@
 
 /// Reserves the machines with the most free cores among those that could hold a task of the job
 /// if they were empty: one per waiting task of a gang, else one.
-fn reserve_emptiest(capacities: &[MachineCapacity], job: &Waiting, reserved: &mut BTreeSet<String>) {
+fn reserve_emptiest(capacities: &[MachineCapacity], job: &WaitingJob, reserved: &mut BTreeSet<String>) {
     let count = if job.spec.kind == JobKind::Gang { job.tasks.len() } else { 1 };
     let is_large_enough = |capacity: &MachineCapacity| capacity.total_cores + ROUNDING_TOLERANCE >= job.spec.cores;
     let mut suitable: Vec<&MachineCapacity> = capacities
--- a/src/placement/preemption.rs
+++ b/src/placement/preemption.rs
@@ -78,17 +78,17 @@
     let mut candidates: Vec<&Victim> = victims.iter().filter(|victim| victim.may_be_preempted_for(spec)).collect();
     candidates.sort_by(|a, b| a.spec.priority.cmp(&b.spec.priority).then(a.cost.total_cmp(&b.cost)));
     // Cores that are taken while the image is fetched do no work: that counts as a cost, too.
-    let fetch_cost = capacity.image_s(spec) * spec.cores;
+    let fetch_cost = capacity.seconds_until_image(spec) * spec.cores;
     let mut capacity = capacity.clone();
     let mut victims: Vec<Victim> = Vec::new();
     for victim in candidates {
-        if capacity.fits(spec) > 0 {
+        if capacity.fitting_tasks(spec) > 0 {
             break;
         }
-        capacity.put_back(victim.spec);
+        capacity.release(victim.spec);
         victims.push(victim.clone());
     }
-    if capacity.fits(spec) == 0 || victims.is_empty() {
+    if capacity.fitting_tasks(spec) == 0 || victims.is_empty() {
         return None;
     }
     let cost = victims.iter().map(|victim| victim.cost).sum::<f64>() + fetch_cost;
--- a/src/placement/tests.rs
+++ b/src/placement/tests.rs
@@ -20,31 +20,31 @@
         total_mem_gb: 32.0,
         pull_gb_per_s: 0.25,
         images: [Images::default(), Images::new([image.to_string()].into())],
-        arrays: Resources::default(),
+        used_by_arrays: Resources::default(),
         fetching_gb: 0.0,
     }
 }
 
 /// A job with `tasks` waiting tasks and no objective.
-fn waiting_job(spec: &JobSpec, tasks: u32, slack_s: f64, work: f64) -> Waiting<'_> {
-    Waiting {
+fn waiting_job(spec: &JobSpec, tasks: u32, slack_s: f64, work: f64) -> WaitingJob<'_> {
+    WaitingJob {
         spec,
         tasks: (0..tasks).collect(),
         waited_s: 1.0,
-        zones: BTreeMap::new(),
+        tasks_by_zone: BTreeMap::new(),
         slack_s,
-        work,
+        remaining_cpu_s: work,
         start_within_s: None,
-        hopeless: false,
-        aim_s: None,
-        stay: 0,
+        misses_start_objective: false,
+        end_objective_s: None,
+        waiting_for_image: 0,
     }
 }
 
 /// The starts of one round.
-fn starts_of(capacities: &mut [MachineCapacity], mut waiting: Vec<Waiting>) -> Vec<Start> {
-    let rules = Rules { window: 500, step_gb: 0.25, wait_limit_s: 30.0, keep: 0 };
-    plan(capacities, &mut waiting, &rules, &mut Knapsack::default())
+fn starts_of(capacities: &mut [MachineCapacity], mut waiting: Vec<WaitingJob>) -> Vec<Start> {
+    let settings = PlacementSettings { window: 500, step_gb: 0.25, wait_limit_s: 30.0, kept_for_gangs: 0 };
+    plan_starts(capacities, &mut waiting, &settings, &mut Knapsack::default())
 }
 
 /// Guards against gangs that start in part: they hold machines and make no progress.
@@ -174,7 +174,7 @@
 fn tasks_wait_for_a_machine_with_their_image_if_that_is_sooner() {
     let spec = JobSpec::example("run-1");
     let mut job = waiting_job(&spec, 6, 1.0, 1.0);
-    job.stay = 2;
+    job.waiting_for_image = 2;
     let starts = starts_of(&mut [capacity("m1", 1.0, "img"), capacity("m2", 8.0, "")], vec![job]);
     let on = |machine: &str| starts.iter().filter(|s| s.machine == machine).count();
     assert_eq!((on("m1"), on("m2")), (1, 3));
@@ -219,11 +219,11 @@
 fn no_task_waits_for_a_machine_whose_capacity_cannot_be_freed() {
     let mut service = JobSpec::example("run-1");
     (service.kind, service.image_gb) = (JobKind::Service, 10.0);
-    let waiting = || Waiting { start_within_s: Some(4.0), ..waiting_job(&service, 1, 1.0, 1.0) };
+    let waiting = || WaitingJob { start_within_s: Some(4.0), ..waiting_job(&service, 1, 1.0, 1.0) };
     let full = capacity("m1", 0.0, "img");
     let starts = starts_of(&mut [full.clone(), capacity("m2", 8.0, "")], vec![waiting()]);
     assert_eq!(starts.len(), 1);
-    let used_by_arrays = MachineCapacity { arrays: Resources { cores: 2.0, gpus: 0.0, mem_gb: 2.0 }, ..full };
+    let used_by_arrays = MachineCapacity { used_by_arrays: Resources { cores: 2.0, gpus: 0.0, mem_gb: 2.0 }, ..full };
     assert!(starts_of(&mut [used_by_arrays, capacity("m2", 8.0, "")], vec![waiting()]).is_empty());
 }
 
@@ -257,9 +257,9 @@
     on_demand_only.spot_allowed = false;
     let mut capacities = [capacity("m1", 8.0, "img"), capacity("m2", 8.0, "img"), capacity("m3", 7.0, "img")];
     capacities[1].spot = true;
-    let rules = Rules { window: 500, step_gb: 0.25, wait_limit_s: 30.0, keep: 1 };
+    let settings = PlacementSettings { window: 500, step_gb: 0.25, wait_limit_s: 30.0, kept_for_gangs: 1 };
     let mut waiting = vec![waiting_job(&array, 30, 1.0, 1.0), waiting_job(&on_demand_only, 1, 1.0, 2.0)];
-    let starts = plan(&mut capacities, &mut waiting, &rules, &mut Knapsack::default());
+    let starts = plan_starts(&mut capacities, &mut waiting, &settings, &mut Knapsack::default());
     let on = |machine: &str| starts.iter().filter(|s| s.machine == machine && s.uid == "run-1").count();
     assert_eq!((on("m1"), on("m2"), on("m3")), (0, 8, 7));
     assert!(starts.iter().any(|s| s.uid == "run-2" && s.machine == "m1"));
--- a/src/scaling/mod.rs
+++ b/src/scaling/mod.rs
@@ -74,11 +74,11 @@
 
 /// The time after which a silent machine is declared lost. A machine that was only
 /// partitioned continues its tasks if it comes back within its lease. If it was declared
-/// lost before, its tasks start elsewhere, where fetching their images takes `image_s`.
+/// lost before, its tasks start elsewhere, where fetching their images takes `seconds_until_image`.
 /// So if that is long, the machine is declared lost later than after the usual `limit_s`,
 /// but at the end of its lease at the latest unless `limit_s` is longer.
-pub fn declared_lost_after_s(limit_s: f64, image_s: f64, lease_s: f64) -> f64 {
-    limit_s.max((image_s * REFETCH_SHARE).min(lease_s))
+pub fn declared_lost_after_s(limit_s: f64, seconds_until_image: f64, lease_s: f64) -> f64 {
+    limit_s.max((seconds_until_image * REFETCH_SHARE).min(lease_s))
 }
 
 /// Whether all the demand fits in these capacities, which are reduced by what it uses. Stops
@@ -105,7 +105,7 @@
         // The zone that can hold most of the tasks is chosen.
         let mut fitting_by_zone: BTreeMap<&str, u32> = BTreeMap::new();
         for capacity in capacities.iter() {
-            *fitting_by_zone.entry(&capacity.zone).or_default() += capacity.fits(spec).min(left);
+            *fitting_by_zone.entry(&capacity.zone).or_default() += capacity.fitting_tasks(spec).min(left);
         }
         let fitting = fitting_by_zone.iter().filter(|(_, tasks)| **tasks > 0);
         if let Some((zone, _)) = fitting.max_by_key(|(_, tasks)| **tasks) {
@@ -113,7 +113,7 @@
         }
     }
     for capacity in capacities.iter_mut() {
-        let fitting = capacity.fits(spec).min(left);
+        let fitting = capacity.fitting_tasks(spec).min(left);
         if fitting == 0 || (spec.zone_affinity && tasks_by_zone.keys().any(|zone| *zone != capacity.zone)) {
             continue;
         }
@@ -158,7 +158,7 @@
             for _ in 0..number {
                 let mut capacity = MachineCapacity::empty("", machine_type, &offer.zone, offer.spot);
                 let allowed = one.capacity_in(&tasks_by_zone, &offer.zone);
-                let assigned = capacity.fits(one.spec).min(left).min(allowed);
+                let assigned = capacity.fitting_tasks(one.spec).min(left).min(allowed);
                 capacity.take(one.spec, assigned);
                 *tasks_by_zone.entry(offer.zone.clone()).or_default() += assigned;
                 left -= assigned;
@@ -195,7 +195,7 @@
             }
             for spot in [true, false] {
                 let offer = Offer { machine_type: machine_type.label.clone(), zone: zone.clone(), spot };
-                let tasks_per_machine = MachineCapacity::empty("", machine_type, zone, spot).fits(spec);
+                let tasks_per_machine = MachineCapacity::empty("", machine_type, zone, spot).fitting_tasks(spec);
                 if demand.spot_only && spec.spot_allowed && !spot {
                     continue;
                 }
--- a/src/transport/calls.rs
+++ b/src/transport/calls.rs
@@ -54,7 +54,7 @@
             match self.route(&call, &mut full) {
                 Route::Connection(token) => self.start_call(token, call),
                 Route::Wait => waiting.push_back(call),
-                Route::Fail => self.events.push_back(Event::Answer { id: call.id, result: Err(NoAnswer) }),
+                Route::Fail => self.events.push_back(Event::CallEnded { id: call.id, result: Err(NoAnswer) }),
             }
         }
         self.queue = waiting;
@@ -124,7 +124,7 @@
     fn finish_call(&mut self, token: usize, target: Target, call: Option<CallId>, response: http::Response) {
         if let Some(id) = call {
             let reply = Reply { status: response.status, body: response.body };
-            self.events.push_back(Event::Answer { id, result: Ok(reply) });
+            self.events.push_back(Event::CallEnded { id, result: Ok(reply) });
         }
         if response.close || call.is_none() {
             self.close(token);
--- a/src/transport/event_loop.rs
+++ b/src/transport/event_loop.rs
@@ -97,7 +97,7 @@
         self.network.expire();
         self.network.dial_peers();
         if let Some(operator) = self.operator_file.as_mut().and_then(|file| file.poll(now)) {
-            self.network.events.push_back(Event::Operator(Box::new(operator)));
+            self.network.events.push_back(Event::OperatorSettings(Box::new(operator)));
         }
         self.network.events.push_back(Event::Tick);
     }
--- a/src/transport/network.rs
+++ b/src/transport/network.rs
@@ -96,7 +96,7 @@
     /// The address of the store, the cloud or a worker.
     pub(super) fn address(&self, target: Target) -> SocketAddr {
         match target {
-            Target::State => self.store,
+            Target::Store => self.store,
             Target::Cloud => self.cloud,
             Target::Worker(address) => address,
         }
@@ -136,7 +136,7 @@
             Role::Client { target, call } => {
                 self.forget_call_connection(target, token);
                 if let Some(id) = call {
-                    self.events.push_back(Event::Answer { id, result: Err(NoAnswer) });
+                    self.events.push_back(Event::CallEnded { id, result: Err(NoAnswer) });
                 }
                 self.pump_queue();
             }
@@ -194,7 +194,7 @@
         }
         while let Some(index) = self.queue.iter().position(|call| call.deadline <= now) {
             if let Some(call) = self.queue.remove(index) {
-                self.events.push_back(Event::Answer { id: call.id, result: Err(NoAnswer) });
+                self.events.push_back(Event::CallEnded { id: call.id, result: Err(NoAnswer) });
             }
         }
     }
--- a/src/transport/tests.rs
+++ b/src/transport/tests.rs
@@ -28,7 +28,7 @@
     assert!(watched.poll(at(3)).is_none(), "no such team");
     std::fs::write(&file, "campaign \"b\" { wave = 3 }").unwrap();
     assert!(watched.poll(at(3)).is_none(), "not looked at yet");
-    assert_eq!(watched.poll(at(4)).unwrap().campaign["b"].wave, 3);
+    assert_eq!(watched.poll(at(4)).unwrap().campaign["b"].max_wave_size, 3);
     std::fs::remove_file(&file).unwrap();
     assert!(watched.poll(at(5)).is_none());
 }
@@ -89,7 +89,7 @@
 /// The calls that were answered since the last look.
 fn answered(net: &mut Network) -> Vec<CallId> {
     let ok = |e: Event| match e {
-        Event::Answer { id, result } => result.is_ok().then_some(id),
+        Event::CallEnded { id, result } => result.is_ok().then_some(id),
         _ => None,
     };
     std::mem::take(&mut net.events).into_iter().filter_map(ok).collect()
@@ -130,7 +130,7 @@
     net.store = workers[0].local_addr().unwrap();
     let path = "/store/fq/none".into();
     let timeout = Duration::from_secs(4);
-    net.perform(Action::Call { id: 1000, target: Target::State, method: "GET", path, body: None, timeout });
+    net.perform(Action::Call { id: 1000, target: Target::Store, method: "GET", path, body: None, timeout });
     assert_eq!(net.connections.len(), net.max_connections + 1, "the store does not wait for workers");
     let mut kept = Vec::new();
     let mut done = Vec::new();
--- a/tests/forms/operator_file.rs
+++ b/tests/forms/operator_file.rs
@@ -32,7 +32,8 @@
 #[test]
 fn budgets_are_read() {
     let operator = Operator::load(&fixture(), &teams()).unwrap();
-    let budgets: Vec<_> = operator.budget.iter().map(|(team, b)| (team.as_str(), b.away, b.share)).collect();
+    let budgets: Vec<_> =
+        operator.budget.iter().map(|(team, b)| (team.as_str(), b.max_away, b.max_away_share)).collect();
     assert_eq!(budgets, [("open", 1, 0.0), ("search", 2, 0.02)]);
 }
 
@@ -46,10 +47,10 @@
         (Some("std"), Some("zone-a"), Some(true))
     );
     assert_eq!(full.machines.as_deref(), Some(&["host-000231".to_string(), "host-000232".to_string()][..]));
-    assert_eq!((full.first, full.wave), (2, 16));
+    assert_eq!((full.first_wave_size, full.max_wave_size), (2, 16));
     let plain = &operator.campaign["2026-12-hall-b"];
     assert_eq!((&plain.machine_type, &plain.zone, plain.spot, &plain.machines), (&None, &None, None, &None));
-    assert_eq!((plain.first, plain.wave), (1, 8));
+    assert_eq!((plain.first_wave_size, plain.max_wave_size), (1, 8));
 }
 
 #[test]
--- a/tests/forms/stored_records.rs
+++ b/tests/forms/stored_records.rs
@@ -3,7 +3,7 @@
 
 use crate::fixture::{assert_cbor, bytes};
 use ciborium::{Value, cbor};
-use finchquay::maintenance::campaign::{MaintenanceRecord, Ticket};
+use finchquay::maintenance::campaign::{DisruptionPermit, MaintenanceRecord};
 use finchquay::protocol::cloud::MachineType;
 use finchquay::protocol::user::{JobKind, JobSpec, Priority, Status};
 use finchquay::protocol::{decode, encode};
@@ -90,12 +90,17 @@
 fn full_maintenance() -> MaintenanceRecord {
     MaintenanceRecord {
         name: "2026-12-hall-a".into(),
-        upto: "host-000900".into(),
+        last_machine: "host-000900".into(),
         wave: vec!["host-000231".into()],
-        waves: 3,
-        gone: 7,
-        tickets: vec![Ticket { job: "run-000412".into(), index: 9, attempt: 5, machine: "host-000231".into() }],
-        finished: vec!["2026-11-hall-b".into()],
+        finished_waves: 3,
+        machines_gone: 7,
+        permits: vec![DisruptionPermit {
+            job: "run-000412".into(),
+            index: 9,
+            attempt: 5,
+            machine: "host-000231".into(),
+        }],
+        finished_campaigns: vec!["2026-11-hall-b".into()],
     }
 }
 
--- a/tests/maintenance/mod.rs
+++ b/tests/maintenance/mod.rs
@@ -5,7 +5,7 @@
 use crate::world::helpers::{random_failures, running};
 use crate::world::{SMALL, Size, World, array, s, service};
 use finchquay::config::Operator;
-use finchquay::maintenance::budget::Budget;
+use finchquay::maintenance::budget::DisruptionBudget;
 use finchquay::maintenance::campaign::Campaign;
 use rand::RngExt;
 
@@ -14,8 +14,8 @@
 
 fn operator(away: u32) -> Operator {
     let mut o = Operator::default();
-    o.budget.insert("free".into(), Budget { away, share: 0.0 });
-    let campaign = Campaign { zone: Some("a".into()), wave: 4, ..Campaign::default() };
+    o.budget.insert("free".into(), DisruptionBudget { max_away: away, max_away_share: 0.0 });
+    let campaign = Campaign { zone: Some("a".into()), max_wave_size: 4, ..Campaign::default() };
     o.campaign.insert("hall-a".into(), campaign);
     o
 }
@@ -78,8 +78,8 @@
     is_replaced(&mut w, 330.0);
 }
 
-/// All controllers end and are back at once, again and again, between ticket, kill and
-/// proof: tickets are in the store, so none is spent twice, and the campaign ends.
+/// All controllers end and are back at once, again and again, between permit, kill and
+/// proof: permits are in the store, so none is spent twice, and the campaign ends.
 #[test]
 fn restarts_in_the_middle_spend_nothing_twice() {
     for seed in 0..seeds(3) {
@@ -128,7 +128,7 @@
 fn a_campaign_that_is_cancelled_leaves_no_machine_drained() {
     let mut w = fleet(8300, 1);
     let mut slow = w.operator.clone();
-    slow.campaign.get_mut("hall-a").unwrap().wave = 1;
+    slow.campaign.get_mut("hall-a").unwrap().max_wave_size = 1;
     w.reload_operator_settings(slow);
     while old(&w) > 7 && w.now < s(60.0) {
         let t = w.now.as_secs_f64() + 0.5;
@@ -194,10 +194,10 @@
     w.cloud.most = 36;
     w.faults.restart_range_s = Some((0.01, 1.0));
     w.faults.crashes_in_exchanges_until = s(60.0);
-    let all = Campaign { first: 2, wave: 6, ..Campaign::default() };
+    let all = Campaign { first_wave_size: 2, max_wave_size: 6, ..Campaign::default() };
     let mut o = Operator::default();
     o.campaign.insert("all".into(), all);
-    o.budget.insert("capped".into(), Budget { away: 1, share: 0.1 });
+    o.budget.insert("capped".into(), DisruptionBudget { max_away: 1, max_away_share: 0.1 });
     w.reload_operator_settings(o);
     random_failures(w, 24, 12, 300.0);
 }
--- a/tests/models/maintenance.rs
+++ b/tests/models/maintenance.rs
@@ -3,8 +3,8 @@
 //! replicas of a team, each on a machine of the batch, and a budget of one. The step is
 //! the real one (`maintenance::campaign::next`); the rest stands for the controller's maintenance component.
 
-use finchquay::maintenance::budget::{Budget, TeamReplicas};
-use finchquay::maintenance::campaign::{Campaign, Candidate, MaintenanceRecord, Ticket, next};
+use finchquay::maintenance::budget::{DisruptionBudget, TeamReplicas};
+use finchquay::maintenance::campaign::{Campaign, Candidate, DisruptionPermit, MaintenanceRecord, next_step};
 use finchquay_explorer::Model;
 use std::collections::BTreeMap;
 
@@ -13,7 +13,7 @@
 pub struct Rests {
     /// The record is written on its version.
     pub version: bool,
-    /// A replica under a permit counts as away.
+    /// A replica with a permit counts as away.
     pub counted: bool,
     /// A permit comes back only once its replica has had the time to run.
     pub settled: bool,
@@ -44,7 +44,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 struct Stored {
     version: u8,
-    tickets: [bool; REPLICAS],
+    permits: [bool; REPLICAS],
     placed: [Placed; REPLICAS],
 }
 
@@ -54,46 +54,53 @@
     leaders: [Option<Stored>; 2],
     /// What the owner of the machines saw last.
     owner: Stored,
-    /// Writes of tickets: on which version, and what.
+    /// Writes of permits: on which version, and what.
     flying: Vec<(u8, [bool; REPLICAS])>,
     runs: [bool; REPLICAS],
 }
 
-fn ticket(i: usize) -> Ticket {
-    Ticket { job: "run-1".into(), index: i as u32, attempt: 1, machine: format!("m{i}") }
+fn permit(i: usize) -> DisruptionPermit {
+    DisruptionPermit { job: "run-1".into(), index: i as u32, attempt: 1, machine: format!("m{i}") }
 }
 
 impl Maintenance {
-    /// The tickets that a leader with this view wants written.
+    /// The permits that a leader with this view wants written.
     fn decides(&self, view: &Stored, runs: &[bool; REPLICAS]) -> [bool; REPLICAS] {
-        let mut tickets = view.tickets;
+        let mut permits = view.permits;
         for i in 0..REPLICAS {
             // The time that a start takes stands for its having run.
             let back = view.placed[i] == Placed::New && (runs[i] || !self.rests.settled);
-            tickets[i] &= !back;
+            permits[i] &= !back;
         }
-        let away = (0..REPLICAS).filter(|i| view.placed[*i] == Placed::Nowhere || self.rests.counted && tickets[*i]);
+        let away = (0..REPLICAS).filter(|i| view.placed[*i] == Placed::Nowhere || self.rests.counted && permits[*i]);
         let standing = TeamReplicas { wanted: REPLICAS as u32, away: away.count() as u32 };
         let left: Vec<Candidate> = (0..REPLICAS)
             .filter(|i| view.placed[*i] == Placed::Old)
             .map(|i| Candidate {
                 name: format!("m{i}"),
-                standing: vec![(ticket(i), "t".into())],
+                replicas: vec![(permit(i), "t".into())],
                 heard: true,
                 ..Candidate::default()
             })
             .collect();
         let rec = MaintenanceRecord {
             wave: left.iter().map(|c| c.name.clone()).collect(),
-            tickets: (0..REPLICAS).filter(|i| tickets[*i]).map(ticket).collect(),
+            permits: (0..REPLICAS).filter(|i| permits[*i]).map(permit).collect(),
             ..MaintenanceRecord::default()
         };
         let teams = BTreeMap::from([("t".to_string(), standing)]);
-        let step = next(&rec, &Campaign::default(), &left, &teams, |_| Budget { away: 1, share: 0.0 }, REPLICAS);
-        for t in step.tickets {
-            tickets[t.index as usize] = true;
+        let step = next_step(
+            &rec,
+            &Campaign::default(),
+            &left,
+            &teams,
+            |_| DisruptionBudget { max_away: 1, max_away_share: 0.0 },
+            REPLICAS,
+        );
+        for t in step.permits {
+            permits[t.index as usize] = true;
         }
-        tickets
+        permits
     }
 }
 
@@ -101,7 +108,7 @@
     type State = State;
 
     fn start(&self) -> State {
-        let stored = Stored { version: 0, tickets: [false; REPLICAS], placed: [Placed::Old; REPLICAS] };
+        let stored = Stored { version: 0, permits: [false; REPLICAS], placed: [Placed::Old; REPLICAS] };
         State { stored, leaders: [None; 2], owner: stored, flying: Vec::new(), runs: [true; REPLICAS] }
     }
 
@@ -118,7 +125,7 @@
             out.push((format!("leader {p} ends"), n));
             let wants = self.decides(view, &s.runs);
             let write = (view.version, wants);
-            if wants != view.tickets && s.flying.len() < FLYING && !s.flying.contains(&write) {
+            if wants != view.permits && s.flying.len() < FLYING && !s.flying.contains(&write) {
                 let mut n = s.clone();
                 n.flying.push(write);
                 n.flying.sort_unstable();
@@ -127,11 +134,11 @@
         }
         for k in 0..s.flying.len() {
             let mut n = s.clone();
-            let (version, tickets) = n.flying.remove(k);
+            let (version, permits) = n.flying.remove(k);
             if version == s.stored.version || !self.rests.version {
                 // A replica moves once here, so versions stay few.
                 n.stored.version += 1;
-                n.stored.tickets = tickets;
+                n.stored.permits = permits;
             }
             out.push(("a write arrives".into(), n));
         }
@@ -143,7 +150,7 @@
         for i in 0..REPLICAS {
             let mut n = s.clone();
             match s.stored.placed[i] {
-                Placed::Old if s.runs[i] && s.owner.tickets[i] && s.owner.placed[i] == Placed::Old => {
+                Placed::Old if s.runs[i] && s.owner.permits[i] && s.owner.placed[i] == Placed::Old => {
                     n.runs[i] = false;
                     out.push((format!("replica {i} is stopped"), n));
                 }
--- a/tests/world/events.rs
+++ b/tests/world/events.rs
@@ -90,7 +90,7 @@
             WorldEvent::Answer(i, life_id, result) => {
                 let (life, id) = (life_id >> 32, life_id & 0xffff_ffff);
                 if self.nodes[i].life & 0xffff == life & 0xffff {
-                    self.handle_event(i, Event::Answer { id, result });
+                    self.handle_event(i, Event::CallEnded { id, result });
                 }
             }
             WorldEvent::Call(i, life, action) => self.carry_out(i, life, *action),
--- a/tests/world/network.rs
+++ b/tests/world/network.rs
@@ -48,7 +48,7 @@
     pub(super) fn carry_out(&mut self, i: usize, life: u64, action: Action) {
         let Action::Call { id, target, method, path, body, timeout } = action else { return };
         let receiver = match target {
-            Target::State => "state",
+            Target::Store => "state",
             Target::Cloud => "cloud",
             Target::Worker(_) => "worker",
         };
@@ -57,23 +57,23 @@
         let body = body.map(|b| value(&b)).unwrap_or(Value::Null);
         let lag = self.lag();
         let late = match target {
-            Target::State => self.late(self.faults.late_transactions),
+            Target::Store => self.late(self.faults.late_transactions),
             Target::Worker(_) => self.late(self.faults.late_commands),
             Target::Cloud => None,
         };
         let answer = match target {
-            Target::State if self.nodes[i].store_cut => {
+            Target::Store if self.nodes[i].store_cut => {
                 if path == "/multi" {
                     self.nodes[i].held.push(body);
                 }
                 return self.at(timeout.as_secs_f64(), WorldEvent::Answer(i, id, Err(NoAnswer)));
             }
-            Target::State if self.nodes[i].refused || self.store.down => Some((503, vec![])),
-            Target::State if path == "/multi" && late.is_some() => {
+            Target::Store if self.nodes[i].refused || self.store.down => Some((503, vec![])),
+            Target::Store if path == "/multi" && late.is_some() => {
                 self.at(late.unwrap_or_default(), WorldEvent::LateTransaction(body));
                 return self.at(timeout.as_secs_f64(), WorldEvent::Answer(i, id, Err(NoAnswer)));
             }
-            Target::State => {
+            Target::Store => {
                 let answer = self.store.serve(self.now, i, id, method, &path, &body);
                 if self.nodes[i].answers_lost && answer.is_some() {
                     return self.at(timeout.as_secs_f64(), WorldEvent::Answer(i, id, Err(NoAnswer)));
