--- a/tests/world/nodes.rs
+++ b/tests/world/nodes.rs
@@ -66,7 +66,7 @@
         if self.now >= self.faults.crashes_in_exchanges_until {
             return;
         }
-        let Action::Call { target: Target::State, path, .. } = action else { return };
+        let Action::Call { target: Target::Store, path, .. } = action else { return };
         let part = if path == "/multi" { 0.02 } else { 0.002 };
         if self.rng.random_bool(part) {
             let after = self.rng.random_range(0.0..0.015);
@@ -86,7 +86,7 @@
         for event in waits {
             // Its own time-outs are over before it reads what came.
             let event = match event {
-                Event::Answer { id, .. } => Event::Answer { id, result: Err(NoAnswer) },
+                Event::CallEnded { id, .. } => Event::CallEnded { id, result: Err(NoAnswer) },
                 other => other,
             };
             self.handle_event(i, event);
@@ -166,7 +166,7 @@
     pub fn reload_operator_settings(&mut self, operator: Operator) {
         self.operator = operator;
         for i in 0..self.nodes.len() {
-            self.handle_event(i, Event::Operator(Box::new(self.operator.clone())));
+            self.handle_event(i, Event::OperatorSettings(Box::new(self.operator.clone())));
         }
     }
 
@@ -185,7 +185,7 @@
 /// Whom a controller calls, by a name that does not depend on the code's.
 fn target_name(target: &Target) -> String {
     match target {
-        Target::State => "state".to_string(),
+        Target::Store => "state".to_string(),
         Target::Cloud => "cloud".to_string(),
         Target::Worker(address) => address.to_string(),
     }
