--- a/crates/explorer/src/lib.rs
+++ b/crates/explorer/src/lib.rs
@@ -1,7 +1,8 @@
-//! Exhaustive exploration of small state machines: every state that some order of
-//! events leads to is visited once, breadth first, so that the way to a broken
-//! invariant is a shortest one. For models of what real code agrees on by messages
-//! that are lost, late and reordered; a model says which code it stands for.
+//! Exhaustive exploration of small state machines. Every reachable state is visited once,
+//! breadth first, so the path that is reported for a violated invariant is a shortest one.
+//!
+//! It is meant for models of protocols whose messages may be lost, delayed and reordered.
+//! Each model says which code it stands for.
 
 #![warn(missing_docs)]
 #![cfg_attr(not(test), warn(clippy::unwrap_used))]
@@ -12,77 +13,79 @@
 
 /// A state machine with invariants.
 pub trait Model {
-    /// A state; equal states are visited once.
+    /// Type of the states. States that compare equal are visited once.
     type State: Clone + Eq + Hash;
 
-    /// The state that exploration begins with.
+    /// Returns the initial state.
     fn start(&self) -> Self::State;
 
-    /// Adds to `out` every event that may happen next, by name, with the state
-    /// that it leads to.
+    /// Adds every event that can happen in `state` to `out`: its name, and the state that it
+    /// leads to.
     fn next(&self, state: &Self::State, out: &mut Vec<(String, Self::State)>);
 
-    /// Checks the invariants.
+    /// Checks the invariants in a state.
     ///
     /// # Errors
-    /// What is wrong with the state.
+    /// A description of the violated invariant.
     fn check(&self, state: &Self::State) -> Result<(), String>;
 }
 
-/// Size of a state space whose states were all visited and hold.
+/// Size of a state space that was explored completely without a violated invariant.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Explored {
+pub struct StateSpace {
     /// Number of distinct states.
     pub states: usize,
-    /// Number of events on the longest of the shortest paths to a state.
+    /// Number of events on the shortest path to the state that is farthest from the initial
+    /// state.
     pub depth: usize,
 }
 
-/// Why an exploration ended early.
+/// Why an exploration ended before all states were visited.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Failed {
-    /// An invariant does not hold.
+    /// A state violates an invariant.
     Broken {
-        /// What the model's check said.
+        /// Description of the violated invariant, from [`Model::check`].
         what: String,
-        /// Events from the first state to the broken one, in order.
+        /// Names of the events from the initial state to the violating one, in order.
         path: Vec<String>,
     },
-    /// There are more states than were allowed.
-    TooMany(usize),
+    /// There are more states than this limit.
+    TooManyStates(usize),
 }
 
 impl fmt::Display for Failed {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Failed::Broken { what, path } => write!(f, "{what}, after: {}", path.join("; ")),
-            Failed::TooMany(n) => write!(f, "more than {n} states"),
+            Failed::TooManyStates(limit) => write!(f, "more than {limit} states"),
         }
     }
 }
 
 impl std::error::Error for Failed {}
 
-/// A state that was found: the last step of a shortest path to it.
+/// The last step of a shortest path to a state. Discoveries are indexed in the order in which
+/// their states were found.
 struct Discovery {
-    /// Index of the state that it was reached from.
+    /// Index of the state before the step.
     parent: usize,
-    /// Name of the event that led to it.
+    /// Name of the event of the step.
     event: String,
-    /// Number of events from the first state.
+    /// Number of events from the initial state.
     depth: usize,
 }
 
-/// Visits every state of the model.
+/// Visits every reachable state of the model and checks its invariants.
 ///
 /// # Errors
-/// [`Failed::Broken`] with a shortest path where an invariant does not hold,
-/// [`Failed::TooMany`] where there are more than `limit` states.
-pub fn explore<M: Model>(model: &M, limit: usize) -> Result<Explored, Failed> {
-    let first = model.start();
-    let mut known: HashSet<M::State> = HashSet::from([first.clone()]);
+/// [`Failed::Broken`] with a shortest path to a state that violates an invariant, and
+/// [`Failed::TooManyStates`] if there are more than `limit` states.
+pub fn explore<M: Model>(model: &M, limit: usize) -> Result<StateSpace, Failed> {
+    let initial = model.start();
+    let mut known: HashSet<M::State> = HashSet::from([initial.clone()]);
     let mut discoveries = vec![Discovery { parent: 0, event: String::new(), depth: 0 }];
-    let mut layer = vec![(0, first)];
+    let mut layer = vec![(0, initial)];
     let mut depth = 0;
     let mut successors = Vec::new();
     while !layer.is_empty() {
@@ -97,7 +100,7 @@
                     continue;
                 }
                 if discoveries.len() >= limit {
-                    return Err(Failed::TooMany(limit));
+                    return Err(Failed::TooManyStates(limit));
                 }
                 known.insert(successor.clone());
                 next_layer.push((discoveries.len(), successor));
@@ -107,10 +110,10 @@
         depth += usize::from(!next_layer.is_empty());
         layer = next_layer;
     }
-    Ok(Explored { states: discoveries.len(), depth })
+    Ok(StateSpace { states: discoveries.len(), depth })
 }
 
-/// The events that lead from the first state to the one at `index`.
+/// Returns the events that lead from the initial state to the state at `index`.
 fn path(discoveries: &[Discovery], mut index: usize) -> Vec<String> {
     let mut events = Vec::new();
     while discoveries[index].depth > 0 {
--- a/crates/explorer/src/tests.rs
+++ b/crates/explorer/src/tests.rs
@@ -1,10 +1,10 @@
-//! Tests of the exploration with a model of two counters.
+//! Tests of the exploration, with a model of two counters.
 
 use super::*;
 
-/// Two counters up to three, of which the sum must not be `bad`.
+/// Two counters that go up to three. Their sum must not be `forbidden_sum`.
 struct Counters {
-    bad: u8,
+    forbidden_sum: u8,
 }
 
 impl Model for Counters {
@@ -24,20 +24,20 @@
     }
 
     fn check(&self, s: &(u8, u8)) -> Result<(), String> {
-        if s.0 + s.1 == self.bad { Err(format!("sum is {}", self.bad)) } else { Ok(()) }
+        if s.0 + s.1 == self.forbidden_sum { Err(format!("sum is {}", self.forbidden_sum)) } else { Ok(()) }
     }
 }
 
-/// Guards completeness: all 16 states are counted, and the limit is kept.
+/// All 16 states must be counted, and the limit must be kept.
 #[test]
 fn every_state_is_visited_once() {
-    assert_eq!(explore(&Counters { bad: 99 }, 100), Ok(Explored { states: 16, depth: 6 }));
-    assert_eq!(explore(&Counters { bad: 99 }, 10), Err(Failed::TooMany(10)));
+    assert_eq!(explore(&Counters { forbidden_sum: 99 }, 100), Ok(StateSpace { states: 16, depth: 6 }));
+    assert_eq!(explore(&Counters { forbidden_sum: 99 }, 10), Err(Failed::TooManyStates(10)));
 }
 
-/// Guards the use of a report: a longer path would hide the cause.
+/// A path with needless events would make the cause harder to find.
 #[test]
-fn path_to_a_broken_state_is_shortest() {
-    let Err(Failed::Broken { path, .. }) = explore(&Counters { bad: 4 }, 100) else { panic!("not found") };
+fn the_path_to_a_violation_is_a_shortest_one() {
+    let Err(Failed::Broken { path, .. }) = explore(&Counters { forbidden_sum: 4 }, 100) else { panic!("not found") };
     assert_eq!(path.len(), 4);
 }
--- a/crates/hclfile/src/lib.rs
+++ b/crates/hclfile/src/lib.rs
@@ -1,6 +1,6 @@
-//! Typed HCL files. Reads a file into any `Deserialize` type and, where that
-//! fails, says in one line which file, line and key is at fault. The same line
-//! numbers serve checks made later: `File::refuse` finds the key by its path.
+//! Typed HCL files. A [`File`] is deserialized into any `Deserialize` type. If that fails,
+//! the error says in one line which file, line and key is at fault. Checks that are made
+//! later can report the same position: [`File::refuse`] finds a key by its path.
 
 #![warn(missing_docs)]
 #![cfg_attr(not(test), warn(clippy::unwrap_used))]
@@ -14,48 +14,49 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// Why a file was refused: one line that names file, line and key.
+/// Why a file was refused. The error text is one line that names the file and, if they are
+/// known, the line and the key.
 #[derive(Debug, Error)]
 pub enum HclError {
     /// The file could not be read from disk.
     #[error("{}: cannot be read: {cause}", file.display())]
     Read {
-        /// The file.
+        /// Path of the file.
         file: PathBuf,
-        /// What the system said.
+        /// The error that the system returned.
         cause: std::io::Error,
     },
-    /// The text is not HCL.
-    #[error("{}:{line}: {what}", file.display())]
+    /// The text is not valid HCL.
+    #[error("{}:{line}: {message}", file.display())]
     Syntax {
-        /// The file.
+        /// Path of the file.
         file: PathBuf,
-        /// Line, from 1.
+        /// Line number, from 1.
         line: usize,
-        /// What the parser said, on one line.
-        what: String,
+        /// Message of the parser, on one line.
+        message: String,
     },
-    /// The text is HCL, but a key is unknown, missing or has a bad value.
-    #[error("{}:{line}: {key}: {what}", file.display())]
+    /// The text is valid HCL, but a key is unknown or missing, or its value is invalid.
+    #[error("{}:{line}: {key}: {message}", file.display())]
     Key {
-        /// The file.
+        /// Path of the file.
         file: PathBuf,
-        /// Line, from 1.
+        /// Line number, from 1.
         line: usize,
-        /// Path of the key from the top, joined with dots.
+        /// Path of the key from the top of the file, joined with dots.
         key: String,
-        /// What is wrong with it, on one line.
-        what: String,
+        /// What is wrong with the key, on one line.
+        message: String,
     },
 }
 
-/// A file that parsed: its text and where everything stands in it.
+/// A parsed HCL file, with the positions of its keys.
 #[derive(Debug)]
 pub struct File {
     path: PathBuf,
     text: String,
     body: Body,
-    /// What holds where this file says nothing.
+    /// File whose values apply to keys that this file does not set.
     base: Option<Box<File>>,
 }
 
@@ -69,110 +70,113 @@
         File::parse(path, text)
     }
 
-    /// Parses text that came from elsewhere; `path` is its name in errors.
+    /// Parses text that was not read from disk; `path` names it in errors.
     ///
     /// # Errors
     /// [`HclError::Syntax`].
     pub fn parse(path: &Path, text: String) -> Result<File, HclError> {
-        let body = hcl_edit::parser::parse_body(&text).map_err(|e| HclError::Syntax {
+        let body = hcl_edit::parser::parse_body(&text).map_err(|error| HclError::Syntax {
             file: path.into(),
-            line: e.location().line(),
-            what: one_line(e.message()),
+            line: error.location().line(),
+            message: one_line(error.message()),
         })?;
         Ok(File { path: path.into(), text, body, base: None })
     }
 
-    /// Lays this file over another: blocks and keys of both hold, and where
-    /// both have one, this file's does.
+    /// Returns this file merged over a base file: it has the blocks and keys of both, and
+    /// the values of this file for keys that both set.
     pub fn over(mut self, base: File) -> File {
         self.base = Some(Box::new(base));
         self
     }
 
-    /// The string value of a key at the top of this file, if it has one.
+    /// Returns the string value of a key at the top level of this file, without its base;
+    /// `None` if the key is missing or its value is not a string.
     pub fn top(&self, key: &str) -> Option<&str> {
         self.body.get_attribute(key)?.value.as_str()
     }
 
-    /// The file as a JSON value, laid over its base.
-    fn value(&self) -> Result<serde_json::Value, HclError> {
-        let mut value: serde_json::Value = hcl::from_str(&self.text).map_err(|e| HclError::Syntax {
+    /// Returns the file as a JSON value, merged over its base.
+    fn merged_value(&self) -> Result<serde_json::Value, HclError> {
+        let mut value: serde_json::Value = hcl::from_str(&self.text).map_err(|error| HclError::Syntax {
             file: self.path.clone(),
             line: 1,
-            what: one_line(&e.to_string()),
+            message: one_line(&error.to_string()),
         })?;
         if let Some(base) = &self.base {
-            let mut under = base.value()?;
-            lay_over(&mut under, value);
-            value = under;
+            let mut merged = base.merged_value()?;
+            merge(&mut merged, value);
+            value = merged;
         }
         Ok(value)
     }
 
-    /// Reads the whole file as `T`.
+    /// Deserializes the whole file, merged over its base, as `T`.
     ///
     /// # Errors
     /// [`HclError::Key`] with the line of the key that `T` does not accept.
     pub fn typed<T: DeserializeOwned>(&self) -> Result<T, HclError> {
-        let value = self.value()?;
-        serde_path_to_error::deserialize(value).map_err(|e| {
-            let mut path: Vec<String> = e
+        let value = self.merged_value()?;
+        serde_path_to_error::deserialize(value).map_err(|error| {
+            let mut path: Vec<String> = error
                 .path()
                 .iter()
-                .filter_map(|s| match s {
+                .filter_map(|segment| match segment {
                     Segment::Seq { index } => Some(index.to_string()),
                     Segment::Map { key } => Some(key.clone()),
                     Segment::Enum { variant } => Some(variant.clone()),
                     Segment::Unknown => None,
                 })
                 .collect();
-            let what = one_line(&e.inner().to_string());
-            // The unknown key is named in the message only; its line is wanted.
-            if let Some(key) = what.strip_prefix("unknown field `").and_then(|r| r.split('`').next())
-                && path.last().is_none_or(|l| l != key)
+            let message = one_line(&error.inner().to_string());
+            // The path may end above an unknown key, which only the message names. Adding the
+            // key to the path makes the error point to its line.
+            if let Some(key) = message.strip_prefix("unknown field `").and_then(|rest| rest.split('`').next())
+                && path.last().is_none_or(|last| last != key)
             {
                 path.push(key.to_string());
             }
-            let parts: Vec<&str> = path.iter().map(String::as_str).collect();
-            self.refuse(&parts, what)
+            let path: Vec<&str> = path.iter().map(String::as_str).collect();
+            self.refuse(&path, message)
         })
     }
 
-    /// The error for a key that parsed but can't be: `path` is its way from
-    /// the top, by keys, block labels and positions in lists.
-    pub fn refuse(&self, path: &[&str], what: impl Into<String>) -> HclError {
-        let at = match (body_offset(&self.body, path), &self.base) {
-            (Some(at), _) => at,
-            (None, Some(base)) if body_offset(&base.body, path).is_some() => return base.refuse(path, what),
+    /// Returns the error for a key whose value is invalid. `path` leads to the key from the
+    /// top of the file, by keys, block labels and positions in lists. The error names the
+    /// base file if only that one has the key.
+    pub fn refuse(&self, path: &[&str], message: impl Into<String>) -> HclError {
+        let offset = match (body_offset(&self.body, path), &self.base) {
+            (Some(offset), _) => offset,
+            (None, Some(base)) if body_offset(&base.body, path).is_some() => return base.refuse(path, message),
             (None, _) => 0,
         };
-        let line = self.text.get(..at).map_or(1, |t| t.matches('\n').count() + 1);
+        let line = self.text.get(..offset).map_or(1, |before| before.matches('\n').count() + 1);
         let key = if path.is_empty() { "file".to_string() } else { path.join(".") };
-        HclError::Key { file: self.path.clone(), line, key, what: what.into() }
+        HclError::Key { file: self.path.clone(), line, key, message: message.into() }
     }
 }
 
-/// Merges `over` into `under`, key by key; `over` wins.
-fn lay_over(under: &mut serde_json::Value, over: serde_json::Value) {
-    match (under, over) {
-        (serde_json::Value::Object(under), serde_json::Value::Object(over)) => {
-            for (key, value) in over {
-                match under.get_mut(&key) {
-                    Some(u) => lay_over(u, value),
+/// Merges `overlay` into `base`, key by key. For values that are not objects, `overlay` wins.
+fn merge(base: &mut serde_json::Value, overlay: serde_json::Value) {
+    match (base, overlay) {
+        (serde_json::Value::Object(base), serde_json::Value::Object(overlay)) => {
+            for (key, value) in overlay {
+                match base.get_mut(&key) {
+                    Some(base_value) => merge(base_value, value),
                     None => {
-                        under.insert(key, value);
+                        base.insert(key, value);
                     }
                 }
             }
         }
-        (under, over) => *under = over,
+        (base, overlay) => *base = overlay,
     }
 }
 
-/// Joins the lines of a message.
+/// Joins the lines of a message with spaces.
 fn one_line(text: &str) -> String {
-    let parts: Vec<&str> = text.lines().map(str::trim).filter(|l| !l.is_empty()).collect();
-    parts.join(" ")
+    let lines: Vec<&str> = text.lines().map(str::trim).filter(|line| !line.is_empty()).collect();
+    lines.join(" ")
 }
 
 #[cfg(test)]
