--- a/crates/client/src/endpoints/tests.rs
+++ b/crates/client/src/endpoints/tests.rs
@@ -36,10 +36,9 @@
     }
     assert!((0..9).all(|random| endpoints.pick(seconds(4.0), random).0 != first));
     let mut endpoints = three_endpoints();
-    for index in 0..3 {
-        for _ in 0..FAILURES_BEFORE_BACKOFF {
-            endpoints.record(index, seconds(1.0 + index as f64), CallOutcome::Unanswered);
-        }
-    }
+    (0..3).for_each(|index| {
+        let now = seconds(1.0 + index as f64);
+        (0..FAILURES_BEFORE_BACKOFF).for_each(|_| endpoints.record(index, now, CallOutcome::Unanswered));
+    });
     assert_eq!(endpoints.pick(seconds(3.5), 1).0, 0, "if all are in backoff, the one whose backoff ends first");
 }
