--- a/crates/emulator/src/bucket.rs
+++ b/crates/emulator/src/bucket.rs
@@ -1,31 +1,37 @@
-//! A rate limit as the emulated services keep it: bursts worth some seconds.
+//! Token bucket that limits the request and write rates of the emulated services.
+
+#![warn(missing_docs)]
 
 use std::time::Duration;
 
+/// Token bucket: refills at a constant rate up to its capacity.
 #[derive(Debug, Clone)]
 pub struct Bucket {
+    /// Tokens added per second.
     rate: f64,
-    size: f64,
-    level: f64,
-    at: Duration,
+    capacity: f64,
+    tokens: f64,
+    updated_at: Duration,
 }
 
 impl Bucket {
-    /// `rate` a second, with bursts worth `burst_s` seconds.
+    /// Creates a full bucket that refills with `rate` tokens per second and holds as many
+    /// as it gains in `burst_s` seconds, but at least one.
     pub fn new(rate: f64, burst_s: f64) -> Bucket {
-        let size = (rate * burst_s).max(1.0);
-        Bucket { rate, size, level: size, at: Duration::ZERO }
+        let capacity = (rate * burst_s).max(1.0);
+        Bucket { rate, capacity, tokens: capacity, updated_at: Duration::ZERO }
     }
 
-    /// Takes `n` if there is that much.
-    pub fn take(&mut self, now: Duration, n: f64) -> bool {
-        let passed = now.saturating_sub(self.at).as_secs_f64();
-        self.level = (self.level + passed * self.rate).min(self.size);
-        self.at = self.at.max(now);
-        let has = self.level >= n;
-        if has {
-            self.level -= n;
+    /// Removes `count` tokens and returns true, or returns false and removes none where
+    /// the bucket holds fewer.
+    pub fn take(&mut self, now: Duration, count: f64) -> bool {
+        let elapsed_s = now.saturating_sub(self.updated_at).as_secs_f64();
+        self.tokens = (self.tokens + elapsed_s * self.rate).min(self.capacity);
+        self.updated_at = self.updated_at.max(now);
+        let available = self.tokens >= count;
+        if available {
+            self.tokens -= count;
         }
-        has
+        available
     }
 }
--- a/crates/emulator/src/cloud/machine.rs
+++ b/crates/emulator/src/cloud/machine.rs
@@ -1,6 +1,6 @@
-//! What the cloud knows and decides. Pure: time and luck come in. Invariants:
-//! a request id rents once; a name is never used twice; a machine that was listed
-//! stays listed until it is gone.
+//! State and decisions of the emulated cloud, without I/O: the caller passes the time, and
+//! random numbers come from a seed. Invariants: a request id rents at most once; a machine
+//! name is never used twice; a machine that was listed stays listed until it is gone.
 
 use crate::bucket::Bucket;
 use finchquay_protocol::cloud::{
@@ -12,121 +12,166 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
 
-/// A machine that died is listed as running for this long.
-const DEAD_LISTED: Duration = Duration::from_secs(30);
-/// Shortest time that a rental costs.
-const LEAST_HELD_S: f64 = 60.0;
+/// A machine that died is still listed as running for this long.
+const FAILURE_DETECTION_DELAY: Duration = Duration::from_secs(30);
+/// Shortest time that is billed for a rental, in seconds.
+const MIN_BILLED_S: f64 = 60.0;
 
-/// One machine type, and how its machines behave.
+/// A machine type on offer.
 #[derive(Debug, Clone)]
 pub struct Offer {
+    /// Machine type as the catalog lists it.
     pub kind: MachineType,
-    /// Machines that there are of it in each zone: ordinary and spot.
+    /// Capacity in each zone: numbers of on-demand and of spot machines.
     pub capacity: BTreeMap<String, (u32, u32)>,
-    /// Share of machines that never come up.
+    /// Share of the machines that never come up.
     pub cold: f64,
 }
 
+/// Configuration of the emulated cloud.
 #[derive(Debug, Clone)]
 pub struct Config {
+    /// Machine types on offer.
     pub offers: Vec<Offer>,
+    /// Requests per second that are served.
     pub rps: f64,
+    /// Shortest delay of the machine list; the longest is twice as long.
     pub list_lag: Duration,
-    /// Warning before a spot machine is taken; some get none.
+    /// Average time between the preemption notice and the preemption of a spot machine.
     pub notice: Duration,
+    /// Share of preemptions that come without notice.
     pub silent_share: f64,
+    /// Port at which the workers listen, each on the address of its machine.
     pub worker_port: u16,
 }
 
-/// What the emulator may do to the cloud while it runs.
+/// Fault that can be injected into the cloud while it runs.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Fault {
+    /// Begins or ends an outage, in which every request gets 503.
     Outage(bool),
-    /// Boots of a type, or of all, take this many times as long.
+    /// Machines take longer to boot.
     Late {
+        /// Affected machine type; all where absent.
         machine_type: Option<String>,
+        /// Multiple of the usual boot time; 1 ends the fault.
         factor: f64,
     },
-    /// Machines of a type, or of all, never come up from now on.
+    /// Machines that are rented from now on never come up.
     Cold {
+        /// Affected machine type; all where absent.
         machine_type: Option<String>,
+        /// Whether the fault begins.
         on: bool,
     },
-    /// Only this share of the capacity is there.
+    /// Only this share of the capacity is available.
     Scarce(f64),
-    /// So many spot machines are taken back.
+    /// Spot machines are preempted.
     Recall {
+        /// Number of machines.
         count: u32,
     },
-    /// So many machines stop with all that is on them.
+    /// Machines fail with everything on them.
     Die {
+        /// Number of machines.
         count: u32,
     },
 }
 
+/// Change of a machine that the rest of the emulator has to follow.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Happening {
+    /// The machine has booted.
     Up {
+        /// Name of the machine.
         name: String,
     },
-    /// The machine is taken at that time.
+    /// The machine has been given notice of its preemption.
     Notice {
+        /// Name of the machine.
         name: String,
+        /// When it will be preempted.
         at: Duration,
     },
+    /// The machine is gone.
     Gone {
+        /// Name of the machine.
         name: String,
+        /// `released`, `recalled` or `died`.
         why: &'static str,
     },
 }
 
+/// A machine that was rented.
 #[derive(Debug, Clone)]
 pub struct Rental {
+    /// Machine type.
     pub machine_type: String,
+    /// Zone of the machine.
     pub zone: String,
+    /// Whether it is a spot machine.
     pub spot: bool,
+    /// Address at which its worker listens.
     pub addr: SocketAddr,
-    pub since: Duration,
-    /// `None`: never.
+    /// When it was rented.
+    pub rented_at: Duration,
+    /// When it comes up; `None` if it never does.
     up_at: Option<Duration>,
+    /// Whether it has come up.
     pub up: bool,
-    take_at: Option<Duration>,
+    /// When it will be preempted, once it has been given notice.
+    preempt_at: Option<Duration>,
+    /// When it failed.
     died_at: Option<Duration>,
+    /// When the rental ended.
     gone_at: Option<Duration>,
+    /// Whether it has been listed.
     listed: bool,
 }
 
 impl Rental {
+    /// Whether the rental has not ended and the machine has not failed.
     pub fn alive(&self) -> bool {
         self.gone_at.is_none() && self.died_at.is_none()
     }
 }
 
+/// State of the emulated cloud.
 pub struct Cloud {
     config: Config,
+    /// Every machine that was ever rented, by its name.
     rentals: BTreeMap<String, Rental>,
+    /// Machines that each request id has rented.
     request_ids: HashMap<String, Vec<String>>,
+    /// Number of machines that were ever rented; the next name is made from it.
     rented: u32,
     bucket: Bucket,
     rng: StdRng,
     outage: bool,
-    late: Vec<(Option<String>, f64)>,
-    cold: Vec<Option<String>>,
-    scarce: f64,
+    /// Boot time factors, each for a machine type or for all.
+    boot_factors: Vec<(Option<String>, f64)>,
+    /// Machine types whose machines never come up; `None` stands for all.
+    never_up: Vec<Option<String>>,
+    /// Share of the capacity that is available.
+    capacity_share: f64,
     /// Money spent on machines that are gone.
     spent: f64,
-    happened: Vec<Happening>,
+    /// Changes since the last call of [`Cloud::advance`].
+    happenings: Vec<Happening>,
 }
 
-/// Why nothing was rented.
+/// Why a request was refused.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Refusal {
+    /// The request is invalid.
     Malformed,
+    /// No machine of the type is available in the zone.
     NoCapacity,
 }
 
 impl Cloud {
-    /// `rented`: machines that were rented before, whose names are taken.
+    /// Creates a cloud without machines. `rented` is the number of machines that earlier
+    /// runs rented: their names are not used again.
     pub fn new(config: Config, seed: u64, rented: u32) -> Cloud {
         Cloud {
             bucket: Bucket::new(config.rps, 2.0),
@@ -136,15 +181,15 @@
             rented,
             rng: StdRng::seed_from_u64(seed),
             outage: false,
-            late: Vec::new(),
-            cold: Vec::new(),
-            scarce: 1.0,
+            boot_factors: Vec::new(),
+            never_up: Vec::new(),
+            capacity_share: 1.0,
             spent: 0.0,
-            happened: Vec::new(),
+            happenings: Vec::new(),
         }
     }
 
-    /// Whether a request is served: `Err` is the status that it gets.
+    /// Checks whether a request is served. The error is the HTTP status of its response.
     pub fn admit(&mut self, now: Duration) -> Result<(), u16> {
         if self.outage {
             return Err(503);
@@ -152,75 +197,87 @@
         if self.bucket.take(now, 1.0) { Ok(()) } else { Err(429) }
     }
 
-    /// The machine types, with spot prices as they are now.
+    /// Lists the machine types; spot prices fluctuate from call to call.
     pub fn catalog(&mut self) -> Catalog {
         let mut machine_types: Vec<MachineType> = self.config.offers.iter().map(|o| o.kind.clone()).collect();
-        for b in &mut machine_types {
-            b.spot_price *= self.rng.random_range(0.8..1.25);
+        for machine_type in &mut machine_types {
+            machine_type.spot_price *= self.rng.random_range(0.8..1.25);
         }
         Catalog { machine_types }
     }
 
+    /// Returns the machine type with this label.
     pub fn kind(&self, machine_type: &str) -> Option<&MachineType> {
-        self.config.offers.iter().map(|o| &o.kind).find(|k| k.label == machine_type)
+        self.config.offers.iter().map(|o| &o.kind).find(|kind| kind.label == machine_type)
     }
 
+    /// Returns a rented machine by its name.
     pub fn rental(&self, name: &str) -> Option<&Rental> {
         self.rentals.get(name)
     }
 
+    /// Lists the machines that are rented and have not failed, with their names.
     pub fn alive(&self) -> impl Iterator<Item = (&String, &Rental)> {
         self.rentals.iter().filter(|(_, r)| r.alive())
     }
 
-    pub fn rent(&mut self, now: Duration, ask: &RentRequest) -> Result<Vec<String>, Refusal> {
-        if let Some(names) = self.request_ids.get(ask.request_id.as_ref()) {
+    /// Rents up to the requested number of machines and returns their names. A repeated
+    /// request id gets the machines of the first request.
+    pub fn rent(&mut self, now: Duration, request: &RentRequest) -> Result<Vec<String>, Refusal> {
+        if let Some(names) = self.request_ids.get(request.request_id.as_ref()) {
             return Ok(names.clone());
         }
-        let offer = self.config.offers.iter().find(|o| o.kind.label == ask.machine_type).ok_or(Refusal::Malformed)?;
-        let (ordinary, spot) = offer.capacity.get(ask.zone.as_ref()).copied().ok_or(Refusal::Malformed)?;
-        if ask.request_id.is_empty() || !(1..=RENT_LIMIT).contains(&ask.number) {
+        let offer =
+            self.config.offers.iter().find(|o| o.kind.label == request.machine_type).ok_or(Refusal::Malformed)?;
+        let (on_demand, spot) = offer.capacity.get(request.zone.as_ref()).copied().ok_or(Refusal::Malformed)?;
+        if request.request_id.is_empty() || !(1..=RENT_LIMIT).contains(&request.number) {
             return Err(Refusal::Malformed);
         }
-        let most = if ask.spot { spot } else { ordinary };
+        let capacity = if request.spot { spot } else { on_demand };
         let taken = |r: &&Rental| {
-            r.gone_at.is_none() && r.machine_type == ask.machine_type && r.zone == ask.zone && r.spot == ask.spot
+            r.gone_at.is_none()
+                && r.machine_type == request.machine_type
+                && r.zone == request.zone
+                && r.spot == request.spot
         };
         let taken = self.rentals.values().filter(taken).count() as u32;
-        let left = ((f64::from(most) * self.scarce) as u32).saturating_sub(taken);
+        let left = ((f64::from(capacity) * self.capacity_share) as u32).saturating_sub(taken);
         if left == 0 {
             return Err(Refusal::NoCapacity);
         }
-        let (machine_type, zone) = (ask.machine_type.to_string(), ask.zone.to_string());
-        let names: Vec<String> =
-            (0..ask.number.min(left)).map(|_| self.create(now, &machine_type, &zone, ask.spot, false)).collect();
-        self.request_ids.insert(ask.request_id.to_string(), names.clone());
+        let (machine_type, zone) = (request.machine_type.to_string(), request.zone.to_string());
+        let names: Vec<String> = (0..request.number.min(left))
+            .map(|_| self.create(now, &machine_type, &zone, request.spot, false))
+            .collect();
+        self.request_ids.insert(request.request_id.to_string(), names.clone());
         Ok(names)
     }
 
-    /// Adds a machine; `up` at once for those that stand there at the start.
+    /// Adds a machine and returns its name. With `up` it needs no time to boot, as for the
+    /// machines that a scenario begins with.
     pub fn create(&mut self, now: Duration, machine_type: &str, zone: &str, spot: bool, up: bool) -> String {
-        let n = self.rented;
+        let number = self.rented;
         self.rented += 1;
-        let name = format!("host-{n:06}");
-        let [_, _, high, low] = (n / 250 * 256 + n % 250 + 1).to_be_bytes();
+        let name = format!("host-{number:06}");
+        // The last byte of the address takes the values 1 to 250.
+        let [_, _, high, low] = (number / 250 * 256 + number % 250 + 1).to_be_bytes();
         let addr = SocketAddr::from((Ipv4Addr::new(127, 1, high, low), self.config.worker_port));
         let offer = self.config.offers.iter().find(|o| o.kind.label == machine_type);
-        let (startup, cold) = offer.map_or((0.0, 0.0), |o| (o.kind.startup_s, o.cold));
-        let hit = |b: &Option<String>| b.as_deref().is_none_or(|b| b == machine_type);
-        let factor: f64 = self.late.iter().filter(|(b, _)| hit(b)).map(|(_, f)| f).product();
-        let boot = startup * self.rng.random_range(0.6..1.5) * factor;
-        let never = self.rng.random_bool(cold) || self.cold.iter().any(hit);
-        let up_at = if up { Some(now) } else { (!never).then_some(now + Duration::from_secs_f64(boot)) };
+        let (startup_s, cold_share) = offer.map_or((0.0, 0.0), |o| (o.kind.startup_s, o.cold));
+        let affected = |faulty_type: &Option<String>| faulty_type.as_deref().is_none_or(|t| t == machine_type);
+        let factor: f64 = self.boot_factors.iter().filter(|(t, _)| affected(t)).map(|(_, factor)| factor).product();
+        let boot_s = startup_s * self.rng.random_range(0.6..1.5) * factor;
+        let never = self.rng.random_bool(cold_share) || self.never_up.iter().any(affected);
+        let up_at = if up { Some(now) } else { (!never).then_some(now + Duration::from_secs_f64(boot_s)) };
         let rental = Rental {
             machine_type: machine_type.into(),
             zone: zone.into(),
             spot,
             addr,
-            since: now,
+            rented_at: now,
             up_at,
             up: false,
-            take_at: None,
+            preempt_at: None,
             died_at: None,
             gone_at: None,
             listed: false,
@@ -229,48 +286,50 @@
         name
     }
 
-    /// Releases machines; unknown names are passed over.
-    pub fn release(&mut self, now: Duration, ask: &ReleaseRequest) -> Result<(), Refusal> {
-        if ask.machines.len() > RELEASE_LIMIT {
+    /// Releases machines. Unknown names are ignored.
+    pub fn release(&mut self, now: Duration, request: &ReleaseRequest) -> Result<(), Refusal> {
+        if request.machines.len() > RELEASE_LIMIT {
             return Err(Refusal::Malformed);
         }
-        for name in ask.machines.iter() {
+        for name in request.machines.iter() {
             self.end(now, name, "released");
         }
         Ok(())
     }
 
+    /// Ends a rental and bills it.
     fn end(&mut self, now: Duration, name: &str, why: &'static str) {
         let Some(r) = self.rentals.get_mut(name).filter(|r| r.gone_at.is_none()) else { return };
         let was_alive = r.died_at.is_none();
         r.gone_at = Some(now);
-        let held = r.died_at.unwrap_or(now).saturating_sub(r.since).as_secs_f64().max(LEAST_HELD_S);
-        let rate = self.config.offers.iter().find(|o| o.kind.label == r.machine_type).map(|o| &o.kind);
-        self.spent += rate.map_or(0.0, |k| if r.spot { k.spot_price } else { k.on_demand_price }) * held / 3600.0;
+        let billed_s = r.died_at.unwrap_or(now).saturating_sub(r.rented_at).as_secs_f64().max(MIN_BILLED_S);
+        let kind = self.config.offers.iter().find(|o| o.kind.label == r.machine_type).map(|o| &o.kind);
+        self.spent += kind.map_or(0.0, |k| if r.spot { k.spot_price } else { k.on_demand_price }) * billed_s / 3600.0;
         if was_alive {
-            self.happened.push(Happening::Gone { name: name.into(), why });
+            self.happenings.push(Happening::Gone { name: name.into(), why });
         }
     }
 
-    /// Money spent until now, by nominal prices.
+    /// Money spent until now, at list prices: fluctuations of spot prices do not count.
     pub fn spent(&self, now: Duration) -> f64 {
         let running = self.rentals.values().filter(|r| r.gone_at.is_none()).map(|r| {
-            let held = r.died_at.unwrap_or(now).saturating_sub(r.since).as_secs_f64();
-            self.kind(&r.machine_type).map_or(0.0, |k| if r.spot { k.spot_price } else { k.on_demand_price }) * held
+            let held_s = r.died_at.unwrap_or(now).saturating_sub(r.rented_at).as_secs_f64();
+            self.kind(&r.machine_type).map_or(0.0, |k| if r.spot { k.spot_price } else { k.on_demand_price }) * held_s
                 / 3600.0
         });
         self.spent + running.sum::<f64>()
     }
 
-    /// The list as it was up to two lags ago.
+    /// Lists up to `page` machines whose names come after `after`, as they were one to two
+    /// list lags ago.
     pub fn list(&mut self, now: Duration, after: &str, page: usize) -> Page {
-        let seen = now.saturating_sub(self.config.list_lag.mul_f64(self.rng.random_range(1.0..2.0)));
+        let as_of = now.saturating_sub(self.config.list_lag.mul_f64(self.rng.random_range(1.0..2.0)));
         let mut machines = Vec::new();
         let mut truncated = false;
         use std::ops::Bound::{Excluded, Unbounded};
         for (name, r) in self.rentals.range_mut::<str, _>((Excluded(after), Unbounded)) {
-            let gone = r.gone_at.is_some_and(|t| t <= seen);
-            if gone || !(r.listed || r.since <= seen) {
+            let gone = r.gone_at.is_some_and(|t| t <= as_of);
+            if gone || !(r.listed || r.rented_at <= as_of) {
                 continue;
             }
             if machines.len() == page {
@@ -279,8 +338,8 @@
             }
             r.listed = true;
             let phase = match (r.died_at, r.up_at) {
-                (Some(t), _) if t + DEAD_LISTED <= seen => Phase::Failed,
-                (_, Some(t)) if t <= seen => Phase::Running,
+                (Some(t), _) if t + FAILURE_DETECTION_DELAY <= as_of => Phase::Failed,
+                (_, Some(t)) if t <= as_of => Phase::Running,
                 _ => Phase::Booting,
             };
             machines.push(ListedMachine {
@@ -290,24 +349,25 @@
                 zone: r.zone.clone(),
                 spot: r.spot,
                 phase,
-                rented_s: seen.saturating_sub(r.since).as_secs_f64(),
+                rented_s: as_of.saturating_sub(r.rented_at).as_secs_f64(),
             });
         }
         Page { machines, truncated }
     }
 
+    /// Begins or ends a fault.
     pub fn fault(&mut self, now: Duration, fault: &Fault) {
         match fault {
             Fault::Outage(on) => self.outage = *on,
             Fault::Late { machine_type, factor } => {
-                self.late.retain(|(b, _)| b != machine_type);
-                self.late.push((machine_type.clone(), *factor));
+                self.boot_factors.retain(|(affected, _)| affected != machine_type);
+                self.boot_factors.push((machine_type.clone(), *factor));
             }
-            Fault::Cold { machine_type, on: true } => self.cold.push(machine_type.clone()),
-            Fault::Cold { machine_type, on: false } => self.cold.retain(|b| b != machine_type),
-            Fault::Scarce(share) => self.scarce = *share,
+            Fault::Cold { machine_type, on: true } => self.never_up.push(machine_type.clone()),
+            Fault::Cold { machine_type, on: false } => self.never_up.retain(|affected| affected != machine_type),
+            Fault::Scarce(share) => self.capacity_share = *share,
             Fault::Recall { count } => {
-                for name in self.some(*count, |r| r.spot) {
+                for name in self.choose(*count, |r| r.spot) {
                     let silent = self.rng.random_bool(self.config.silent_share);
                     if silent {
                         self.end(now, &name, "recalled");
@@ -315,47 +375,49 @@
                     }
                     let at = now + self.config.notice.mul_f64(self.rng.random_range(0.5..1.5));
                     if let Some(r) = self.rentals.get_mut(&name) {
-                        r.take_at = Some(at);
+                        r.preempt_at = Some(at);
                     }
-                    self.happened.push(Happening::Notice { name, at });
+                    self.happenings.push(Happening::Notice { name, at });
                 }
             }
             Fault::Die { count } => {
-                for name in self.some(*count, |_| true) {
+                for name in self.choose(*count, |_| true) {
                     if let Some(r) = self.rentals.get_mut(&name) {
                         r.died_at = Some(now);
                     }
-                    self.happened.push(Happening::Gone { name, why: "died" });
+                    self.happenings.push(Happening::Gone { name, why: "died" });
                 }
             }
         }
     }
 
-    /// Some machines that are up, drawn by luck.
-    fn some(&mut self, count: u32, which: impl Fn(&Rental) -> bool) -> Vec<String> {
-        let fits = |r: &Rental| r.alive() && r.up && r.take_at.is_none() && which(r);
-        let mut names: Vec<String> = self.rentals.iter().filter(|(_, r)| fits(r)).map(|(n, _)| n.clone()).collect();
-        let mut out = Vec::new();
-        while out.len() < count as usize && !names.is_empty() {
-            out.push(names.swap_remove(self.rng.random_range(0..names.len())));
+    /// Chooses up to `count` machines at random among those that are up, have no preemption
+    /// notice and satisfy `filter`.
+    fn choose(&mut self, count: u32, filter: impl Fn(&Rental) -> bool) -> Vec<String> {
+        let eligible = |r: &Rental| r.alive() && r.up && r.preempt_at.is_none() && filter(r);
+        let mut names: Vec<String> =
+            self.rentals.iter().filter(|(_, r)| eligible(r)).map(|(name, _)| name.clone()).collect();
+        let mut chosen = Vec::new();
+        while chosen.len() < count as usize && !names.is_empty() {
+            chosen.push(names.swap_remove(self.rng.random_range(0..names.len())));
         }
-        out
+        chosen
     }
 
-    /// Lets time pass, and tells all that has happened since it was last asked.
+    /// Advances the clock, and returns the changes since the last call.
     pub fn advance(&mut self, now: Duration) -> Vec<Happening> {
-        let mut taken = Vec::new();
+        let mut preempted = Vec::new();
         for (name, r) in self.rentals.iter_mut().filter(|(_, r)| r.alive()) {
             if !r.up && r.up_at.is_some_and(|t| t <= now) {
                 r.up = true;
-                self.happened.push(Happening::Up { name: name.clone() });
+                self.happenings.push(Happening::Up { name: name.clone() });
             }
-            if r.take_at.is_some_and(|t| t <= now) {
-                taken.push(name.clone());
+            if r.preempt_at.is_some_and(|t| t <= now) {
+                preempted.push(name.clone());
             }
         }
-        taken.iter().for_each(|name| self.end(now, name, "recalled"));
-        std::mem::take(&mut self.happened)
+        preempted.iter().for_each(|name| self.end(now, name, "recalled"));
+        std::mem::take(&mut self.happenings)
     }
 }
 
--- a/crates/emulator/src/cloud/machine/tests.rs
+++ b/crates/emulator/src/cloud/machine/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the emulated cloud: instances, capacity, bills and faults.
+//! Tests of the emulated cloud: rentals, capacity, the machine list, rate limit and faults.
 
 use super::*;
 
@@ -28,47 +28,47 @@
     )
 }
 
-fn ask(request_id: &str, number: u32, spot: bool) -> RentRequest<'_> {
+fn request(request_id: &str, number: u32, spot: bool) -> RentRequest<'_> {
     RentRequest { request_id: request_id.into(), machine_type: "std".into(), zone: "a".into(), spot, number }
 }
 
 #[test]
-fn a_request_id_rents_once_and_no_more_than_there_is() {
+fn a_request_id_rents_once_and_within_the_capacity() {
     let mut c = cloud();
-    let first = c.rent(s(0.0), &ask("r-1", 2, false)).unwrap();
-    assert_eq!(c.rent(s(1.0), &ask("r-1", 2, false)).unwrap(), first);
-    assert_eq!(c.rent(s(1.0), &ask("r-2", 9, false)).unwrap().len(), 1);
-    assert_eq!(c.rent(s(1.0), &ask("r-3", 1, false)), Err(Refusal::NoCapacity));
-    assert_eq!(c.rent(s(1.0), &ask("r-4", 51, true)), Err(Refusal::Malformed));
+    let first = c.rent(s(0.0), &request("r-1", 2, false)).unwrap();
+    assert_eq!(c.rent(s(1.0), &request("r-1", 2, false)).unwrap(), first);
+    assert_eq!(c.rent(s(1.0), &request("r-2", 9, false)).unwrap().len(), 1);
+    assert_eq!(c.rent(s(1.0), &request("r-3", 1, false)), Err(Refusal::NoCapacity));
+    assert_eq!(c.rent(s(1.0), &request("r-4", 51, true)), Err(Refusal::Malformed));
     assert_eq!(
-        c.rent(s(1.0), &RentRequest { machine_type: "x".into(), ..ask("r-5", 1, true) }),
+        c.rent(s(1.0), &RentRequest { machine_type: "x".into(), ..request("r-5", 1, true) }),
         Err(Refusal::Malformed)
     );
     c.release(s(2.0), &ReleaseRequest { machines: vec![first[0].clone(), "nobody".into()].into() }).unwrap();
-    let next = c.rent(s(2.0), &ask("r-3", 1, false)).unwrap();
-    assert!(!first.contains(&next[0]), "names are never used again");
+    let next = c.rent(s(2.0), &request("r-3", 1, false)).unwrap();
+    assert!(!first.contains(&next[0]), "machine names are never used again");
     c.fault(s(2.0), &Fault::Scarce(0.2));
-    assert_eq!(c.rent(s(2.0), &ask("r-6", 5, true)).unwrap().len(), 1);
+    assert_eq!(c.rent(s(2.0), &request("r-6", 5, true)).unwrap().len(), 1);
 }
 
 #[test]
-fn machines_come_up_late_or_never_and_go_with_notice() {
+fn machines_boot_late_or_never_and_are_preempted_with_notice() {
     let mut c = cloud();
-    let name = c.rent(s(0.0), &ask("r-1", 1, true)).unwrap().remove(0);
+    let name = c.rent(s(0.0), &request("r-1", 1, true)).unwrap().remove(0);
     assert!(c.advance(s(5.9)).is_empty());
     assert_eq!(c.advance(s(15.1)), [Happening::Up { name: name.clone() }]);
     c.fault(s(16.0), &Fault::Recall { count: 3 });
     assert!(matches!(&c.advance(s(16.0))[..], [Happening::Notice { .. }]));
     assert_eq!(c.advance(s(31.1)), [Happening::Gone { name, why: "recalled" }]);
     c.fault(s(32.0), &Fault::Cold { machine_type: None, on: true });
-    c.rent(s(32.0), &ask("r-2", 1, true)).unwrap();
+    c.rent(s(32.0), &request("r-2", 1, true)).unwrap();
     assert!(c.advance(s(3600.0)).is_empty());
 }
 
 #[test]
 fn the_list_lags_and_keeps_what_it_has_shown() {
     let mut c = cloud();
-    let name = c.rent(s(10.0), &ask("r-1", 1, false)).unwrap().remove(0);
+    let name = c.rent(s(10.0), &request("r-1", 1, false)).unwrap().remove(0);
     assert!(c.list(s(13.9), "", 500).machines.is_empty());
     let shown = (0..50).map(|i| c.list(s(14.0 + 0.1 * f64::from(i)), "", 500).machines.len()).collect::<Vec<_>>();
     assert!(shown.is_sorted() && shown[49] == 1, "{shown:?}");
--- a/crates/emulator/src/cloud/mod.rs
+++ b/crates/emulator/src/cloud/mod.rs
@@ -1,5 +1,8 @@
-//! The cloud: rents machines of some types, lists them late, takes spot ones
-//! back. `machine` decides, `service` speaks HTTP.
+//! Emulated cloud: rents machines of several types, lists them with a delay, and preempts
+//! spot machines. [`machine`] holds the state and the decisions, [`service`] answers the
+//! HTTP requests.
+
+#![warn(missing_docs)]
 
 pub mod machine;
 pub mod service;
--- a/crates/emulator/src/cluster.rs
+++ b/crates/emulator/src/cluster.rs
@@ -1,5 +1,8 @@
-//! The controllers: real processes, started as a user starts them, watched,
-//! ended and frozen. Links between them pass relays that can refuse.
+//! Controllers of a run: real processes, started with a settings file as in a deployment,
+//! supervised, killed and frozen. Connections between them pass through relays that can
+//! refuse them.
+
+#![warn(missing_docs)]
 
 use crate::history::{Event, Recorder};
 use crate::scenario::Scenario;
@@ -18,70 +21,101 @@
 use tokio::sync::mpsc;
 use tokio::task::{JoinHandle, JoinSet};
 
+/// Why the controllers cannot be started.
 #[derive(Debug, Error)]
 pub enum ClusterError {
+    /// The controller program does not exist.
     #[error("{}: no controller program there; build it with `cargo build --release` or name one with --controller", .0.display())]
     NoBinary(PathBuf),
+    /// A listener cannot be bound.
     #[error("{address}: {cause}")]
-    Address { address: SocketAddr, cause: std::io::Error },
+    Address {
+        /// Address of the listener.
+        address: SocketAddr,
+        /// Error of the operating system.
+        cause: std::io::Error,
+    },
+    /// A settings file cannot be written.
     #[error("{}: {cause}", file.display())]
-    File { file: PathBuf, cause: std::io::Error },
+    File {
+        /// Path of the file.
+        file: PathBuf,
+        /// Error of the file system.
+        cause: std::io::Error,
+    },
+    /// The settings cannot be serialised.
     #[error("{0}")]
     Settings(toml::ser::Error),
 }
 
-/// One controller's addresses.
+/// Name, zone and addresses of one controller.
 #[derive(Debug, Clone)]
 pub struct Place {
+    /// Name of the controller.
     pub member: String,
+    /// Zone of the controller.
     pub zone: String,
+    /// Address for users and workers.
     pub public: SocketAddr,
+    /// Address at which it listens for other controllers.
     peers: SocketAddr,
+    /// Address of its relay, to which other controllers connect.
     relay: SocketAddr,
-    /// Its own way to the state service.
+    /// Address of the state service for this controller alone, so that faults can be
+    /// injected for one controller.
     pub state: SocketAddr,
 }
 
-enum Order {
-    /// Back after this long, or as the scenario has it.
+enum ProcessCommand {
+    /// Kill the process and start it again after this time; after the restart time of the
+    /// scenario where absent.
     Kill(Option<Duration>),
+    /// Kill the process for good.
     Stop,
 }
 
-struct Member {
-    commands: mpsc::UnboundedSender<Order>,
+/// Handle of a supervised controller process.
+struct Controller {
+    commands: mpsc::UnboundedSender<ProcessCommand>,
+    /// Process id; 0 while no process runs.
     pid: Arc<AtomicI32>,
-    watcher: JoinHandle<()>,
+    supervisor: JoinHandle<()>,
 }
 
+/// All controllers of a run.
 pub struct Cluster {
+    /// Addresses of the controllers, by their number.
     pub places: Vec<Place>,
-    members: Vec<Member>,
+    controllers: Vec<Controller>,
+    /// Whether the relay of each controller refuses connections.
     refused: Vec<Arc<AtomicBool>>,
     _relays: JoinSet<()>,
 }
 
-/// Sockets that the emulator holds for the controllers.
+/// Listeners of the emulated services, which the controllers connect to.
 pub struct Sockets {
+    /// Listeners of the state service, one for each controller.
     pub state: Vec<TcpListener>,
+    /// Listener of the cloud.
     pub cloud: TcpListener,
 }
 
-/// Binds a listener, saying which address could not be had.
+/// Binds a listener. The error names the address.
 pub async fn bind(address: SocketAddr) -> Result<TcpListener, ClusterError> {
     TcpListener::bind(address).await.map_err(|cause| ClusterError::Address { address, cause })
 }
 
-/// A port that is free on an address, or an error if `wanted` is not.
-pub fn port(ip: Ipv4Addr, wanted: u16) -> Result<SocketAddr, ClusterError> {
-    let address = SocketAddr::from((ip, wanted));
-    let at = StdListener::bind(address).and_then(|l| l.local_addr());
-    at.map_err(|cause| ClusterError::Address { address, cause })
+/// Returns an address with a port that is free: `requested`, or any port where that is 0.
+/// Fails if the requested port is in use.
+pub fn port(ip: Ipv4Addr, requested: u16) -> Result<SocketAddr, ClusterError> {
+    let address = SocketAddr::from((ip, requested));
+    let bound = StdListener::bind(address).and_then(|listener| listener.local_addr());
+    bound.map_err(|cause| ClusterError::Address { address, cause })
 }
 
 impl Cluster {
-    /// Chooses addresses, writes settings and starts the controllers.
-    /// `public_port` 0 takes free ports.
+    /// Chooses addresses, writes the settings files to `dir` and starts the controllers.
+    /// Every controller uses `public_port` on an address of its own; 0 chooses free ports.
     pub async fn start(
         scenario: &Scenario,
         binary: &Path,
@@ -92,41 +126,43 @@
         if !binary.is_file() {
             return Err(ClusterError::NoBinary(binary.into()));
         }
-        let ip = |net: u8, i: usize| Ipv4Addr::new(127, 0, net, i as u8 + 1);
-        let local = |l: &TcpListener, address| l.local_addr().map_err(|cause| ClusterError::Address { address, cause });
+        let ip = |subnet: u8, i: usize| Ipv4Addr::new(127, 0, subnet, i as u8 + 1);
+        let local_address = |listener: &TcpListener, address| {
+            listener.local_addr().map_err(|cause| ClusterError::Address { address, cause })
+        };
         let (mut places, mut state, mut relays) = (Vec::new(), Vec::new(), Vec::new());
         for i in 0..scenario.controllers.count {
-            let any = SocketAddr::from((ip(2, i), 0));
-            let (store, relay) = (bind(any).await?, bind(SocketAddr::from((ip(4, i), 0))).await?);
+            let any_port = SocketAddr::from((ip(2, i), 0));
+            let (state_listener, relay) = (bind(any_port).await?, bind(SocketAddr::from((ip(4, i), 0))).await?);
             places.push(Place {
                 member: format!("perch-{i}"),
                 zone: scenario.zones[i % scenario.zones.len()].clone(),
                 public: port(ip(1, i), public_port)?,
                 peers: port(ip(1, i), 0)?,
-                relay: local(&relay, any)?,
-                state: local(&store, any)?,
+                relay: local_address(&relay, any_port)?,
+                state: local_address(&state_listener, any_port)?,
             });
-            state.push(store);
+            state.push(state_listener);
             relays.push(relay);
         }
-        let any = SocketAddr::from((ip(3, 0), 0));
-        let cloud = bind(any).await?;
-        let cloud_at = local(&cloud, any)?;
-        let (mut running, mut refused) = (JoinSet::new(), Vec::new());
+        let any_port = SocketAddr::from((ip(3, 0), 0));
+        let cloud = bind(any_port).await?;
+        let cloud_address = local_address(&cloud, any_port)?;
+        let (mut relay_tasks, mut refused) = (JoinSet::new(), Vec::new());
         for (place, relay) in places.iter().zip(relays) {
-            let off = Arc::new(AtomicBool::new(false));
-            running.spawn(relay_loop(relay, place.peers, off.clone()));
-            refused.push(off);
+            let refuse = Arc::new(AtomicBool::new(false));
+            relay_tasks.spawn(relay_loop(relay, place.peers, refuse.clone()));
+            refused.push(refuse);
         }
-        let mut members = Vec::new();
+        let mut controllers = Vec::new();
         for (i, place) in places.iter().enumerate() {
             let file = dir.join(format!("{}.toml", place.member));
-            let text = settings(scenario, &places, i, cloud_at).map_err(ClusterError::Settings)?;
+            let text = settings(scenario, &places, i, cloud_address).map_err(ClusterError::Settings)?;
             std::fs::write(&file, text).map_err(|cause| ClusterError::File { file: file.clone(), cause })?;
             let log = dir.join(format!("{}.log", place.member));
             let (commands, inbox) = mpsc::unbounded_channel();
             let pid = Arc::new(AtomicI32::new(0));
-            let watched = Watched {
+            let supervisor = Supervisor {
                 member: place.member.clone(),
                 binary: binary.into(),
                 settings: file,
@@ -135,63 +171,64 @@
                 pid: pid.clone(),
                 recorder: recorder.clone(),
             };
-            let watcher = tokio::spawn(watched.watch(inbox));
-            members.push(Member { commands, pid, watcher });
+            let supervisor = tokio::spawn(supervisor.run(inbox));
+            controllers.push(Controller { commands, pid, supervisor });
         }
-        Ok((Cluster { places, members, refused, _relays: running }, Sockets { state, cloud }))
+        Ok((Cluster { places, controllers, refused, _relays: relay_tasks }, Sockets { state, cloud }))
     }
 
-    /// Ends a controller without a signal that it could handle; it comes back after
-    /// `restart`, or as the scenario has it.
+    /// Kills controller `i` with SIGKILL. It is started again after `restart`, or after the
+    /// restart time of the scenario where that is absent.
     pub fn kill(&self, i: usize, restart: Option<Duration>) {
-        if let Some(m) = self.members.get(i) {
-            let _ = m.commands.send(Order::Kill(restart));
+        if let Some(controller) = self.controllers.get(i) {
+            let _ = controller.commands.send(ProcessCommand::Kill(restart));
         }
     }
 
-    /// Stops or resumes a controller's execution; its clocks run on.
+    /// Suspends (`on`) or resumes the process of controller `i`. Its clocks run on.
     pub fn freeze(&self, i: usize, on: bool) {
-        let pid = self.members.get(i).and_then(|m| Pid::from_raw(m.pid.load(Ordering::SeqCst)));
+        let pid = self.controllers.get(i).and_then(|c| Pid::from_raw(c.pid.load(Ordering::SeqCst)));
         if let Some(pid) = pid {
             let _ = kill_process(pid, if on { Signal::STOP } else { Signal::CONT });
         }
     }
 
-    /// Refuses connections to a controller from the others, and cuts those that are open.
+    /// While `on`, refuses connections of other controllers to controller `i` and closes
+    /// those that are open.
     pub fn refuse_peers(&self, i: usize, on: bool) {
-        if let Some(r) = self.refused.get(i) {
-            r.store(on, Ordering::SeqCst);
+        if let Some(refused) = self.refused.get(i) {
+            refused.store(on, Ordering::SeqCst);
         }
     }
 
-    /// Memory in MB and processor time in seconds of each controller.
+    /// Memory in MB and CPU time in seconds of each controller that runs.
     pub fn usage(&self) -> BTreeMap<String, (f64, f64)> {
-        let mut out = BTreeMap::new();
-        for (place, m) in self.places.iter().zip(&self.members) {
-            let pid = m.pid.load(Ordering::SeqCst);
+        let mut usage = BTreeMap::new();
+        for (place, controller) in self.places.iter().zip(&self.controllers) {
+            let pid = controller.pid.load(Ordering::SeqCst);
             let stat = (pid > 0).then(|| procfs::process::Process::new(pid).and_then(|p| p.stat()).ok()).flatten();
-            if let Some(s) = stat {
-                let mb = s.rss as f64 * procfs::page_size() as f64 / 1_048_576.0;
-                let cpu = (s.utime + s.stime) as f64 / procfs::ticks_per_second() as f64;
-                out.insert(place.member.clone(), (mb, cpu));
+            if let Some(stat) = stat {
+                let memory_mb = stat.rss as f64 * procfs::page_size() as f64 / 1_048_576.0;
+                let cpu_s = (stat.utime + stat.stime) as f64 / procfs::ticks_per_second() as f64;
+                usage.insert(place.member.clone(), (memory_mb, cpu_s));
             }
         }
-        out
+        usage
     }
 
-    /// Ends every controller for good.
+    /// Kills every controller for good, and waits until all have exited.
     pub async fn stop(self) {
-        for m in &self.members {
-            let _ = m.commands.send(Order::Stop);
+        for controller in &self.controllers {
+            let _ = controller.commands.send(ProcessCommand::Stop);
         }
-        for m in self.members {
-            let _ = m.watcher.await;
+        for controller in self.controllers {
+            let _ = controller.supervisor.await;
         }
     }
 }
 
-/// One controller's process, started again whenever it ends.
-struct Watched {
+/// Runs the process of one controller and starts it again whenever it exits.
+struct Supervisor {
     member: String,
     binary: PathBuf,
     settings: PathBuf,
@@ -201,7 +238,7 @@
     recorder: Recorder,
 }
 
-impl Watched {
+impl Supervisor {
     fn spawn(&self) -> std::io::Result<Child> {
         let log = std::fs::OpenOptions::new().create(true).append(true).open(&self.log)?;
         Command::new(&self.binary)
@@ -210,135 +247,139 @@
             .stdin(Stdio::null())
             .stdout(Stdio::null())
             .stderr(log)
-            // A Ctrl-C in the terminal is for us; we end our children.
+            // A process group of its own: Ctrl-C in the terminal must reach only the emulator,
+            // which then ends its children.
             .process_group(0)
             .kill_on_drop(true)
             .spawn()
     }
 
-    fn note(&self, what: &str) {
+    fn record(&self, what: &str) {
         self.recorder.record(Event::Controller { controller: self.member.clone(), what: what.into() });
     }
 
-    async fn watch(self, mut commands: mpsc::UnboundedReceiver<Order>) {
+    async fn run(self, mut commands: mpsc::UnboundedReceiver<ProcessCommand>) {
         loop {
             let mut child = match self.spawn() {
                 Ok(c) => c,
                 Err(e) => {
                     eprintln!("finchquay-emulator: {}: {e}", self.binary.display());
-                    self.note("not started");
+                    self.record("not started");
                     return;
                 }
             };
             self.pid.store(child.id().map_or(0, |p| p as i32), Ordering::SeqCst);
-            self.note("started");
-            let order = tokio::select! {
+            self.record("started");
+            let command = tokio::select! {
                 _ = child.wait() => None,
-                order = commands.recv() => Some(order),
+                command = commands.recv() => Some(command),
             };
             self.pid.store(0, Ordering::SeqCst);
             let _ = child.kill().await;
-            let restart = match order {
+            let restart = match command {
                 None => {
-                    self.note("ended");
+                    self.record("ended");
                     None
                 }
-                Some(Some(Order::Kill(restart))) => {
-                    self.note("killed");
+                Some(Some(ProcessCommand::Kill(restart))) => {
+                    self.record("killed");
                     restart
                 }
-                Some(Some(Order::Stop) | None) => return,
+                Some(Some(ProcessCommand::Stop) | None) => return,
             };
-            let back = tokio::time::sleep(restart.unwrap_or(self.restart));
-            tokio::pin!(back);
+            let pause = tokio::time::sleep(restart.unwrap_or(self.restart));
+            tokio::pin!(pause);
             loop {
                 tokio::select! {
-                    () = &mut back => break,
-                    order = commands.recv() => if matches!(order, Some(Order::Stop) | None) { return },
+                    () = &mut pause => break,
+                    command = commands.recv() => if matches!(command, Some(ProcessCommand::Stop) | None) { return },
                 }
             }
         }
     }
 }
 
-/// Passes bytes on to a controller's peer port unless that is refused.
+/// Forwards connections to the peer port of a controller, unless they are refused.
 async fn relay_loop(listener: TcpListener, to: SocketAddr, refused: Arc<AtomicBool>) {
-    let mut links = JoinSet::new();
+    let mut connections = JoinSet::new();
     loop {
         tokio::select! {
             accepted = listener.accept() => {
-                let Ok((mut near, _)) = accepted else { continue };
+                let Ok((mut inbound, _)) = accepted else { continue };
                 if refused.load(Ordering::SeqCst) {
                     continue;
                 }
-                let _ = near.set_nodelay(true);
-                links.spawn(async move {
-                    if let Ok(mut far) = TcpStream::connect(to).await {
-                        let _ = far.set_nodelay(true);
-                        let _ = tokio::io::copy_bidirectional(&mut near, &mut far).await;
+                let _ = inbound.set_nodelay(true);
+                connections.spawn(async move {
+                    if let Ok(mut outbound) = TcpStream::connect(to).await {
+                        let _ = outbound.set_nodelay(true);
+                        let _ = tokio::io::copy_bidirectional(&mut inbound, &mut outbound).await;
                     }
                 });
             }
-            Some(_) = links.join_next() => {}
+            Some(_) = connections.join_next() => {}
             () = tokio::time::sleep(Duration::from_millis(100)) => {
                 if refused.load(Ordering::SeqCst) {
-                    links.abort_all();
+                    connections.abort_all();
                 }
             }
         }
     }
 }
 
-/// The settings file of one controller, as a platform would hand it over.
-fn settings(s: &Scenario, places: &[Place], i: usize, cloud: SocketAddr) -> Result<String, toml::ser::Error> {
-    let me = &places[i];
+/// Builds the settings file of controller `i`, as a deployment platform would provide it.
+fn settings(scenario: &Scenario, places: &[Place], i: usize, cloud: SocketAddr) -> Result<String, toml::ser::Error> {
+    let own = &places[i];
     let others: Vec<_> = places
         .iter()
-        .filter(|p| p.member != me.member)
-        .map(|p| json!({"member": p.member, "zone": p.zone, "peer_addr": p.relay}))
+        .filter(|place| place.member != own.member)
+        .map(|place| json!({"member": place.member, "zone": place.zone, "peer_addr": place.relay}))
         .collect();
-    let teams: Vec<_> = s
+    let teams: Vec<_> = scenario
         .team
         .iter()
-        .map(|(name, t)| {
-            json!({"name": name, "cpus": t.cpus, "cpus_max": t.cpus_max, "gpus": t.gpus, "gpus_max": t.gpus_max})
+        .map(|(name, team)| {
+            json!({
+                "name": name, "cpus": team.cpus, "cpus_max": team.cpus_max, "gpus": team.gpus,
+                "gpus_max": team.gpus_max,
+            })
         })
         .collect();
     let mut objectives = Vec::new();
-    for (class, l) in &s.load {
-        if let Some(within) = l.start_within_s {
-            objectives.push(json!({"kind": "wait", "class": class, "within_s": within, "share": 0.9}));
+    for (class, load) in &scenario.load {
+        if let Some(within_s) = load.start_within_s {
+            objectives.push(json!({"kind": "wait", "class": class, "within_s": within_s, "share": 0.9}));
         }
-        if l.deadline_factor.is_some() {
+        if load.deadline_factor.is_some() {
             objectives.push(json!({"kind": "deadline", "class": class, "times": 1.0, "share": 0.9}));
         }
     }
-    let w = &s.workers;
+    let workers = &scenario.workers;
     toml::to_string(&json!({
-        "member": me.member,
-        "zone": me.zone,
-        "public_addr": me.public,
-        "peer_bind": me.peers,
+        "member": own.member,
+        "zone": own.zone,
+        "public_addr": own.public,
+        "peer_bind": own.peers,
         "others": others,
-        "outside": {"cloud": cloud, "state": me.state},
+        "outside": {"cloud": cloud, "state": own.state},
         "settings": {
             "initial_size": places.len(),
-            "zones": s.zones,
+            "zones": scenario.zones,
             "time_bound_ms": 100.0,
             "teams": teams,
             "objectives": objectives,
             "workers": {
-                "report_s": w.heartbeat_interval_s, "lease_s": w.lease_s, "gang_wait_s": w.gang_wait_s,
-                "gang_peer_s": w.gang_peer_s, "cancel_s": w.cancel_s,
+                "report_s": workers.heartbeat_interval_s, "lease_s": workers.lease_s, "gang_wait_s": workers.gang_wait_s,
+                "gang_peer_s": workers.gang_peer_s, "cancel_s": workers.cancel_s,
             },
             "state": {
-                "rps": s.state.rps, "write_rps": s.state.write_rps, "value_kb": s.state.value_kb,
-                "txn_ops": s.state.txn_ops,
+                "rps": scenario.state.rps, "write_rps": scenario.state.write_rps, "value_kb": scenario.state.value_kb,
+                "txn_ops": scenario.state.txn_ops,
             },
-            "cloud": {"rps": s.cloud.rps, "list_lag_s": s.cloud.list_lag_s},
+            "cloud": {"rps": scenario.cloud.rps, "list_lag_s": scenario.cloud.list_lag_s},
             "machine_limits": {
-                "core_share": s.controllers.core_share, "ram_mb": s.controllers.ram_mb,
-                "max_connections": s.controllers.max_connections,
+                "core_share": scenario.controllers.core_share, "ram_mb": scenario.controllers.ram_mb,
+                "max_connections": scenario.controllers.max_connections,
             },
         },
     }))
--- a/crates/emulator/src/front.rs
+++ b/crates/emulator/src/front.rs
@@ -1,6 +1,8 @@
-//! The way in for users beside the load, such as `finchquayctl`: passes their
-//! requests on to a controller, and keeps what a user would upload for the
-//! machines: the descriptions of the jobs. What passes is in the history.
+//! Front end for users other than the generated load, such as `finchquayctl`: forwards
+//! their requests to a controller, uploads the descriptions of their jobs for the simulated
+//! machines, and records the requests in the history.
+
+#![warn(missing_docs)]
 
 use crate::history::{Asked, Event, Recorder};
 use crate::http::{self, Connection, Reply, Request};
@@ -15,29 +17,34 @@
 use std::time::Duration;
 use tokio::net::TcpListener;
 
-/// Longest wait for a controller's answer.
-const PATIENCE: Duration = Duration::from_secs(5);
+/// Longest wait for the response of a controller.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
 
+/// Front end that forwards requests to the controllers.
 #[derive(Clone)]
 pub struct Front {
-    places: Arc<Vec<(String, SocketAddr)>>,
+    /// Names and addresses of the controllers.
+    controllers: Arc<Vec<(String, SocketAddr)>>,
     driver: Driver,
     recorder: Recorder,
-    /// Jobs that came in here.
-    known: Arc<Mutex<HashSet<String>>>,
+    /// Jobs that were submitted here.
+    submitted: Arc<Mutex<HashSet<String>>>,
 }
 
 impl Front {
-    pub fn new(places: Vec<(String, SocketAddr)>, driver: Driver, recorder: Recorder) -> Front {
-        Front { places: Arc::new(places), driver, recorder, known: Arc::default() }
+    /// Creates a front end for controllers with these names and addresses.
+    pub fn new(controllers: Vec<(String, SocketAddr)>, driver: Driver, recorder: Recorder) -> Front {
+        Front { controllers: Arc::new(controllers), driver, recorder, submitted: Arc::default() }
     }
 
+    /// Serves a listener until the returned future is dropped.
     pub async fn serve(self, listener: TcpListener) {
-        http::serve(listener, BODY_LIMIT, move |request| self.clone().pass(request)).await;
+        http::serve(listener, BODY_LIMIT, move |request| self.clone().forward(request)).await;
     }
 
-    async fn pass(self, request: Request) -> Reply {
-        let about = match route(&request.method, &request.path) {
+    /// Forwards one request and records it, if it is about a job that was submitted here.
+    async fn forward(self, request: Request) -> Reply {
+        let operation = match route(&request.method, &request.path) {
             Route::Submit => decode::<JobSpec>(&request.body).ok().filter(JobSpec::well_formed).map(|spec| {
                 let uid = spec.uid.clone();
                 self.upload(spec);
@@ -48,45 +55,48 @@
             Route::Health | Route::Heartbeat | Route::WrongMethod | Route::Unknown => None,
         };
         let began_s = self.recorder.now().as_secs_f64();
-        let first = rand::random_range(0..self.places.len().max(1));
+        let first = rand::random_range(0..self.controllers.len().max(1));
         let mut answer = None;
-        // As a load balancer does: another one where a connection fails.
-        for (member, address) in self.places.iter().cycle().skip(first).take(self.places.len()) {
+        // Like a load balancer, tries the next controller when a request fails.
+        for (member, address) in self.controllers.iter().cycle().skip(first).take(self.controllers.len()) {
             let mut connection = Connection::default();
-            let sent = connection.send(*address, &request.method, &request.path, request.body.clone(), PATIENCE).await;
-            if let Some(reply) = sent {
+            let response =
+                connection.send(*address, &request.method, &request.path, request.body.clone(), RESPONSE_TIMEOUT).await;
+            if let Some(reply) = response {
                 answer = Some((member.clone(), reply));
                 break;
             }
         }
-        if let Some((asked, uid)) = about.filter(|(_, uid)| self.known().contains(uid)) {
-            let reply = answer.as_ref().map(|(_, r)| r);
-            let state = reply.and_then(|r| decode::<JobState>(&r.body).ok());
+        if let Some((asked, uid)) = operation.filter(|(_, uid)| self.submitted().contains(uid)) {
+            let reply = answer.as_ref().map(|(_, reply)| reply);
+            let state = reply.and_then(|reply| decode::<JobState>(&reply.body).ok());
             self.recorder.record(Event::Call {
                 asked,
                 uid,
-                controller: answer.as_ref().map_or_else(String::new, |(m, _)| m.clone()),
+                controller: answer.as_ref().map_or_else(String::new, |(member, _)| member.clone()),
                 began_s,
-                status: reply.map(|r| r.status),
-                state: state.as_ref().map(|s| s.status),
-                done: state.map_or(0, |s| s.done),
+                status: reply.map(|reply| reply.status),
+                state: state.as_ref().map(|state| state.status),
+                done: state.map_or(0, |state| state.done),
             });
         }
         answer.map_or_else(|| Reply::empty(503), |(_, reply)| reply)
     }
 
-    fn known(&self) -> std::sync::MutexGuard<'_, HashSet<String>> {
-        lock(&self.known)
+    fn submitted(&self) -> std::sync::MutexGuard<'_, HashSet<String>> {
+        lock(&self.submitted)
     }
 
-    /// What the owner estimates is how long the tasks take here.
+    /// Uploads the description of a new job. Its tasks run exactly as long as estimated in
+    /// the submission.
     fn upload(&self, spec: JobSpec) {
-        if !self.known().insert(spec.uid.clone()) {
+        if !self.submitted().insert(spec.uid.clone()) {
             return;
         }
         self.recorder.record(Event::Job { spec: spec.clone() });
-        let run = if spec.kind == JobKind::Service { f32::INFINITY } else { spec.estimated_run_s.max(0.05) as f32 };
-        let run_s = vec![run; spec.task_count as usize];
+        let task_run_s =
+            if spec.kind == JobKind::Service { f32::INFINITY } else { spec.estimated_run_s.max(0.05) as f32 };
+        let run_s = vec![task_run_s; spec.task_count as usize];
         self.driver.fleet().upload(Description { spec, run_s, broken: false });
     }
 }
--- a/crates/emulator/src/history.rs
+++ b/crates/emulator/src/history.rs
@@ -1,6 +1,8 @@
-//! The history of a run: what users, machines and the emulated services
-//! saw, one JSON line each, in the order it happened. The checker and the
-//! reports read it and nothing else.
+//! History of a run: the events that users, machines and the emulated services observed,
+//! in the order they happened, one JSON line each. It is the only input of the checker
+//! and of the reports.
+
+#![warn(missing_docs)]
 
 use crate::lock;
 use finchquay_protocol::user::{JobSpec, Status};
@@ -13,206 +15,276 @@
 use std::time::{Duration, Instant};
 use thiserror::Error;
 
-/// What the checker must know of the site.
+/// Facts about the cluster that the checker needs.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Facts {
-    /// CPUs and GPUs that a team may use; 0: any number.
+    /// Most CPUs and GPUs that each team may use; 0 means no limit.
     pub limits: BTreeMap<String, (f64, f64)>,
+    /// Seconds that the tasks of a job may run on after its cancellation was reported.
     pub cancel_s: f64,
-    /// Controllers by name, and their users' address.
+    /// Address for users of each controller, by its name.
     pub controllers: BTreeMap<String, String>,
 }
 
-/// What a user asked for.
+/// Operation that a user requested.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Asked {
+    /// Submission of a job.
     Submit,
+    /// Query of a job's status.
     Poll,
+    /// Cancellation of a job; `withdraw` in the file.
     #[serde(rename = "withdraw")]
     Cancel,
 }
 
+/// Event in a history; its tag is `event` in the file.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub enum Event {
+    /// The run began. The first start of the controllers may precede this line.
     Began {
+        /// Name of the scenario.
         scenario: String,
+        /// Seed of load and faults.
         seed: u64,
+        /// Facts for the checker.
         facts: Facts,
     },
-    /// Written before the first attempt to submit.
+    /// A user is about to submit a job. Written before the first attempt.
     Job {
+        /// Specification of the job.
         spec: JobSpec,
     },
-    /// One try of a user, written when it ended.
+    /// An attempt of a user's request has ended.
     Call {
+        /// Requested operation.
         asked: Asked,
+        /// Id of the job.
         uid: String,
+        /// Controller that was called; empty where it is not known.
         controller: String,
+        /// When the attempt began, in seconds of the history.
         began_s: f64,
+        /// HTTP status of the response; `None` where none arrived.
         status: Option<u16>,
+        /// Status of the job in the response.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         state: Option<Status>,
+        /// Completed tasks of the job in the response.
         #[serde(default)]
         done: u32,
     },
+    /// A machine has booted and reports from now on.
     MachineUp {
+        /// Id of the machine.
         machine: String,
+        /// Machine type; `build` in the file.
         #[serde(rename = "build")]
         machine_type: String,
+        /// Zone of the machine; `site` in the file.
         #[serde(rename = "site")]
         zone: String,
+        /// Whether it is a spot machine.
         spot: bool,
     },
+    /// A machine and everything on it is gone.
     MachineGone {
+        /// Id of the machine.
         machine: String,
+        /// Reason, such as `released`, `recalled` or `died`.
         why: String,
     },
-    /// A task is on its machine from here.
+    /// A task occupies its machine from now on.
     Start {
+        /// Id of the machine.
         machine: String,
+        /// Id of the job.
         job: String,
+        /// Index of the task within the job.
         index: u32,
+        /// Attempt of the task.
         attempt: u64,
     },
+    /// A task no longer occupies its machine.
     Stop {
+        /// Id of the machine.
         machine: String,
+        /// Id of the job.
         job: String,
+        /// Index of the task within the job.
         index: u32,
+        /// Attempt of the task.
         attempt: u64,
+        /// Why it ended.
         cause: String,
     },
-    /// A controller was started, or ended by itself (`ended`) or on purpose (`killed`).
+    /// The process of a controller was started, exited by itself or was killed.
     Controller {
+        /// Name of the controller.
         controller: String,
+        /// `started`, `not started`, `ended` (by itself) or `killed` (by a fault).
         what: String,
     },
     /// A fault begins or ends.
     Fault {
+        /// Name of the fault in the scenario.
         name: String,
+        /// Whether it begins.
         on: bool,
     },
-    /// The state service did on purpose what it should not.
+    /// An injected fault made the state service lose or mishandle a write.
     Store {
+        /// Kind of the fault, such as `lost`; `tail` for a lost tail of the log.
         what: String,
+        /// Keys that the write changes.
         keys: Vec<String>,
     },
-    /// Measured now and then.
+    /// Periodic measurement.
     Sample {
+        /// Machines that are up.
         machines_up: u32,
+        /// Machines that are booting.
         machines_booting: u32,
+        /// Tasks that run.
         tasks_running: u32,
+        /// Changes that the state service has committed.
         store_changes: u64,
+        /// Requests that the state service has received.
         store_requests: u64,
+        /// Money spent on machines so far.
         spent: f64,
-        /// Memory in MB and processor time in seconds of each controller.
+        /// Memory in MB and CPU time in seconds of each controller.
         controllers: BTreeMap<String, (f64, f64)>,
     },
-    /// Nothing follows. `settled`: every job had the time to come to its end.
+    /// The run is over. Only the shutdown of the machines follows.
     Over {
+        /// Whether the run lasted long enough for every job to end.
         settled: bool,
     },
 }
 
-/// One line.
+/// One line of a history.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Line {
-    /// Seconds since the emulator began.
+    /// Seconds since the run began.
     pub t: f64,
+    /// What happened.
     #[serde(flatten)]
     pub event: Event,
 }
 
+/// Why a history cannot be read or written.
 #[derive(Debug, Error)]
 pub enum HistoryError {
+    /// The file cannot be created, opened or read.
     #[error("{}: {cause}", file.display())]
-    Io { file: PathBuf, cause: std::io::Error },
-    #[error("{}:{line}: {what}", file.display())]
-    Spoilt { file: PathBuf, line: usize, what: String },
+    Io {
+        /// File of the history.
+        file: PathBuf,
+        /// Error of the file system.
+        cause: std::io::Error,
+    },
+    /// A line is not a valid event.
+    #[error("{}:{line}: {reason}", file.display())]
+    InvalidLine {
+        /// File of the history.
+        file: PathBuf,
+        /// Number of the line, from 1.
+        line: usize,
+        /// Error of the JSON parser.
+        reason: String,
+    },
 }
 
-/// Called with every line, for whoever watches.
+/// Callback that gets every line as it is recorded.
 pub type Watcher = Box<dyn Fn(&Line) + Send + Sync>;
 
-struct Sink {
-    out: BufWriter<File>,
-    last: f64,
+struct Output {
+    writer: BufWriter<File>,
+    /// Time of the last line, in seconds.
+    last_t: f64,
 }
 
 struct Shared {
-    sink: Mutex<Sink>,
+    output: Mutex<Output>,
     began: Instant,
     watcher: Option<Watcher>,
 }
 
-/// Writes a history. Clones write to the same one.
+/// Writes a history. Clones write to the same file.
 #[derive(Clone)]
 pub struct Recorder {
     shared: Arc<Shared>,
 }
 
 impl Recorder {
+    /// Creates the file of a history, whose clock starts now.
     pub fn create(path: &Path, watcher: Option<Watcher>) -> Result<Recorder, HistoryError> {
         let file = File::create(path).map_err(|cause| HistoryError::Io { file: path.into(), cause })?;
-        let sink = Mutex::new(Sink { out: BufWriter::new(file), last: 0.0 });
-        Ok(Recorder { shared: Arc::new(Shared { sink, began: Instant::now(), watcher }) })
+        let output = Mutex::new(Output { writer: BufWriter::new(file), last_t: 0.0 });
+        Ok(Recorder { shared: Arc::new(Shared { output, began: Instant::now(), watcher }) })
     }
 
+    /// Time since the history was created.
     pub fn now(&self) -> Duration {
         self.shared.began.elapsed()
     }
 
-    /// Seconds of an instant on the history's clock.
+    /// Converts an instant to seconds on the clock of the history.
     pub fn seconds(&self, at: Instant) -> f64 {
         at.saturating_duration_since(self.shared.began).as_secs_f64()
     }
 
+    /// Appends an event with the current time and passes it to the watcher.
     pub fn record(&self, event: Event) {
-        let mut sink = lock(&self.shared.sink);
-        // Under the lock, so that times never go back from line to line.
-        let t = self.now().as_secs_f64().max(sink.last);
-        sink.last = t;
+        let mut output = lock(&self.shared.output);
+        // The time is read under the lock, so that it never decreases from line to line.
+        let t = self.now().as_secs_f64().max(output.last_t);
+        output.last_t = t;
         let line = Line { t, event };
-        if let Some(w) = &self.shared.watcher {
-            w(&line);
+        if let Some(watcher) = &self.shared.watcher {
+            watcher(&line);
         }
-        if serde_json::to_writer(&mut sink.out, &line).is_ok() {
-            let _ = sink.out.write_all(b"\n");
+        if serde_json::to_writer(&mut output.writer, &line).is_ok() {
+            let _ = output.writer.write_all(b"\n");
         }
     }
 
+    /// Writes buffered lines to the file.
     pub fn flush(&self) -> std::io::Result<()> {
-        lock(&self.shared.sink).out.flush()
+        lock(&self.shared.output).writer.flush()
     }
 }
 
 /// Reads a whole history.
 pub fn read(path: &Path) -> Result<Vec<Line>, HistoryError> {
-    let io = |cause| HistoryError::Io { file: path.into(), cause };
-    let file = BufReader::new(File::open(path).map_err(io)?);
-    let mut out = Vec::new();
+    let io_error = |cause| HistoryError::Io { file: path.into(), cause };
+    let file = BufReader::new(File::open(path).map_err(io_error)?);
+    let mut lines = Vec::new();
     for (i, text) in file.lines().enumerate() {
-        let text = text.map_err(io)?;
-        let line = serde_json::from_str(&text).map_err(|e| HistoryError::Spoilt {
+        let text = text.map_err(io_error)?;
+        let line = serde_json::from_str(&text).map_err(|e| HistoryError::InvalidLine {
             file: path.into(),
             line: i + 1,
-            what: e.to_string(),
+            reason: e.to_string(),
         })?;
-        out.push(line);
+        lines.push(line);
     }
-    Ok(out)
+    Ok(lines)
 }
 
-/// Between the end of one run on a folder and the start of the next, as the
-/// joined histories tell it, in seconds.
-const BETWEEN_S: f64 = 1.0;
+/// Gap in a joined history between the last line of one run and the start of the next,
+/// in seconds.
+const RUN_GAP_S: f64 = 1.0;
 
-/// Puts the history of a later run on the same state behind an earlier one,
-/// whose times come to lie before 0: a rule may be broken across runs.
+/// Joins the history of a later run on the same state to that of earlier ones, whose
+/// times are shifted below 0. Checking them together finds rules that are broken across
+/// runs.
 pub fn join(mut earlier: Vec<Line>, later: Vec<Line>) -> Vec<Line> {
-    let agent_epoch = earlier.last().map_or(0.0, |l| l.t + BETWEEN_S);
-    earlier.iter_mut().for_each(|l| l.t -= agent_epoch);
+    let shift_s = earlier.last().map_or(0.0, |line| line.t + RUN_GAP_S);
+    earlier.iter_mut().for_each(|line| line.t -= shift_s);
     earlier.extend(later);
     earlier
 }
--- a/crates/emulator/src/http.rs
+++ b/crates/emulator/src/http.rs
@@ -1,5 +1,7 @@
-//! HTTP as the emulated services speak it: CBOR bodies of bounded size on
-//! keep-alive connections. What can't be read gets 400 or a closed connection.
+//! HTTP/1.1 server and client of the emulated services: CBOR bodies of bounded size on
+//! keep-alive connections. A request that cannot be read gets 400 or a closed connection.
+
+#![warn(missing_docs)]
 
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::{Bytes, Incoming};
@@ -12,37 +14,43 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::JoinSet;
 
-/// What a service answers.
+/// Response to a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Reply {
+    /// HTTP status code.
     pub status: u16,
+    /// Body in CBOR, or empty.
     pub body: Vec<u8>,
 }
 
 impl Reply {
+    /// Creates a reply with a body.
     pub fn new(status: u16, body: Vec<u8>) -> Reply {
         Reply { status, body }
     }
 
+    /// Creates a reply without a body.
     pub fn empty(status: u16) -> Reply {
         Reply { status, body: Vec::new() }
     }
 }
 
-/// A request whose body was read in whole.
+/// Request whose body has been read completely.
 #[derive(Debug)]
 pub struct Request {
+    /// HTTP method, such as `GET`.
     pub method: String,
     /// Path and query, as sent.
     pub path: String,
+    /// Body, empty where the client sent none.
     pub body: Vec<u8>,
 }
 
-/// Longest that a client may take to send the head of a request.
-const HEAD_TIME: Duration = Duration::from_secs(10);
+/// Longest time that a client may take to send the head of a request.
+const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Serves a listener until the returned future is dropped, which closes every
-/// connection. `body_limit` in bytes: a longer body gets 400.
+/// Serves the connections of a listener with `handler` until the returned future is
+/// dropped, which closes every connection. A body longer than `body_limit` bytes gets 400.
 pub async fn serve<H, F>(listener: TcpListener, body_limit: usize, handler: H)
 where
     H: Fn(Request) -> F + Clone + Send + Sync + 'static,
@@ -51,10 +59,10 @@
     let mut connections = JoinSet::new();
     loop {
         let accepted = tokio::select! {
-            a = listener.accept() => a,
+            result = listener.accept() => result,
             Some(_) = connections.join_next() => continue,
         };
-        // Out of sockets: those that end make room again.
+        // No file descriptors are left; connections that end will free some.
         let Ok((stream, _)) = accepted else {
             tokio::time::sleep(Duration::from_millis(20)).await;
             continue;
@@ -81,27 +89,28 @@
         });
         connections.spawn(async move {
             let mut builder = hyper::server::conn::http1::Builder::new();
-            builder.timer(TokioTimer::new()).header_read_timeout(HEAD_TIME);
-            // An error here is a client that left or sent nonsense.
+            builder.timer(TokioTimer::new()).header_read_timeout(HEAD_TIMEOUT);
+            // An error means that the client left or sent invalid HTTP.
             let _ = builder.serve_connection(TokioIo::new(stream), service).await;
         });
     }
 }
 
-/// One keep-alive connection to a server, dialled when it is needed.
+/// Client with one keep-alive connection, which is opened at the first request and opened
+/// again when it has been closed or the address changes.
 #[derive(Default)]
 pub struct Connection {
     open: Option<(SocketAddr, SendRequest<Full<Bytes>>)>,
 }
 
 impl Connection {
-    /// Sends one request and reads its answer; `None` on any failure or after
-    /// `timeout`, and the connection is closed then.
+    /// Sends a POST request and reads the response. Returns `None` and closes the
+    /// connection on any failure, or when the response takes longer than `timeout`.
     pub async fn post(&mut self, to: SocketAddr, path: &str, body: Vec<u8>, timeout: Duration) -> Option<Reply> {
         self.send(to, "POST", path, body, timeout).await
     }
 
-    /// Like `post`, with any method.
+    /// Sends a request like [`Connection::post`], with any method.
     pub async fn send(
         &mut self,
         to: SocketAddr,
@@ -120,6 +129,7 @@
         }
     }
 
+    /// Closes the connection if it is open.
     pub fn close(&mut self) {
         self.open = None;
     }
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,6 +1,6 @@
-//! Runs finchquay on one machine: emulates everything around the controllers
-//! (state store, cloud, machines), starts real controllers as child processes,
-//! submits load, injects faults, and checks the recorded history.
+//! Runs a finchquay cluster on one machine: emulates everything around the controllers
+//! (state service, cloud, machines), starts real controllers as child processes, submits
+//! load, injects faults, and checks the recorded history.
 
 #![cfg_attr(not(test), warn(clippy::unwrap_used))]
 
@@ -20,8 +20,9 @@
 pub mod suite;
 pub mod view;
 
-/// Locks what must stay usable after a panic elsewhere: every change to it is
-/// whole when the lock is given back.
-pub fn lock<T>(m: &std::sync::Mutex<T>) -> std::sync::MutexGuard<'_, T> {
-    m.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
+/// Locks a mutex and ignores poisoning, so that the data stays usable after a panic in
+/// another thread. Every critical section must leave the data consistent when it
+/// releases the lock.
+pub fn lock<T>(mutex: &std::sync::Mutex<T>) -> std::sync::MutexGuard<'_, T> {
+    mutex.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
 }
--- a/crates/emulator/src/load.rs
+++ b/crates/emulator/src/load.rs
@@ -1,7 +1,9 @@
-//! Users: they submit jobs as the scenario says, follow them to their end and
-//! cancel some, through the client library, and leave every attempt in the
-//! history. Somebody asks about jobs that are over and about jobs that nobody
-//! submitted, and some submit a job again that is over.
+//! Simulated users: they submit the jobs of a scenario through the client library, follow
+//! them to their end, cancel some of them, and record every attempt in the history. Besides,
+//! some users submit a finished job again, and one more client asks for the status of
+//! finished jobs and of jobs that nobody submitted.
+
+#![warn(missing_docs)]
 
 use crate::history::{Asked, Event, Recorder};
 use crate::lock;
@@ -19,34 +21,38 @@
 use std::time::Duration;
 use tokio::task::JoinSet;
 
-/// Pause between polls of one job.
-const POLL_EVERY: Duration = Duration::from_secs(2);
-/// Jobs whose users have seen their end.
-pub type Over = Arc<Mutex<Vec<String>>>;
-
+/// Pause between two polls of one job.
+const POLL_INTERVAL: Duration = Duration::from_secs(2);
 /// Share of finished jobs that are submitted once more.
-const REPEATED: f64 = 0.1;
+const RESUBMITTED_SHARE: f64 = 0.1;
 
-/// One job, and what its user will do.
+/// Ids of the jobs whose final status was reported to their users.
+pub type Over = Arc<Mutex<Vec<String>>>;
+
+/// A job to be submitted, and what its user will do with it.
 #[derive(Debug, Clone)]
 pub struct Planned {
+    /// When it is submitted, in seconds after the start of the load.
     pub at_s: f64,
+    /// Specification and true behaviour of the job.
     pub description: Description,
-    /// Withdrawn so long after it was accepted.
+    /// Time between the acceptance of the job and its cancellation; `None` if its user does
+    /// not cancel it.
     pub cancel_after_s: Option<f64>,
 }
 
-/// All jobs of a scenario, by seed. `session` keeps ids of several runs on one state apart.
-pub fn plan(s: &Scenario, session: u32, rng: &mut StdRng) -> Vec<Planned> {
-    let mut out = Vec::new();
+/// Draws all jobs of a scenario, in the order of submission. The number of the `session` is
+/// part of the job ids, so that those of several runs on the same state differ.
+pub fn plan(scenario: &Scenario, session: u32, rng: &mut StdRng) -> Vec<Planned> {
+    let mut planned = Vec::new();
     let mut number = 0u32;
-    for (class, load) in &s.load {
+    for (class, load) in &scenario.load {
         let mut times = vec![0.0; load.initial as usize];
         if let Ok(gaps) = Exp::new(load.per_minute / 60.0) {
             let mut t = 0.0;
             loop {
                 t += gaps.sample(rng);
-                if t.is_nan() || t >= s.duration_s {
+                if t.is_nan() || t >= scenario.duration_s {
                     break;
                 }
                 times.push(t);
@@ -55,87 +61,94 @@
         for at_s in times {
             number += 1;
             let uid = format!("run-{session:03}{number:06}");
-            out.push(job(uid, class, load, at_s, rng));
+            planned.push(plan_job(uid, class, load, at_s, rng));
         }
     }
-    out.sort_by(|a, b| a.at_s.total_cmp(&b.at_s));
-    out
+    planned.sort_by(|a, b| a.at_s.total_cmp(&b.at_s));
+    planned
 }
 
-fn job(uid: String, class: &str, l: &Load, at_s: f64, rng: &mut StdRng) -> Planned {
-    let tasks = (l.tasks.draw(rng).round() as u32).clamp(1, finchquay_protocol::user::TASKS_LIMIT);
-    let standing = l.kind == Kind::Service;
-    let run_s: Vec<f32> = match l.kind {
+fn plan_job(uid: String, class: &str, load: &Load, at_s: f64, rng: &mut StdRng) -> Planned {
+    let tasks = (load.tasks.draw(rng).round() as u32).clamp(1, finchquay_protocol::user::TASKS_LIMIT);
+    let is_service = load.kind == Kind::Service;
+    let run_s: Vec<f32> = match load.kind {
         Kind::Service => vec![f32::INFINITY; tasks as usize],
-        _ => (0..tasks).map(|_| l.run_s.draw(rng).max(0.05) as f32).collect(),
+        _ => (0..tasks).map(|_| load.run_s.draw(rng).max(0.05) as f32).collect(),
     };
-    let mean = run_s.iter().map(|s| f64::from(*s)).sum::<f64>() / f64::from(tasks);
-    // Estimates are often wrong by half.
-    let estimated_run_s = if standing { 0.0 } else { mean * rng.random_range(0.6..1.6) };
-    let lifetime = standing.then(|| l.run_s.draw(rng));
-    let early = rng.random_bool(l.cancelled).then(|| rng.random_range(0.0..estimated_run_s.max(4.0) * 2.0));
+    let mean_s = run_s.iter().map(|s| f64::from(*s)).sum::<f64>() / f64::from(tasks);
+    // Estimates by users are often wrong by about half.
+    let estimated_run_s = if is_service { 0.0 } else { mean_s * rng.random_range(0.6..1.6) };
+    let lifetime_s = is_service.then(|| load.run_s.draw(rng));
+    let early_cancel_s = rng.random_bool(load.cancelled).then(|| rng.random_range(0.0..estimated_run_s.max(4.0) * 2.0));
     let spec = JobSpec {
         uid,
         class: class.into(),
-        team: l.team.clone(),
-        kind: match l.kind {
+        team: load.team.clone(),
+        kind: match load.kind {
             Kind::Array => JobKind::Array,
             Kind::Gang => JobKind::Gang,
             Kind::Service => JobKind::Service,
         },
-        priority: l.priority,
+        priority: load.priority,
         task_count: tasks,
-        cores: l.cpus,
-        gpus: l.gpus,
-        mem_gb: l.memory_gb,
-        image: format!("{class}-{}", rng.random_range(0..l.images)),
-        image_gb: l.image_gb,
+        cores: load.cpus,
+        gpus: load.gpus,
+        mem_gb: load.memory_gb,
+        image: format!("{class}-{}", rng.random_range(0..load.images)),
+        image_gb: load.image_gb,
         machine_types: None,
         zone: None,
-        zone_affinity: l.one_zone,
-        zone_anti_affinity: l.spread,
-        spot_allowed: l.spot,
+        zone_affinity: load.one_zone,
+        zone_anti_affinity: load.spread,
+        spot_allowed: load.spot,
         estimated_run_s,
-        checkpoint_interval_s: l.checkpoint_s,
-        checkpoint_duration_s: l.save_s,
-        deadline_s: l.deadline_factor.map(|f| f * estimated_run_s + 10.0),
+        checkpoint_interval_s: load.checkpoint_s,
+        checkpoint_duration_s: load.save_s,
+        deadline_s: load.deadline_factor.map(|factor| factor * estimated_run_s + 10.0),
     };
-    Planned { at_s, description: Description { spec, run_s, broken: false }, cancel_after_s: early.or(lifetime) }
+    Planned {
+        at_s,
+        description: Description { spec, run_s, broken: false },
+        cancel_after_s: early_cancel_s.or(lifetime_s),
+    }
 }
 
-/// Writes every attempt of the client into the history.
-struct Notes {
+/// Records every attempt of the client in the history.
+struct AttemptRecorder {
     recorder: Recorder,
+    /// Names of the controllers by address.
     names: HashMap<SocketAddr, String>,
 }
 
-impl Observer for Notes {
-    fn attempt(&self, a: &Attempt) {
+impl Observer for AttemptRecorder {
+    fn attempt(&self, attempt: &Attempt) {
         self.recorder.record(Event::Call {
-            asked: match a.operation {
+            asked: match attempt.operation {
                 Operation::Submit => Asked::Submit,
                 Operation::Poll => Asked::Poll,
                 Operation::Cancel => Asked::Cancel,
             },
-            uid: a.uid.clone(),
-            controller: self.names.get(&a.address).cloned().unwrap_or_default(),
-            began_s: self.recorder.seconds(a.began),
-            status: a.status,
-            state: a.state.as_ref().map(|s| s.status),
-            done: a.state.as_ref().map_or(0, |s| s.done),
+            uid: attempt.uid.clone(),
+            controller: self.names.get(&attempt.address).cloned().unwrap_or_default(),
+            began_s: self.recorder.seconds(attempt.began),
+            status: attempt.status,
+            state: attempt.state.as_ref().map(|state| state.status),
+            done: attempt.state.as_ref().map_or(0, |state| state.done),
         });
     }
 }
 
-/// The users' client, noting all it does.
-pub fn client(places: &[(String, SocketAddr)], recorder: &Recorder) -> Result<Client, ClientError> {
-    let names = places.iter().map(|(n, a)| (*a, n.clone())).collect();
-    let notes = Notes { recorder: recorder.clone(), names };
-    let times = Times { poll_every: POLL_EVERY, ..Times::default() };
-    Client::with(places.iter().map(|(_, a)| *a), times, Some(Arc::new(notes)))
+/// Creates the client of the users, whose attempts are recorded in the history.
+/// `controllers` are names and addresses.
+pub fn client(controllers: &[(String, SocketAddr)], recorder: &Recorder) -> Result<Client, ClientError> {
+    let names = controllers.iter().map(|(name, address)| (*address, name.clone())).collect();
+    let observer = AttemptRecorder { recorder: recorder.clone(), names };
+    let times = Times { poll_every: POLL_INTERVAL, ..Times::default() };
+    Client::with(controllers.iter().map(|(_, address)| *address), times, Some(Arc::new(observer)))
 }
 
-/// Plays all users; the set is empty once every one has seen the end of its job.
+/// Spawns a task for the user of each job. The set is empty once every user has followed
+/// its job to the end.
 pub fn play(
     jobs: Vec<Planned>,
     client: &Client,
@@ -150,25 +163,25 @@
         let (client, driver, recorder, over) = (client.clone(), driver.clone(), recorder.clone(), over.clone());
         let rng = StdRng::seed_from_u64(seed.wrapping_add(i as u64));
         users.spawn(async move {
-            let at = began + Duration::from_secs_f64(job.at_s);
-            tokio::time::sleep(at.saturating_sub(recorder.now())).await;
+            let submit_at = began + Duration::from_secs_f64(job.at_s);
+            tokio::time::sleep(submit_at.saturating_sub(recorder.now())).await;
             recorder.record(Event::Job { spec: job.description.spec.clone() });
             driver.fleet().upload(job.description.clone());
-            user(&client, &job, rng, &over).await;
+            follow_job(&client, &job, rng, &over).await;
         });
     }
     users
 }
 
-/// Asks until it is dropped: about jobs that are over, whose end must stay,
-/// and now and then about ids that nobody uses, whose answer must be 404.
+/// Queries jobs until the future is dropped: finished jobs, whose final status must not
+/// change, and every sixteenth time an id that nobody uses, which must get 404.
 pub async fn curious(client: Client, over: Over) {
-    let mut n = 0;
+    let mut count = 0;
     loop {
-        tokio::time::sleep(POLL_EVERY / 8).await;
-        n += 1;
-        if n % 16 == 0 {
-            let _ = client.status(&format!("run-999{n:09}")).await;
+        tokio::time::sleep(POLL_INTERVAL / 8).await;
+        count += 1;
+        if count % 16 == 0 {
+            let _ = client.status(&format!("run-999{count:09}")).await;
             continue;
         }
         let uid = {
@@ -181,7 +194,7 @@
     }
 }
 
-/// Follows a job of an earlier run on the same state to its end.
+/// Follows a job of an earlier run on the same state to its end, or cancels it.
 pub async fn resume(client: Client, uid: String, cancel: bool) {
     if cancel {
         let _ = client.cancel(&uid).await;
@@ -190,17 +203,18 @@
     }
 }
 
-async fn user(client: &Client, job: &Planned, mut rng: impl Rng, over: &Over) {
+/// Acts as the user of one job, from its submission until after its end.
+async fn follow_job(client: &Client, job: &Planned, mut rng: impl Rng, over: &Over) {
     let spec = &job.description.spec;
     if client.submit(spec).await.is_err() {
         return;
     }
     let end = match job.cancel_after_s {
         None => client.wait(&spec.uid, None).await,
-        Some(after) => match client.wait(&spec.uid, Some(Duration::from_secs_f64(after))).await {
+        Some(after_s) => match client.wait(&spec.uid, Some(Duration::from_secs_f64(after_s))).await {
             Ok(end) => Ok(end),
             Err(_) => loop {
-                // A user who wants it gone goes on asking.
+                // The user repeats the cancellation until it is answered.
                 match client.cancel(&spec.uid).await {
                     Err(ClientError::Exhausted { .. }) => {}
                     other => break other,
@@ -213,7 +227,7 @@
     }
     lock(over).push(spec.uid.clone());
     tokio::time::sleep(Duration::from_secs_f64(rng.random_range(0.5..4.0))).await;
-    if rng.random_bool(REPEATED) {
+    if rng.random_bool(RESUBMITTED_SHARE) {
         let _ = client.submit(spec).await;
     } else {
         let _ = client.status(&spec.uid).await;
@@ -225,9 +239,9 @@
     use super::*;
 
     #[test]
-    fn the_same_seed_plans_the_same_jobs_and_all_are_well_formed() {
-        let s = Scenario::parse("s", include_str!("../scenarios/filing-eve.hcl")).unwrap();
-        let plan = |seed| plan(&s, 1, &mut StdRng::seed_from_u64(seed));
+    fn jobs_are_determined_by_the_seed_and_well_formed() {
+        let scenario = Scenario::parse("s", include_str!("../scenarios/filing-eve.hcl")).unwrap();
+        let plan = |seed| plan(&scenario, 1, &mut StdRng::seed_from_u64(seed));
         let (a, b) = (plan(4), plan(4));
         assert!(a.len() > 10 && a.iter().all(|j| j.description.spec.well_formed()));
         assert_eq!(format!("{a:?}"), format!("{b:?}"));
