--- a/crates/emulator/src/cluster.rs
+++ b/crates/emulator/src/cluster.rs
@@ -369,8 +369,8 @@
             "teams": teams,
             "objectives": objectives,
             "workers": {
-                "report_s": workers.heartbeat_interval_s, "lease_s": workers.lease_s, "gang_wait_s": workers.gang_wait_s,
-                "gang_peer_s": workers.gang_peer_s, "cancel_s": workers.cancel_s,
+                "report_s": workers.heartbeat_interval_s, "lease_s": workers.lease_s,
+                "gang_wait_s": workers.gang_wait_s, "gang_peer_s": workers.gang_peer_s, "cancel_s": workers.cancel_s,
             },
             "state": {
                 "rps": scenario.state.rps, "write_rps": scenario.state.write_rps, "value_kb": scenario.state.value_kb,
--- a/crates/emulator/src/machine/driver.rs
+++ b/crates/emulator/src/machine/driver.rs
@@ -1,9 +1,9 @@
-//! Connects the simulated machines to the controllers: each reports over one
-//! connection to one controller at a time, and takes orders on an address of
-//! its own. Cuts of the network live here.
+//! Connects the simulated machines to the controllers. Each machine sends its heartbeats over
+//! one connection to one controller at a time, and accepts commands on an address of its
+//! own. Network partitions between machines and controllers are simulated here.
 
 use super::fleet::Fleet;
-use super::worker::{Happening, Traits};
+use super::worker::{TaskEvent, Traits};
 use crate::history::{Event, Recorder};
 use crate::http::{self, Connection, Reply, Request};
 use crate::lock;
@@ -17,27 +17,31 @@
 use tokio::sync::{Notify, watch};
 use tokio::task::JoinHandle;
 
-/// Shortest time between two reports.
-const GAP: Duration = Duration::from_millis(500);
-/// Longest wait for the answer to a report.
-const PATIENCE: Duration = Duration::from_secs(4);
-/// Pause before the next controller is tried.
-const NEXT_NODE: Duration = Duration::from_secs(1);
+/// Shortest time between two heartbeats of a machine.
+const MIN_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
+/// Longest wait for the response to a heartbeat.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(4);
+/// Pause before another controller is tried.
+const NEXT_CONTROLLER_PAUSE: Duration = Duration::from_secs(1);
 
-/// A controller as workers see it.
+/// A controller to which workers report.
 #[derive(Debug, Clone)]
 pub struct Node {
+    /// Name of the controller.
     pub member: String,
+    /// Zone of the controller.
     pub zone: String,
+    /// Address for users and workers.
     pub address: SocketAddr,
 }
 
-/// Which ways are cut. Packets of a cut are held back: what controllers sent
-/// straight to a machine arrives when the cut is over.
+/// Network partitions in effect. Commands that a controller sends to a machine during a
+/// partition are held back and arrive when it ends.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Cuts {
+    /// Machines that reach no controller.
     pub machines: BTreeSet<String>,
-    /// Zones cut off from everything outside.
+    /// Zones that are cut off from all other zones.
     pub zones: BTreeSet<String>,
     /// Controllers that no machine reaches.
     pub controllers: BTreeSet<String>,
@@ -46,59 +50,67 @@
 }
 
 impl Cuts {
-    fn reach(&self, machine: &str, zone: &str, node: &Node) -> bool {
-        let across = zone != node.zone && (self.zones.contains(zone) || self.zones.contains(&node.zone));
-        let link = self.links.iter().any(|(cut_zone, member)| cut_zone == zone && *member == node.member);
-        !(self.machines.contains(machine) || self.controllers.contains(&node.member) || across || link)
+    /// Whether a machine in `zone` reaches a controller.
+    fn reachable(&self, machine: &str, zone: &str, controller: &Node) -> bool {
+        let zone_cut = zone != controller.zone && (self.zones.contains(zone) || self.zones.contains(&controller.zone));
+        let link_cut = self.links.iter().any(|(cut_zone, member)| cut_zone == zone && *member == controller.member);
+        !(self.machines.contains(machine) || self.controllers.contains(&controller.member) || zone_cut || link_cut)
     }
 
-    /// Whether pushes, whose sender is not known, are held back.
-    fn holds(&self, machine: &str, zone: &str) -> bool {
+    /// Whether commands to a machine are held back. Their sender is not known, so only cuts of
+    /// the machine itself and of its zone count.
+    fn holds_commands(&self, machine: &str, zone: &str) -> bool {
         self.machines.contains(machine) || self.zones.contains(zone)
     }
 }
 
-struct Running {
-    notify: Arc<Notify>,
+/// Handles of a machine that is connected to the controllers.
+struct ConnectedMachine {
+    /// Wakes the machine to report a change at once.
+    report_now: Arc<Notify>,
     tasks: Vec<JoinHandle<()>>,
 }
 
 struct Shared {
     fleet: Mutex<Fleet>,
-    running: Mutex<HashMap<String, Running>>,
-    nodes: Vec<Node>,
+    machines: Mutex<HashMap<String, ConnectedMachine>>,
+    controllers: Vec<Node>,
     cuts: watch::Sender<Cuts>,
-    report: Duration,
+    heartbeat_interval: Duration,
     recorder: Recorder,
 }
 
+/// Drives all simulated machines. Clones share them.
 #[derive(Clone)]
 pub struct Driver {
     shared: Arc<Shared>,
 }
 
 impl Driver {
-    pub fn new(fleet: Fleet, nodes: Vec<Node>, report: Duration, recorder: Recorder) -> Driver {
+    /// Creates a driver whose machines report to one of `controllers` at the given interval.
+    pub fn new(fleet: Fleet, controllers: Vec<Node>, heartbeat_interval: Duration, recorder: Recorder) -> Driver {
         Driver {
             shared: Arc::new(Shared {
                 fleet: Mutex::new(fleet),
-                running: Mutex::default(),
-                nodes,
+                machines: Mutex::default(),
+                controllers,
                 cuts: watch::Sender::default(),
-                report,
+                heartbeat_interval,
                 recorder,
             }),
         }
     }
 
+    /// Locks the fleet.
     pub fn fleet(&self) -> MutexGuard<'_, Fleet> {
         lock(&self.shared.fleet)
     }
 
-    fn running(&self) -> MutexGuard<'_, HashMap<String, Running>> {
-        lock(&self.shared.running)
+    fn machines(&self) -> MutexGuard<'_, HashMap<String, ConnectedMachine>> {
+        lock(&self.shared.machines)
     }
 
+    /// Changes which network partitions are in effect.
     pub fn cut(&self, change: impl FnOnce(&mut Cuts)) {
         self.shared.cuts.send_modify(change);
     }
@@ -107,7 +119,8 @@
         self.shared.recorder.now()
     }
 
-    /// A machine is up: it reports from now on.
+    /// Adds a machine that has booted. From now on it sends heartbeats and accepts commands
+    /// at `listen`.
     pub async fn boot(&self, traits: Traits, listen: SocketAddr) -> std::io::Result<()> {
         let listener = TcpListener::bind(listen).await?;
         let name = traits.name.clone();
@@ -119,45 +132,45 @@
         });
         let zone = traits.zone.clone();
         self.fleet().boot(traits, self.now());
-        let notify = Arc::new(Notify::new());
-        let reports = tokio::spawn(self.clone().report_loop(name.clone(), zone.clone(), notify.clone()));
+        let report_now = Arc::new(Notify::new());
+        let heartbeats = tokio::spawn(self.clone().heartbeat_loop(name.clone(), zone.clone(), report_now.clone()));
         let (driver, machine) = (self.clone(), name.clone());
         let commands = tokio::spawn(http::serve(listener, BODY_LIMIT, move |request| {
             let (driver, machine, zone) = (driver.clone(), machine.clone(), zone.clone());
-            // Carried out even when the sender gives up meanwhile.
-            let carried = tokio::spawn(async move { driver.command(&machine, &zone, request).await });
-            async move { carried.await.unwrap_or_else(|_| Reply::empty(500)) }
+            // A task of its own: the request is handled even if the sender gives up meanwhile.
+            let handled = tokio::spawn(async move { driver.handle_request(&machine, &zone, request).await });
+            async move { handled.await.unwrap_or_else(|_| Reply::empty(500)) }
         }));
-        self.running().insert(name, Running { notify, tasks: vec![reports, commands] });
+        self.machines().insert(name, ConnectedMachine { report_now, tasks: vec![heartbeats, commands] });
         Ok(())
     }
 
-    /// A machine and everything on it is gone.
+    /// Removes a machine with everything on it. `why` goes into the history.
     pub fn vanish(&self, name: &str, why: &str) {
-        let Some(r) = self.running().remove(name) else { return };
-        r.tasks.iter().for_each(JoinHandle::abort);
+        let Some(machine) = self.machines().remove(name) else { return };
+        machine.tasks.iter().for_each(JoinHandle::abort);
         self.fleet().vanish(name, self.now());
-        self.settle();
+        self.publish_changes();
         self.shared.recorder.record(Event::MachineGone { machine: name.into(), why: why.into() });
     }
 
-    /// Lets time pass; to be called often.
+    /// Advances the clock of the fleet. Has to be called often.
     pub fn advance(&self) {
         let now = self.now();
         self.fleet().advance(now);
-        self.settle();
+        self.publish_changes();
     }
 
-    /// Records what happened and wakes machines with a change to report.
-    fn settle(&self) {
+    /// Records the starts and stops of tasks, and wakes machines with a change to report.
+    fn publish_changes(&self) {
         let mut fleet = self.fleet();
-        let (happenings, changed) = fleet.take();
-        for (machine, h) in happenings {
-            match h {
-                Happening::Start { task, attempt } => {
+        let (events, changed) = fleet.take();
+        for (machine, event) in events {
+            match event {
+                TaskEvent::Start { task, attempt } => {
                     self.shared.recorder.record(Event::Start { machine, job: task.job, index: task.index, attempt });
                 }
-                Happening::Stop { task, attempt, cause } => {
+                TaskEvent::Stop { task, attempt, cause } => {
                     let cause = cause.into();
                     let (job, index) = (task.job, task.index);
                     self.shared.recorder.record(Event::Stop { machine, job, index, attempt, cause });
@@ -166,106 +179,114 @@
             }
         }
         drop(fleet);
-        let running = self.running();
-        changed.iter().filter_map(|m| running.get(m)).for_each(|r| r.notify.notify_one());
+        let machines = self.machines();
+        changed.iter().filter_map(|name| machines.get(name)).for_each(|machine| machine.report_now.notify_one());
     }
 
-    /// Waits until the machine executes again, or is gone.
-    async fn awake(&self, name: &str) -> bool {
+    /// Waits until a machine does not hang. Returns false if it is gone.
+    async fn wait_while_hung(&self, name: &str) -> bool {
         loop {
-            match self.fleet().worker(name).map(|w| w.hangs()) {
+            match self.fleet().worker(name).map(|worker| worker.is_hung()) {
                 None => return false,
                 Some(false) => return true,
                 Some(true) => {}
             }
-            tokio::time::sleep(GAP / 5).await;
+            tokio::time::sleep(MIN_HEARTBEAT_INTERVAL / 5).await;
         }
     }
 
-    async fn command(&self, machine: &str, zone: &str, request: Request) -> Reply {
+    /// Handles a request to a worker.
+    async fn handle_request(&self, machine: &str, zone: &str, request: Request) -> Reply {
         let mut cuts = self.shared.cuts.subscribe();
-        let _ = cuts.wait_for(|c| !c.holds(machine, zone)).await;
-        if !self.awake(machine).await {
+        let _ = cuts.wait_for(|cuts| !cuts.holds_commands(machine, zone)).await;
+        if !self.wait_while_hung(machine).await {
             return Reply::empty(503);
         }
         let now = self.now();
         let reply = match (request.method.as_str(), request.path.as_str()) {
-            ("GET", "/show") => match self.fleet().report(machine, now) {
-                Some(report) => Reply::new(200, encode(&report)),
+            ("GET", "/show") => match self.fleet().heartbeat(machine, now) {
+                Some(heartbeat) => Reply::new(200, encode(&heartbeat)),
                 None => Reply::empty(503),
             },
             ("POST", "/commands") => match decode::<CommandRequest>(&request.body) {
                 Err(_) => Reply::empty(400),
-                Ok(push) => match self.fleet().pushed(machine, now, &push) {
-                    Some((status, report)) => Reply::new(status, encode(&report)),
+                Ok(commands) => match self.fleet().handle_commands(machine, now, &commands) {
+                    Some((status, heartbeat)) => Reply::new(status, encode(&heartbeat)),
                     None => Reply::empty(503),
                 },
             },
             (_, "/show" | "/commands") => Reply::empty(405),
             _ => Reply::empty(404),
         };
-        self.settle();
+        self.publish_changes();
         reply
     }
 
-    async fn report_loop(self, name: String, zone: String, notify: Arc<Notify>) {
-        let nodes = &self.shared.nodes;
-        let mut at = rand::random_range(0..nodes.len().max(1));
+    /// Sends heartbeats of a machine until it is gone. A controller that does not answer, or
+    /// redirects the machine, is replaced by another one.
+    async fn heartbeat_loop(self, name: String, zone: String, report_now: Arc<Notify>) {
+        let controllers = &self.shared.controllers;
+        let mut current = rand::random_range(0..controllers.len().max(1));
         let mut connection = Connection::default();
         loop {
-            if !self.awake(&name).await {
+            if !self.wait_while_hung(&name).await {
                 return;
             }
-            let node = &nodes[at];
+            let controller = &controllers[current];
             let sent = self.now();
-            let report = self.fleet().report(&name, sent);
-            self.settle();
-            let Some(report) = report else { return };
-            let reach = || self.shared.cuts.borrow().reach(&name, &zone, node);
+            let heartbeat = self.fleet().heartbeat(&name, sent);
+            self.publish_changes();
+            let Some(heartbeat) = heartbeat else { return };
+            let reachable = || self.shared.cuts.borrow().reachable(&name, &zone, controller);
             let mut reply = None;
-            if reach() {
-                reply = connection.post(node.address, "/checkin", encode(&report), PATIENCE).await;
-                // An answer that comes when the way is cut does not come.
-                if !reach() || !self.awake(&name).await {
+            if reachable() {
+                reply = connection.post(controller.address, "/checkin", encode(&heartbeat), RESPONSE_TIMEOUT).await;
+                // A response that arrives during a partition is lost.
+                if !reachable() || !self.wait_while_hung(&name).await {
                     reply = None;
                     connection.close();
                 }
             } else {
                 connection.close();
-                tokio::time::sleep(PATIENCE).await;
+                tokio::time::sleep(RESPONSE_TIMEOUT).await;
             }
-            let mut next = None;
+            // Controller to switch to, and the pause before its first heartbeat.
+            let mut switch = None;
             match reply {
-                Some(r) if r.status == 200 => {
-                    let answer = decode::<HeartbeatResponse>(&r.body).ok();
-                    let (fencing_token, commands) =
-                        answer.map_or((None, Vec::new()), |a| (Some(a.fencing_token), a.commands.into_owned()));
+                Some(reply) if reply.status == 200 => {
+                    let response = decode::<HeartbeatResponse>(&reply.body).ok();
+                    let (fencing_token, commands) = response.map_or((None, Vec::new()), |response| {
+                        (Some(response.fencing_token), response.commands.into_owned())
+                    });
                     let now = self.now();
-                    self.fleet().answered(&name, now, sent, report.agent_epoch, fencing_token, &commands);
-                    self.settle();
+                    let agent_epoch = heartbeat.agent_epoch;
+                    self.fleet().handle_response(&name, now, sent, agent_epoch, fencing_token, &commands);
+                    self.publish_changes();
                 }
-                Some(r) if r.status == 421 => {
-                    let controller = decode::<Redirect>(&r.body).ok().and_then(|r| r.controller);
-                    let to = controller.and_then(|h| nodes.iter().position(|n| n.member == h)).filter(|i| *i != at);
-                    next = Some(match to {
-                        Some(i) => (i, Duration::from_secs_f64(rand::random_range(0.0..0.5))),
-                        None => ((at + 1) % nodes.len(), NEXT_NODE),
+                Some(reply) if reply.status == 421 => {
+                    let owner = decode::<Redirect>(&reply.body).ok().and_then(|redirect| redirect.controller);
+                    let owner_index = owner
+                        .and_then(|owner| controllers.iter().position(|c| c.member == owner))
+                        .filter(|index| *index != current);
+                    switch = Some(match owner_index {
+                        Some(index) => (index, Duration::from_secs_f64(rand::random_range(0.0..0.5))),
+                        None => ((current + 1) % controllers.len(), NEXT_CONTROLLER_PAUSE),
                     });
                 }
-                _ => next = Some(((at + 1) % nodes.len(), NEXT_NODE)),
+                _ => switch = Some(((current + 1) % controllers.len(), NEXT_CONTROLLER_PAUSE)),
             }
-            match next {
-                Some((node, pause)) => {
+            match switch {
+                Some((index, pause)) => {
                     connection.close();
-                    at = node;
+                    current = index;
                     tokio::time::sleep(pause).await;
                 }
                 None => {
-                    let until = sent + self.shared.report.mul_f64(rand::random_range(0.75..1.25));
-                    let rest = until.saturating_sub(self.now());
-                    let _ = tokio::time::timeout(rest, notify.notified()).await;
-                    // A change is told at once, but never less than a gap later.
-                    tokio::time::sleep((sent + GAP).saturating_sub(self.now())).await;
+                    let next = sent + self.shared.heartbeat_interval.mul_f64(rand::random_range(0.75..1.25));
+                    let remaining = next.saturating_sub(self.now());
+                    let _ = tokio::time::timeout(remaining, report_now.notified()).await;
+                    // A change is reported at once, except for the shortest interval.
+                    tokio::time::sleep((sent + MIN_HEARTBEAT_INTERVAL).saturating_sub(self.now())).await;
                 }
             }
         }
--- a/crates/emulator/src/machine/images.rs
+++ b/crates/emulator/src/machine/images.rs
@@ -1,5 +1,5 @@
-//! Images on one machine: fetches that share the machine's rate, and a cache
-//! that drops what was used longest ago.
+//! Images on one machine: fetches that share the bandwidth of the machine, and a cache that
+//! evicts the least recently used images.
 
 use std::time::Duration;
 
@@ -7,79 +7,81 @@
 struct Fetch {
     image: String,
     image_gb: f64,
-    left_gb: f64,
+    remaining_gb: f64,
 }
 
+/// Image cache of one machine, with the fetches under way.
 #[derive(Debug)]
 pub struct Images {
     gb_per_s: f64,
     cache_gb: f64,
-    /// Least recently used first.
-    held: Vec<(String, f64)>,
+    /// Cached images and their sizes in GB, least recently used first.
+    cached: Vec<(String, f64)>,
     fetches: Vec<Fetch>,
-    at: Duration,
+    updated_at: Duration,
 }
 
 impl Images {
+    /// Creates an empty cache of `cache_gb` that fetches `gb_per_s` in total.
     pub fn new(gb_per_s: f64, cache_gb: f64, now: Duration) -> Images {
-        Images { gb_per_s, cache_gb, held: Vec::new(), fetches: Vec::new(), at: now }
+        Images { gb_per_s, cache_gb, cached: Vec::new(), fetches: Vec::new(), updated_at: now }
     }
 
-    /// Whether the image is there; it counts as used now.
-    pub fn has(&mut self, image: &str) -> bool {
-        match self.held.iter().position(|(i, _)| i == image) {
-            Some(at) => {
-                let used = self.held.remove(at);
-                self.held.push(used);
+    /// Marks an image as the most recently used one. Returns whether it is cached.
+    pub fn touch(&mut self, image: &str) -> bool {
+        match self.cached.iter().position(|(name, _)| name == image) {
+            Some(index) => {
+                let entry = self.cached.remove(index);
+                self.cached.push(entry);
                 true
             }
             None => false,
         }
     }
 
-    /// Begins to fetch an image unless it is there or under way.
-    pub fn want(&mut self, image: &str, image_gb: f64) {
-        if !self.has(image) && self.fetches.iter().all(|f| f.image != image) {
-            self.fetches.push(Fetch { image: image.into(), image_gb, left_gb: image_gb });
+    /// Starts to fetch an image, unless it is cached or being fetched already.
+    pub fn fetch(&mut self, image: &str, image_gb: f64) {
+        if !self.touch(image) && self.fetches.iter().all(|f| f.image != image) {
+            self.fetches.push(Fetch { image: image.into(), image_gb, remaining_gb: image_gb });
         }
     }
 
-    /// Gives up fetches that nobody waits for any more.
-    pub fn keep(&mut self, wanted: impl Fn(&str) -> bool) {
-        self.fetches.retain(|f| wanted(&f.image));
+    /// Cancels the fetches of images that are not needed any more.
+    pub fn retain_fetches(&mut self, needed: impl Fn(&str) -> bool) {
+        self.fetches.retain(|f| needed(&f.image));
     }
 
-    /// Lets time pass; `standing` machines fetch nothing meanwhile. True when
-    /// an image has come.
-    pub fn advance(&mut self, now: Duration, standing: bool) -> bool {
-        let mut left = now.saturating_sub(self.at).as_secs_f64();
-        self.at = self.at.max(now);
-        let mut came = false;
-        while !standing && !self.fetches.is_empty() && left > 0.0 {
-            let share = self.gb_per_s / self.fetches.len() as f64;
-            let least = self.fetches.iter().map(|f| f.left_gb).fold(f64::INFINITY, f64::min);
-            let step = left.min(least / share);
-            left -= step;
-            self.fetches.iter_mut().for_each(|f| f.left_gb -= share * step);
-            for f in self.fetches.extract_if(.., |f| f.left_gb <= 1e-9) {
-                self.held.push((f.image, f.image_gb));
-                came = true;
+    /// Advances the clock; a `hung` machine fetches nothing in that time. Returns whether a
+    /// fetch has completed.
+    pub fn advance(&mut self, now: Duration, hung: bool) -> bool {
+        let mut remaining_s = now.saturating_sub(self.updated_at).as_secs_f64();
+        self.updated_at = self.updated_at.max(now);
+        let mut completed = false;
+        while !hung && !self.fetches.is_empty() && remaining_s > 0.0 {
+            let gb_per_s = self.gb_per_s / self.fetches.len() as f64;
+            let least_gb = self.fetches.iter().map(|f| f.remaining_gb).fold(f64::INFINITY, f64::min);
+            let step_s = remaining_s.min(least_gb / gb_per_s);
+            remaining_s -= step_s;
+            self.fetches.iter_mut().for_each(|f| f.remaining_gb -= gb_per_s * step_s);
+            for f in self.fetches.extract_if(.., |f| f.remaining_gb <= 1e-9) {
+                self.cached.push((f.image, f.image_gb));
+                completed = true;
             }
-            if step <= 0.0 && !came {
+            if step_s <= 0.0 && !completed {
                 break;
             }
         }
-        while self.held.len() > 1 && self.held.iter().map(|(_, gb)| gb).sum::<f64>() > self.cache_gb {
-            self.held.remove(0);
+        while self.cached.len() > 1 && self.cached.iter().map(|(_, gb)| gb).sum::<f64>() > self.cache_gb {
+            self.cached.remove(0);
         }
-        came
+        completed
     }
 
-    /// When the next image will be there, if nothing changes.
-    pub fn next(&self) -> Option<Duration> {
-        let least = self.fetches.iter().map(|f| f.left_gb).min_by(f64::total_cmp)?;
-        let s = (least * self.fetches.len() as f64 / self.gb_per_s).max(0.0);
-        Some(self.at + Duration::from_secs_f64(s) + Duration::from_millis(1))
+    /// When the next fetch will complete, if none is started or cancelled before.
+    pub fn next_completion(&self) -> Option<Duration> {
+        let least_gb = self.fetches.iter().map(|f| f.remaining_gb).min_by(f64::total_cmp)?;
+        let duration_s = (least_gb * self.fetches.len() as f64 / self.gb_per_s).max(0.0);
+        Some(self.updated_at + Duration::from_secs_f64(duration_s) + Duration::from_millis(1))
     }
 }
 
@@ -92,18 +94,18 @@
     }
 
     #[test]
-    fn fetches_share_the_rate_and_old_images_go() {
-        let mut i = Images::new(1.0, 5.0, s(0.0));
-        i.want("a", 2.0);
-        i.want("b", 4.0);
-        assert!(!i.advance(s(3.9), false) && i.advance(s(4.1), false));
-        assert!(i.has("a") && !i.has("b"));
-        assert!(i.next().unwrap() < s(6.1));
-        assert!(!i.advance(s(10.0), true), "a machine that hangs fetches nothing");
-        assert!(i.advance(s(12.0), false));
-        assert!(i.has("b") && !i.has("a"), "six gigabytes do not fit into five");
-        i.want("c", 1.0);
-        i.keep(|_| false);
-        assert_eq!(i.next(), None);
+    fn fetches_share_the_rate_and_the_oldest_image_is_evicted() {
+        let mut images = Images::new(1.0, 5.0, s(0.0));
+        images.fetch("a", 2.0);
+        images.fetch("b", 4.0);
+        assert!(!images.advance(s(3.9), false) && images.advance(s(4.1), false));
+        assert!(images.touch("a") && !images.touch("b"));
+        assert!(images.next_completion().unwrap() < s(6.1));
+        assert!(!images.advance(s(10.0), true), "a hung machine fetches nothing");
+        assert!(images.advance(s(12.0), false));
+        assert!(images.touch("b") && !images.touch("a"), "images of 6 GB do not fit into a cache of 5 GB");
+        images.fetch("c", 1.0);
+        images.retain_fetches(|_| false);
+        assert_eq!(images.next_completion(), None);
     }
 }
--- a/crates/emulator/src/machine/mod.rs
+++ b/crates/emulator/src/machine/mod.rs
@@ -1,7 +1,9 @@
-//! Simulated machines with their workers: the worker side of the protocol for
-//! some thousands of machines in one process. `worker` is one machine, `fleet`
-//! all of them with what they share (results, checkpoints, gangs), `driver`
-//! connects them to the controllers.
+//! Simulated machines with their workers: the worker side of the protocol for thousands of
+//! machines in one process. [`worker`] is one machine; [`fleet`] holds all of them with
+//! what they share (results, checkpoints, gangs); [`images`] is the image cache of one
+//! machine; [`driver`] connects the machines to the controllers.
+
+#![warn(missing_docs)]
 
 pub mod driver;
 pub mod fleet;
--- a/crates/emulator/src/machine/worker.rs
+++ b/crates/emulator/src/machine/worker.rs
@@ -1,6 +1,8 @@
-//! One simulated machine and its worker: tasks, tokens, lease, sessions.
-//! Pure: the time comes in. Gangs reach over machines, so `fleet` starts and
-//! ends them; what concerns them is told by `Happening`.
+//! One simulated machine and its worker: tasks, fencing token, lease and agent epoch.
+//! Without I/O: the caller passes the time. Gangs span several machines, so [`fleet`] starts
+//! and ends them; a worker tells it of their tasks by [`TaskEvent`].
+//!
+//! [`fleet`]: super::fleet
 
 use super::images::Images;
 use finchquay_protocol::user::{JobKind, JobSpec};
@@ -9,119 +11,174 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time a faulty machine takes to fail a task.
-const FAILS_AFTER: Duration = Duration::from_millis(300);
+/// Time after which a task fails on a faulty machine.
+const TASK_FAILURE_DELAY: Duration = Duration::from_millis(300);
 
-/// A job as its users uploaded it, and how its tasks really behave.
+/// A job as its user uploaded it, and how its tasks really behave.
 #[derive(Debug, Clone)]
 pub struct Description {
+    /// Specification of the job.
     pub spec: JobSpec,
-    /// True run time of each task on a machine of ordinary speed, in seconds;
-    /// of a gang the first counts for all.
+    /// True run time of each task on a machine of ordinary speed, in seconds. In a gang,
+    /// the first entry counts for all tasks.
     pub run_s: Vec<f32>,
-    /// Submitted with a mistake: fails on every machine.
+    /// Whether the job was submitted with a mistake, so that its tasks fail on every machine.
     pub broken: bool,
 }
 
 impl Description {
-    fn total_s(&self, index: u32) -> f64 {
-        let at = if self.spec.kind == JobKind::Gang { 0 } else { index as usize };
-        self.run_s.get(at).map_or(f64::INFINITY, |s| f64::from(*s))
+    /// Work of a task, in seconds at ordinary speed.
+    fn total_s(&self, task_index: u32) -> f64 {
+        let index = if self.spec.kind == JobKind::Gang { 0 } else { task_index as usize };
+        self.run_s.get(index).map_or(f64::INFINITY, |run_s| f64::from(*run_s))
     }
 }
 
-/// What outlives machines: descriptions, results and checkpoints.
+/// Data that outlives machines: descriptions, results and checkpoints.
 #[derive(Debug, Default)]
-pub struct Shared {
-    pub jobs: HashMap<String, Arc<Description>>,
-    pub done: HashSet<TaskId>,
-    /// Progress saved, in seconds: of a task, or under index 0 of a gang.
-    pub saved: HashMap<TaskId, f64>,
+pub struct JobData {
+    /// Uploaded jobs by id.
+    pub descriptions: HashMap<String, Arc<Description>>,
+    /// Tasks that completed: their results are kept.
+    pub finished: HashSet<TaskId>,
+    /// Saved progress in seconds, of each task; that of a gang is under index 0.
+    pub saved_s: HashMap<TaskId, f64>,
 }
 
-impl Shared {
+impl JobData {
     fn save(&mut self, id: &TaskId, progress_s: f64) {
-        let saved = self.saved.entry(id.clone()).or_default();
-        *saved = saved.max(progress_s);
+        let saved_s = self.saved_s.entry(id.clone()).or_default();
+        *saved_s = saved_s.max(progress_s);
     }
 }
 
-/// What happened on a machine, for the history and for gangs.
+/// Event of a task on a machine. Starts and stops go into the history, the others are for
+/// gangs.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Happening {
-    /// The task has its image: it is on the machine from now on.
-    Start { task: TaskId, attempt: u64 },
-    /// It is gone. Causes are those of reports, and `lapsed` and `vanished`.
-    Stop { task: TaskId, attempt: u64, cause: &'static str },
-    /// A gang's task waits for the others.
-    Gathers { task: TaskId, attempt: u64 },
-    /// A gang's running task was told to stop and has the time to save.
-    Winds { task: TaskId, attempt: u64 },
-    /// A gang's task is gone, other than by the gang's own end.
-    Leaves { task: TaskId, attempt: u64 },
+pub enum TaskEvent {
+    /// The image of the task has been fetched: the task occupies the machine from now on.
+    Start {
+        /// Id of the task.
+        task: TaskId,
+        /// Attempt of the task.
+        attempt: u64,
+    },
+    /// The task no longer occupies the machine.
+    Stop {
+        /// Id of the task.
+        task: TaskId,
+        /// Attempt of the task.
+        attempt: u64,
+        /// A cause as in heartbeats, or `lapsed` or `vanished`.
+        cause: &'static str,
+    },
+    /// A task of a gang is ready and waits for the others.
+    GangReady {
+        /// Id of the task.
+        task: TaskId,
+        /// Attempt of the task.
+        attempt: u64,
+    },
+    /// A running task of a gang was told to stop and has enough time to save its progress.
+    GangSaving {
+        /// Id of the task.
+        task: TaskId,
+        /// Attempt of the task.
+        attempt: u64,
+    },
+    /// A task of a gang is gone, other than by the end of the gang itself.
+    GangTaskLost {
+        /// Id of the task.
+        task: TaskId,
+        /// Attempt of the task.
+        attempt: u64,
+    },
 }
 
 #[derive(Debug)]
 struct Task {
     id: TaskId,
-    desc: Arc<Description>,
+    description: Arc<Description>,
     state: TaskState,
     cause: Option<Cause>,
+    /// Whether its progress was saved as it was stopped.
     kept: Option<bool>,
-    /// On the machine: it has, or had, its image.
-    on: bool,
-    /// Work left at `since`, in seconds at ordinary speed.
-    left_s: f64,
-    /// Speed of the machine when it started to run.
+    /// Whether it has started: its image was fetched.
+    started: bool,
+    /// Work that was left at `remaining_at`, in seconds at ordinary speed.
+    remaining_s: f64,
+    /// Time that `remaining_s` refers to.
+    remaining_at: Duration,
+    /// Speed of the machine when the task began to run.
     speed: f64,
-    since: Duration,
     /// When it leaves its state by itself.
-    until: Option<Duration>,
+    state_ends_at: Option<Duration>,
 }
 
 impl Task {
-    fn gang(&self) -> bool {
-        self.desc.spec.kind == JobKind::Gang
+    fn is_gang(&self) -> bool {
+        self.description.spec.kind == JobKind::Gang
     }
 }
 
-/// What a machine is and how it behaves.
+/// Properties and behaviour of a machine.
 #[derive(Debug, Clone)]
 pub struct Traits {
+    /// Id of the machine.
     pub name: String,
+    /// Address at which the worker listens.
     pub addr: String,
+    /// Machine type.
     pub machine_type: String,
+    /// Zone of the machine.
     pub zone: String,
+    /// Whether it is a spot machine.
     pub spot: bool,
+    /// CPU cores.
     pub cores: f64,
+    /// GPUs.
     pub gpus: f64,
+    /// Memory, in GB.
     pub mem_gb: f64,
+    /// Disk space for images, in GB.
     pub cache_gb: f64,
+    /// Rate at which it fetches images, in GB per second.
     pub gb_per_s: f64,
-    /// 1 is ordinary.
+    /// Factor on the speed of tasks; 1 is ordinary.
     pub speed: f64,
+    /// Time after which a lease lapses that no controller renews.
     pub lease: Duration,
+    /// Longest time that a task of a gang waits for the others.
     pub gang_wait: Duration,
 }
 
+/// A simulated machine and its worker.
 pub struct Worker {
+    /// Properties and behaviour of the machine.
     pub traits: Traits,
     agent_epoch: u64,
     heartbeat_seq: u64,
+    /// Highest fencing token that was accepted.
     fencing_token: u64,
-    lease_from: Duration,
+    lease_renewed_at: Duration,
+    /// Tasks by id and attempt, including those that have exited but are not forgotten.
     tasks: BTreeMap<(TaskId, u64), Task>,
     images: Images,
+    /// When the machine will be preempted, once notice has been given.
     pub preempted_at: Option<Duration>,
-    /// Every task fails here.
+    /// Whether the machine is faulty, so that every task fails on it.
     pub sick: bool,
     hung_since: Option<Duration>,
+    /// When a raised fencing token was last reported at once.
     token_announced_at: Duration,
-    out: Vec<Happening>,
+    /// Events since they were last taken.
+    events: Vec<TaskEvent>,
+    /// Whether there is a change to report since this was last taken.
     changed: bool,
 }
 
 impl Worker {
+    /// Creates a machine that has just booted.
     pub fn new(traits: Traits, now: Duration) -> Worker {
         Worker {
             images: Images::new(traits.gb_per_s, traits.cache_gb, now),
@@ -129,242 +186,262 @@
             agent_epoch: 1,
             heartbeat_seq: 0,
             fencing_token: 0,
-            lease_from: now,
+            lease_renewed_at: now,
             tasks: BTreeMap::new(),
             preempted_at: None,
             sick: false,
             hung_since: None,
             token_announced_at: now,
-            out: Vec::new(),
+            events: Vec::new(),
             changed: true,
         }
     }
 
-    /// Tasks that start from now on run so many times as fast.
+    /// Multiplies the speed of the machine by `factor`, for tasks that start from now on.
     pub fn slow_down(&mut self, factor: f64) {
         self.traits.speed *= factor;
     }
 
-    pub fn hangs(&self) -> bool {
+    /// Whether the machine hangs.
+    pub fn is_hung(&self) -> bool {
         self.hung_since.is_some()
     }
 
-    /// What happened since this was last asked.
-    pub fn take_happenings(&mut self) -> Vec<Happening> {
-        std::mem::take(&mut self.out)
+    /// Returns the events since the last call.
+    pub fn take_events(&mut self) -> Vec<TaskEvent> {
+        std::mem::take(&mut self.events)
     }
 
-    /// Whether a report is due for a change since this was last asked.
+    /// Returns whether a change since the last call has to be reported.
     pub fn take_changed(&mut self) -> bool {
         std::mem::take(&mut self.changed)
     }
 
+    /// Number of tasks that run.
     pub fn running(&self) -> usize {
         self.tasks.values().filter(|t| t.state == TaskState::Running).count()
     }
 
-    /// Stops or resumes execution. Leases run on: PROTOCOL lets a hanging machine
-    /// resume within its lease, and after that there is nothing left to resume.
-    pub fn hang(&mut self, now: Duration, on: bool, shared: &mut Shared) {
+    /// Suspends (`on`) or resumes the machine. Its lease runs on meanwhile: by the protocol
+    /// a hung machine may resume within its lease; after that, no task is left to resume.
+    pub fn hang(&mut self, now: Duration, on: bool, job_data: &mut JobData) {
         match (self.hung_since, on) {
             (None, true) => {
-                self.advance(now, shared);
+                self.advance(now, job_data);
                 self.hung_since = Some(now);
-                let gangs = self.tasks.iter().filter(|(_, t)| t.gang() && t.state == TaskState::Running);
-                let gangs: Vec<_> = gangs.map(|((id, a), _)| (id.clone(), *a)).collect();
-                self.out.extend(gangs.into_iter().map(|(task, attempt)| Happening::Leaves { task, attempt }));
+                let gang_tasks = self.tasks.iter().filter(|(_, t)| t.is_gang() && t.state == TaskState::Running);
+                let gang_tasks: Vec<_> = gang_tasks.map(|((id, attempt), _)| (id.clone(), *attempt)).collect();
+                self.events
+                    .extend(gang_tasks.into_iter().map(|(task, attempt)| TaskEvent::GangTaskLost { task, attempt }));
             }
             (Some(since), false) => {
                 self.hung_since = None;
                 let paused = now.saturating_sub(since);
                 self.images.advance(now, true);
-                for t in self.tasks.values_mut() {
-                    t.since += paused;
-                    t.until = t.until.map(|u| u + paused);
+                for task in self.tasks.values_mut() {
+                    task.remaining_at += paused;
+                    task.state_ends_at = task.state_ends_at.map(|at| at + paused);
                 }
-                self.advance(now, shared);
+                self.advance(now, job_data);
             }
             _ => {}
         }
     }
 
-    /// When something happens here by itself next.
-    pub fn next(&self) -> Option<Duration> {
-        let lapse = self.lease_from + self.traits.lease + Duration::from_millis(1);
-        if self.hangs() {
-            return Some(lapse);
+    /// When the state of the machine next changes by itself.
+    pub fn next_change(&self) -> Option<Duration> {
+        let lease_lapse = self.lease_renewed_at + self.traits.lease + Duration::from_millis(1);
+        if self.is_hung() {
+            return Some(lease_lapse);
         }
-        let tasks = self.tasks.values().filter_map(|t| t.until);
-        tasks.chain(self.images.next()).chain([lapse]).min()
+        let task_changes = self.tasks.values().filter_map(|t| t.state_ends_at);
+        task_changes.chain(self.images.next_completion()).chain([lease_lapse]).min()
     }
 
-    /// Lets time pass.
-    pub fn advance(&mut self, now: Duration, shared: &mut Shared) {
-        if now > self.lease_from + self.traits.lease {
-            self.drop_all(now, "lapsed", shared);
+    /// Advances the clock: a lease that was not renewed lapses, fetches progress, and tasks
+    /// leave their states.
+    pub fn advance(&mut self, now: Duration, job_data: &mut JobData) {
+        if now > self.lease_renewed_at + self.traits.lease {
+            self.drop_all_tasks(now, "lapsed", job_data);
             self.agent_epoch += 1;
-            self.lease_from = now;
+            self.lease_renewed_at = now;
             self.changed = true;
         }
-        if self.hangs() {
+        if self.is_hung() {
             return;
         }
         self.images.advance(now, false);
         let due: Vec<(TaskId, u64)> = self
             .tasks
             .iter()
-            .filter(|(_, t)| t.state == TaskState::Fetching || t.until.is_some_and(|u| u <= now))
-            .map(|(k, _)| k.clone())
+            .filter(|(_, t)| t.state == TaskState::Fetching || t.state_ends_at.is_some_and(|at| at <= now))
+            .map(|(key, _)| key.clone())
             .collect();
         for key in due {
-            self.turn(now, &key, shared);
+            self.advance_task(now, &key, job_data);
         }
     }
 
-    /// One task leaves its state, if it may.
-    fn turn(&mut self, now: Duration, key: &(TaskId, u64), shared: &mut Shared) {
-        let (sick, speed, gang_wait) = (self.sick, self.traits.speed, self.traits.gang_wait);
-        let Some(t) = self.tasks.get_mut(key) else { return };
-        match t.state {
+    /// Moves a task on to its next state, if its present one is over.
+    fn advance_task(&mut self, now: Duration, key: &(TaskId, u64), job_data: &mut JobData) {
+        let (faulty, speed, gang_wait) = (self.sick, self.traits.speed, self.traits.gang_wait);
+        let Some(task) = self.tasks.get_mut(key) else { return };
+        match task.state {
             TaskState::Fetching => {
-                if !self.images.has(&t.desc.spec.image) {
+                if !self.images.touch(&task.description.spec.image) {
                     return;
                 }
                 self.changed = true;
-                t.on = true;
-                t.since = now;
-                self.out.push(Happening::Start { task: key.0.clone(), attempt: key.1 });
-                if shared.done.contains(&key.0) {
-                    self.exit(now, key, Cause::Done, None, shared);
-                } else if sick || t.desc.broken {
-                    t.state = TaskState::Running;
-                    (t.left_s, t.until) = (f64::INFINITY, Some(now + FAILS_AFTER));
-                } else if t.gang() {
-                    t.state = TaskState::WaitingForGang;
-                    t.until = Some(now + gang_wait);
-                    self.out.push(Happening::Gathers { task: key.0.clone(), attempt: key.1 });
+                task.started = true;
+                task.remaining_at = now;
+                self.events.push(TaskEvent::Start { task: key.0.clone(), attempt: key.1 });
+                if job_data.finished.contains(&key.0) {
+                    self.exit(now, key, Cause::Done, None, job_data);
+                } else if faulty || task.description.broken {
+                    task.state = TaskState::Running;
+                    (task.remaining_s, task.state_ends_at) = (f64::INFINITY, Some(now + TASK_FAILURE_DELAY));
+                } else if task.is_gang() {
+                    task.state = TaskState::WaitingForGang;
+                    task.state_ends_at = Some(now + gang_wait);
+                    self.events.push(TaskEvent::GangReady { task: key.0.clone(), attempt: key.1 });
                 } else {
-                    t.state = TaskState::Running;
-                    let saved = shared.saved.get(&key.0).copied().unwrap_or(0.0);
-                    t.left_s = (t.desc.total_s(key.0.index) - saved).max(0.0);
-                    t.speed = speed;
-                    let run = t.left_s / speed;
-                    t.until = (run.is_finite()).then(|| now + Duration::from_secs_f64(run));
+                    task.state = TaskState::Running;
+                    let saved_s = job_data.saved_s.get(&key.0).copied().unwrap_or(0.0);
+                    task.remaining_s = (task.description.total_s(key.0.index) - saved_s).max(0.0);
+                    task.speed = speed;
+                    let run_s = task.remaining_s / speed;
+                    task.state_ends_at = (run_s.is_finite()).then(|| now + Duration::from_secs_f64(run_s));
                 }
             }
             TaskState::WaitingForGang => {
-                self.out.push(Happening::Leaves { task: key.0.clone(), attempt: key.1 });
-                self.exit(now, key, Cause::GangIncomplete, None, shared);
+                self.events.push(TaskEvent::GangTaskLost { task: key.0.clone(), attempt: key.1 });
+                self.exit(now, key, Cause::GangIncomplete, None, job_data);
             }
-            TaskState::Running if t.left_s.is_infinite() => self.exit(now, key, Cause::Error, None, shared),
-            TaskState::Running => self.exit(now, key, Cause::Done, None, shared),
+            TaskState::Running if task.remaining_s.is_infinite() => self.exit(now, key, Cause::Error, None, job_data),
+            TaskState::Running => self.exit(now, key, Cause::Done, None, job_data),
             TaskState::Saving => {
-                let progress = t.desc.total_s(key.0.index) - t.left_s;
-                shared.save(&key.0, progress);
-                self.exit(now, key, Cause::Stopped, Some(true), shared);
+                let progress_s = task.description.total_s(key.0.index) - task.remaining_s;
+                job_data.save(&key.0, progress_s);
+                self.exit(now, key, Cause::Stopped, Some(true), job_data);
             }
             TaskState::Exited => {}
         }
     }
 
-    /// Ends a task; it stays in the reports until it is forgotten.
-    pub fn exit(&mut self, now: Duration, key: &(TaskId, u64), cause: Cause, kept: Option<bool>, shared: &mut Shared) {
-        let Some(t) = self.tasks.get_mut(key).filter(|t| t.state != TaskState::Exited) else { return };
+    /// Ends a task. It stays in the heartbeats until a command to forget it.
+    pub fn exit(
+        &mut self,
+        now: Duration,
+        key: &(TaskId, u64),
+        cause: Cause,
+        kept: Option<bool>,
+        job_data: &mut JobData,
+    ) {
+        let Some(task) = self.tasks.get_mut(key).filter(|task| task.state != TaskState::Exited) else { return };
         if cause == Cause::Done {
-            shared.done.insert(key.0.clone());
-        } else if kept.is_none() && t.state == TaskState::Running && !t.gang() {
-            checkpoint(t, now, shared);
+            job_data.finished.insert(key.0.clone());
+        } else if kept.is_none() && task.state == TaskState::Running && !task.is_gang() {
+            save_last_checkpoint(task, now, job_data);
         }
-        let name = name(cause);
-        (t.state, t.cause, t.kept, t.until) = (TaskState::Exited, Some(cause), kept, None);
-        if t.on {
-            self.out.push(Happening::Stop { task: key.0.clone(), attempt: key.1, cause: name });
+        let cause_text = cause_name(cause);
+        (task.state, task.cause, task.kept, task.state_ends_at) = (TaskState::Exited, Some(cause), kept, None);
+        if task.started {
+            self.events.push(TaskEvent::Stop { task: key.0.clone(), attempt: key.1, cause: cause_text });
         }
         self.changed = true;
-        self.keep_images();
+        self.cancel_unneeded_fetches();
     }
 
-    fn keep_images(&mut self) {
+    fn cancel_unneeded_fetches(&mut self) {
         let tasks = &self.tasks;
-        self.images.keep(|i| tasks.values().any(|t| t.state == TaskState::Fetching && t.desc.spec.image == i));
+        self.images.retain_fetches(|image| {
+            tasks.values().any(|t| t.state == TaskState::Fetching && t.description.spec.image == image)
+        });
     }
 
-    /// Every task is gone at once, unreported: the lease lapsed or the machine vanished.
-    pub fn drop_all(&mut self, now: Duration, cause: &'static str, shared: &mut Shared) {
-        for ((task, attempt), t) in std::mem::take(&mut self.tasks) {
-            if t.state == TaskState::Running && !t.gang() && !self.hangs() {
-                checkpoint(&t, now, shared);
+    /// Drops every task without reporting it, as the lease has lapsed or the machine is gone.
+    /// `cause` goes into the history.
+    pub fn drop_all_tasks(&mut self, now: Duration, cause: &'static str, job_data: &mut JobData) {
+        for ((id, attempt), task) in std::mem::take(&mut self.tasks) {
+            if task.state == TaskState::Running && !task.is_gang() && !self.is_hung() {
+                save_last_checkpoint(&task, now, job_data);
             }
-            if t.gang() && matches!(t.state, TaskState::WaitingForGang | TaskState::Running | TaskState::Saving) {
-                self.out.push(Happening::Leaves { task: task.clone(), attempt });
+            if task.is_gang()
+                && matches!(task.state, TaskState::WaitingForGang | TaskState::Running | TaskState::Saving)
+            {
+                self.events.push(TaskEvent::GangTaskLost { task: id.clone(), attempt });
             }
-            if t.on && t.state != TaskState::Exited {
-                self.out.push(Happening::Stop { task, attempt, cause });
+            if task.started && task.state != TaskState::Exited {
+                self.events.push(TaskEvent::Stop { task: id, attempt, cause });
             }
         }
-        self.keep_images();
+        self.cancel_unneeded_fetches();
     }
 
-    /// A gang's task begins to run, or a stop of its gang comes to its end.
+    /// Sets a task to running, as its gang is complete.
     pub fn set_running(&mut self, now: Duration, key: &(TaskId, u64)) {
-        if let Some(t) = self.tasks.get_mut(key) {
-            (t.state, t.since, t.until) = (TaskState::Running, now, None);
+        if let Some(task) = self.tasks.get_mut(key) {
+            (task.state, task.remaining_at, task.state_ends_at) = (TaskState::Running, now, None);
             self.changed = true;
         }
     }
 
-    /// The report that is sent now.
-    pub fn report(&mut self, now: Duration) -> Heartbeat {
+    /// Builds the next heartbeat.
+    pub fn heartbeat(&mut self, now: Duration) -> Heartbeat {
         self.heartbeat_seq += 1;
-        let task = |((id, attempt), t): (&(TaskId, u64), &Task)| TaskReport {
+        let report = |((id, attempt), task): (&(TaskId, u64), &Task)| TaskReport {
             task: id.to_string(),
             attempt: *attempt,
-            status: t.state,
-            cause: t.cause,
-            kept: t.kept,
+            status: task.state,
+            cause: task.cause,
+            kept: task.kept,
         };
-        let t = &self.traits;
+        let traits = &self.traits;
         Heartbeat {
-            machine: t.name.clone(),
-            addr: t.addr.clone(),
-            machine_type: t.machine_type.clone(),
-            zone: t.zone.clone(),
-            spot: t.spot,
+            machine: traits.name.clone(),
+            addr: traits.addr.clone(),
+            machine_type: traits.machine_type.clone(),
+            zone: traits.zone.clone(),
+            spot: traits.spot,
             agent_epoch: self.agent_epoch,
             heartbeat_seq: self.heartbeat_seq,
             fencing_token: self.fencing_token,
             preemption_notice_s: self.preempted_at.map(|at| at.saturating_sub(now).as_secs_f64()),
-            tasks: self.tasks.iter().map(task).collect(),
+            tasks: self.tasks.iter().map(report).collect(),
         }
     }
 
+    /// Epoch of the agent. It grows when the lease lapses.
     pub fn agent_epoch(&self) -> u64 {
         self.agent_epoch
     }
 
-    /// A report of session `agent_epoch`, sent at `sent`, was answered with 200.
-    /// False: the answer had to be dropped.
-    pub fn answered(
+    /// Handles a response with status 200 to the heartbeat that was sent at `sent` in the
+    /// epoch `agent_epoch`. Returns false if the response had to be ignored: its fencing
+    /// token is missing or too low, or the epoch has changed, or the machine hangs.
+    pub fn handle_response(
         &mut self,
         now: Duration,
         sent: Duration,
         agent_epoch: u64,
         fencing_token: Option<u64>,
         commands: &[Command],
-        shared: &mut Shared,
+        job_data: &mut JobData,
     ) -> bool {
-        let Some(fencing_token) =
-            fencing_token.filter(|w| *w >= self.fencing_token && agent_epoch == self.agent_epoch && !self.hangs())
+        let Some(fencing_token) = fencing_token
+            .filter(|token| *token >= self.fencing_token && agent_epoch == self.agent_epoch && !self.is_hung())
         else {
             return false;
         };
-        self.see_token(now, fencing_token);
-        self.lease_from = self.lease_from.max(sent);
-        self.execute(now, commands, shared);
+        self.accept_token(now, fencing_token);
+        self.lease_renewed_at = self.lease_renewed_at.max(sent);
+        self.execute(now, commands, job_data);
         true
     }
 
-    fn see_token(&mut self, now: Duration, fencing_token: u64) {
+    /// Raises the highest accepted token. The raise is reported at once if the last such
+    /// report is more than half a lease ago.
+    fn accept_token(&mut self, now: Duration, fencing_token: u64) {
         if fencing_token > self.fencing_token {
             self.fencing_token = fencing_token;
             if now > self.token_announced_at + self.traits.lease / 2 {
@@ -374,24 +451,24 @@
         }
     }
 
-    /// Orders sent straight to the worker: the status of the answer, whose
-    /// body is the report.
-    pub fn pushed(&mut self, now: Duration, push: &CommandRequest, shared: &mut Shared) -> u16 {
-        self.advance(now, shared);
-        if push.fencing_token < self.fencing_token || push.agent_epoch != self.agent_epoch {
+    /// Handles commands that a controller sent to the worker. Returns the HTTP status of the
+    /// response, whose body is a heartbeat.
+    pub fn handle_commands(&mut self, now: Duration, request: &CommandRequest, job_data: &mut JobData) -> u16 {
+        self.advance(now, job_data);
+        if request.fencing_token < self.fencing_token || request.agent_epoch != self.agent_epoch {
             return 409;
         }
-        self.see_token(now, push.fencing_token);
-        self.execute(now, &push.commands, shared);
+        self.accept_token(now, request.fencing_token);
+        self.execute(now, &request.commands, job_data);
         200
     }
 
-    fn execute(&mut self, now: Duration, commands: &[Command], shared: &mut Shared) {
-        for order in commands {
-            match order {
-                Command::Run { task, attempt } => self.run(now, task, *attempt, shared),
+    fn execute(&mut self, now: Duration, commands: &[Command], job_data: &mut JobData) {
+        for command in commands {
+            match command {
+                Command::Run { task, attempt } => self.start_task(now, task, *attempt, job_data),
                 Command::Kill { task, attempt, grace_period_s } => {
-                    self.kill(now, task, *attempt, *grace_period_s, shared)
+                    self.stop_task(now, task, *attempt, *grace_period_s, job_data)
                 }
                 Command::Forget { task, attempt } => {
                     if let Some(id) = TaskId::parse(task) {
@@ -405,93 +482,97 @@
         }
     }
 
-    fn run(&mut self, now: Duration, task: &str, attempt: u64, shared: &mut Shared) {
-        let Some(id) = TaskId::parse(task) else { return };
+    fn start_task(&mut self, now: Duration, task_id: &str, attempt: u64, job_data: &mut JobData) {
+        let Some(id) = TaskId::parse(task_id) else { return };
         let key = (id.clone(), attempt);
         if self.tasks.contains_key(&key) {
             return;
         }
         self.changed = true;
-        let desc = shared.jobs.get(&id.job).filter(|d| id.index < d.spec.task_count).cloned();
-        let live = || self.tasks.values().filter(|t| t.state != TaskState::Exited);
-        let refused = match &desc {
+        let description = job_data.descriptions.get(&id.job).filter(|d| id.index < d.spec.task_count).cloned();
+        let active = || self.tasks.values().filter(|t| t.state != TaskState::Exited);
+        let refusal = match &description {
             None => Some(Cause::UnknownTask),
-            Some(_) if live().any(|t| t.id == id) => Some(Cause::AlreadyPresent),
-            Some(d) => {
-                let used = |f: fn(&JobSpec) -> f64| live().map(|t| f(&t.desc.spec)).sum::<f64>() + f(&d.spec);
-                let m = &self.traits;
-                let fits = used(|s| s.cores) <= m.cores + 1e-6
-                    && used(|s| s.gpus) <= m.gpus + 1e-6
-                    && used(|s| s.mem_gb) <= m.mem_gb + 1e-6;
+            Some(_) if active().any(|t| t.id == id) => Some(Cause::AlreadyPresent),
+            Some(added) => {
+                let needed = |amount: fn(&JobSpec) -> f64| {
+                    active().map(|t| amount(&t.description.spec)).sum::<f64>() + amount(&added.spec)
+                };
+                let capacity = &self.traits;
+                let fits = needed(|spec| spec.cores) <= capacity.cores + 1e-6
+                    && needed(|spec| spec.gpus) <= capacity.gpus + 1e-6
+                    && needed(|spec| spec.mem_gb) <= capacity.mem_gb + 1e-6;
                 (!fits).then_some(Cause::NoCapacity)
             }
         };
-        let desc = desc.unwrap_or_else(|| {
+        let description = description.unwrap_or_else(|| {
             Arc::new(Description { spec: JobSpec::example(&id.job), run_s: Vec::new(), broken: true })
         });
-        if refused.is_none() {
-            self.images.want(&desc.spec.image, desc.spec.image_gb);
+        if refusal.is_none() {
+            self.images.fetch(&description.spec.image, description.spec.image_gb);
         }
-        let state = if refused.is_some() { TaskState::Exited } else { TaskState::Fetching };
+        let state = if refusal.is_some() { TaskState::Exited } else { TaskState::Fetching };
         let task = Task {
             id,
-            desc,
+            description,
             state,
-            cause: refused,
+            cause: refusal,
             kept: None,
-            on: false,
-            left_s: 0.0,
+            started: false,
+            remaining_s: 0.0,
+            remaining_at: now,
             speed: 1.0,
-            since: now,
-            until: None,
+            state_ends_at: None,
         };
         self.tasks.insert(key.clone(), task);
-        if refused.is_none() {
-            self.turn(now, &key, shared);
+        if refusal.is_none() {
+            self.advance_task(now, &key, job_data);
         }
     }
 
-    fn kill(&mut self, now: Duration, task: &str, attempt: u64, grace_period_s: f64, shared: &mut Shared) {
-        let Some(id) = TaskId::parse(task) else { return };
+    fn stop_task(&mut self, now: Duration, task_id: &str, attempt: u64, grace_period_s: f64, job_data: &mut JobData) {
+        let Some(id) = TaskId::parse(task_id) else { return };
         let key = (id, attempt);
-        let Some(t) = self.tasks.get_mut(&key).filter(|t| t.state != TaskState::Exited) else { return };
-        let saves = t.desc.spec.saves_in().is_some_and(|s| grace_period_s >= s);
-        match t.state {
+        let Some(task) = self.tasks.get_mut(&key).filter(|task| task.state != TaskState::Exited) else { return };
+        let saves = task.description.spec.saves_in().is_some_and(|save_s| grace_period_s >= save_s);
+        match task.state {
             TaskState::Running if saves && !self.sick => {
-                t.left_s -= now.saturating_sub(t.since).as_secs_f64() * t.speed;
-                t.since = now;
-                t.state = TaskState::Saving;
+                task.remaining_s -= now.saturating_sub(task.remaining_at).as_secs_f64() * task.speed;
+                task.remaining_at = now;
+                task.state = TaskState::Saving;
                 self.changed = true;
-                if t.gang() {
-                    t.until = None;
-                    self.out.push(Happening::Winds { task: key.0.clone(), attempt });
+                if task.is_gang() {
+                    task.state_ends_at = None;
+                    self.events.push(TaskEvent::GangSaving { task: key.0.clone(), attempt });
                 } else {
-                    t.until = Some(now + Duration::from_secs_f64(t.desc.spec.checkpoint_duration_s));
+                    task.state_ends_at =
+                        Some(now + Duration::from_secs_f64(task.description.spec.checkpoint_duration_s));
                 }
             }
             TaskState::Saving if grace_period_s > 0.0 => {}
             state => {
                 let kept = (state == TaskState::Saving).then_some(false);
-                if t.gang() && state != TaskState::Fetching {
-                    self.out.push(Happening::Leaves { task: key.0.clone(), attempt });
+                if task.is_gang() && state != TaskState::Fetching {
+                    self.events.push(TaskEvent::GangTaskLost { task: key.0.clone(), attempt });
                 }
-                self.exit(now, &key, Cause::Stopped, kept, shared);
+                self.exit(now, &key, Cause::Stopped, kept, job_data);
             }
         }
     }
 }
 
-/// Keeps the progress of the last checkpoint that the task made by itself.
-fn checkpoint(t: &Task, now: Duration, shared: &mut Shared) {
-    let every = t.desc.spec.checkpoint_interval_s;
-    let total = t.desc.total_s(t.id.index);
-    if every > 0.0 && total.is_finite() && t.left_s.is_finite() {
-        let progress = total - t.left_s + now.saturating_sub(t.since).as_secs_f64() * t.speed;
-        shared.save(&t.id, (progress / every).floor() * every);
+/// Saves the progress of the last periodic checkpoint of a task.
+fn save_last_checkpoint(task: &Task, now: Duration, job_data: &mut JobData) {
+    let interval_s = task.description.spec.checkpoint_interval_s;
+    let total_s = task.description.total_s(task.id.index);
+    if interval_s > 0.0 && total_s.is_finite() && task.remaining_s.is_finite() {
+        let progress_s = total_s - task.remaining_s + now.saturating_sub(task.remaining_at).as_secs_f64() * task.speed;
+        job_data.save(&task.id, (progress_s / interval_s).floor() * interval_s);
     }
 }
 
-fn name(cause: Cause) -> &'static str {
+/// Name of a cause in the history, as in the heartbeats.
+fn cause_name(cause: Cause) -> &'static str {
     match cause {
         Cause::Done => "done",
         Cause::Stopped => "stopped",
