--- a/crates/emulator/src/checker.rs
+++ b/crates/emulator/src/checker.rs
@@ -57,9 +57,9 @@
     pub what: String,
 }
 
-/// Counts of the jobs of one class or team.
+/// Numbers of jobs of one class or team.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct Served {
+pub struct JobCounts {
     /// Jobs that were submitted.
     pub submitted: u64,
     /// Jobs that were accepted.
@@ -101,7 +101,7 @@
     /// Writes that the state service lost, by kind of record.
     pub lost: BTreeMap<String, u64>,
     /// Counts by class and by team, under keys such as `class portal` and `team intake`.
-    pub served: BTreeMap<String, Served>,
+    pub served: BTreeMap<String, JobCounts>,
     /// Whether the run lasted long enough for every job to end.
     pub settled: bool,
 }
@@ -399,7 +399,9 @@
         self.verdict.settled = settled;
         self.count_served();
         let mut found = Vec::new();
-        for (who, counts) in self.verdict.served.iter().filter(|(_, c)| settled && c.served * 2 < c.submitted) {
+        for (who, counts) in
+            self.verdict.served.iter().filter(|(_, counts)| settled && counts.served * 2 < counts.submitted)
+        {
             found.push((Rule::Unserved, format!("{who}: {} of {} jobs served", counts.served, counts.submitted)));
         }
         for (uid, job) in &self.jobs {
--- a/crates/emulator/src/cloud/machine.rs
+++ b/crates/emulator/src/cloud/machine.rs
@@ -299,12 +299,13 @@
 
     /// Ends a rental and bills it.
     fn end(&mut self, now: Duration, name: &str, why: &'static str) {
-        let Some(r) = self.rentals.get_mut(name).filter(|r| r.gone_at.is_none()) else { return };
-        let was_alive = r.died_at.is_none();
-        r.gone_at = Some(now);
-        let billed_s = r.died_at.unwrap_or(now).saturating_sub(r.rented_at).as_secs_f64().max(MIN_BILLED_S);
-        let kind = self.config.offers.iter().find(|o| o.kind.label == r.machine_type).map(|o| &o.kind);
-        self.spent += kind.map_or(0.0, |k| if r.spot { k.spot_price } else { k.on_demand_price }) * billed_s / 3600.0;
+        let Some(rental) = self.rentals.get_mut(name).filter(|rental| rental.gone_at.is_none()) else { return };
+        let was_alive = rental.died_at.is_none();
+        rental.gone_at = Some(now);
+        let billed_s = rental.died_at.unwrap_or(now).saturating_sub(rental.rented_at).as_secs_f64().max(MIN_BILLED_S);
+        let kind = self.config.offers.iter().find(|o| o.kind.label == rental.machine_type).map(|o| &o.kind);
+        self.spent +=
+            kind.map_or(0.0, |k| if rental.spot { k.spot_price } else { k.on_demand_price }) * billed_s / 3600.0;
         if was_alive {
             self.happenings.push(Happening::Gone { name: name.into(), why });
         }
@@ -327,29 +328,29 @@
         let mut machines = Vec::new();
         let mut truncated = false;
         use std::ops::Bound::{Excluded, Unbounded};
-        for (name, r) in self.rentals.range_mut::<str, _>((Excluded(after), Unbounded)) {
-            let gone = r.gone_at.is_some_and(|t| t <= as_of);
-            if gone || !(r.listed || r.rented_at <= as_of) {
+        for (name, rental) in self.rentals.range_mut::<str, _>((Excluded(after), Unbounded)) {
+            let gone = rental.gone_at.is_some_and(|at| at <= as_of);
+            if gone || !(rental.listed || rental.rented_at <= as_of) {
                 continue;
             }
             if machines.len() == page {
                 truncated = true;
                 break;
             }
-            r.listed = true;
-            let phase = match (r.died_at, r.up_at) {
-                (Some(t), _) if t + FAILURE_DETECTION_DELAY <= as_of => Phase::Failed,
-                (_, Some(t)) if t <= as_of => Phase::Running,
+            rental.listed = true;
+            let phase = match (rental.died_at, rental.up_at) {
+                (Some(died_at), _) if died_at + FAILURE_DETECTION_DELAY <= as_of => Phase::Failed,
+                (_, Some(up_at)) if up_at <= as_of => Phase::Running,
                 _ => Phase::Booting,
             };
             machines.push(ListedMachine {
                 uid: name.clone(),
-                addr: r.addr.to_string(),
-                machine_type: r.machine_type.clone(),
-                zone: r.zone.clone(),
-                spot: r.spot,
+                addr: rental.addr.to_string(),
+                machine_type: rental.machine_type.clone(),
+                zone: rental.zone.clone(),
+                spot: rental.spot,
                 phase,
-                rented_s: as_of.saturating_sub(r.rented_at).as_secs_f64(),
+                rented_s: as_of.saturating_sub(rental.rented_at).as_secs_f64(),
             });
         }
         Page { machines, truncated }
@@ -367,23 +368,23 @@
             Fault::Cold { machine_type, on: false } => self.never_up.retain(|affected| affected != machine_type),
             Fault::Scarce(share) => self.capacity_share = *share,
             Fault::Recall { count } => {
-                for name in self.choose(*count, |r| r.spot) {
+                for name in self.choose(*count, |rental| rental.spot) {
                     let silent = self.rng.random_bool(self.config.silent_share);
                     if silent {
                         self.end(now, &name, "recalled");
                         continue;
                     }
                     let at = now + self.config.notice.mul_f64(self.rng.random_range(0.5..1.5));
-                    if let Some(r) = self.rentals.get_mut(&name) {
-                        r.preempt_at = Some(at);
+                    if let Some(rental) = self.rentals.get_mut(&name) {
+                        rental.preempt_at = Some(at);
                     }
                     self.happenings.push(Happening::Notice { name, at });
                 }
             }
             Fault::Die { count } => {
                 for name in self.choose(*count, |_| true) {
-                    if let Some(r) = self.rentals.get_mut(&name) {
-                        r.died_at = Some(now);
+                    if let Some(rental) = self.rentals.get_mut(&name) {
+                        rental.died_at = Some(now);
                     }
                     self.happenings.push(Happening::Gone { name, why: "died" });
                 }
@@ -407,12 +408,12 @@
     /// Advances the clock, and returns the changes since the last call.
     pub fn advance(&mut self, now: Duration) -> Vec<Happening> {
         let mut preempted = Vec::new();
-        for (name, r) in self.rentals.iter_mut().filter(|(_, r)| r.alive()) {
-            if !r.up && r.up_at.is_some_and(|t| t <= now) {
-                r.up = true;
+        for (name, rental) in self.rentals.iter_mut().filter(|(_, rental)| rental.alive()) {
+            if !rental.up && rental.up_at.is_some_and(|at| at <= now) {
+                rental.up = true;
                 self.happenings.push(Happening::Up { name: name.clone() });
             }
-            if r.preempt_at.is_some_and(|t| t <= now) {
+            if rental.preempt_at.is_some_and(|at| at <= now) {
                 preempted.push(name.clone());
             }
         }
--- a/crates/emulator/src/cluster.rs
+++ b/crates/emulator/src/cluster.rs
@@ -50,7 +50,7 @@
 
 /// Name, zone and addresses of one controller.
 #[derive(Debug, Clone)]
-pub struct Place {
+pub struct ControllerAddresses {
     /// Name of the controller.
     pub member: String,
     /// Zone of the controller.
@@ -85,7 +85,7 @@
 /// All controllers of a run.
 pub struct Cluster {
     /// Addresses of the controllers, by their number.
-    pub places: Vec<Place>,
+    pub places: Vec<ControllerAddresses>,
     controllers: Vec<Controller>,
     /// Whether the relay of each controller refuses connections.
     refused: Vec<Arc<AtomicBool>>,
@@ -93,7 +93,7 @@
 }
 
 /// Listeners of the emulated services, which the controllers connect to.
-pub struct Sockets {
+pub struct ServiceListeners {
     /// Listeners of the state service, one for each controller.
     pub state: Vec<TcpListener>,
     /// Listener of the cloud.
@@ -122,7 +122,7 @@
         dir: &Path,
         public_port: u16,
         recorder: &Recorder,
-    ) -> Result<(Cluster, Sockets), ClusterError> {
+    ) -> Result<(Cluster, ServiceListeners), ClusterError> {
         if !binary.is_file() {
             return Err(ClusterError::NoBinary(binary.into()));
         }
@@ -134,7 +134,7 @@
         for i in 0..scenario.controllers.count {
             let any_port = SocketAddr::from((ip(2, i), 0));
             let (state_listener, relay) = (bind(any_port).await?, bind(SocketAddr::from((ip(4, i), 0))).await?);
-            places.push(Place {
+            places.push(ControllerAddresses {
                 member: format!("perch-{i}"),
                 zone: scenario.zones[i % scenario.zones.len()].clone(),
                 public: port(ip(1, i), public_port)?,
@@ -149,21 +149,21 @@
         let cloud = bind(any_port).await?;
         let cloud_address = local_address(&cloud, any_port)?;
         let (mut relay_tasks, mut refused) = (JoinSet::new(), Vec::new());
-        for (place, relay) in places.iter().zip(relays) {
+        for (addresses, relay) in places.iter().zip(relays) {
             let refuse = Arc::new(AtomicBool::new(false));
-            relay_tasks.spawn(relay_loop(relay, place.peers, refuse.clone()));
+            relay_tasks.spawn(relay_loop(relay, addresses.peers, refuse.clone()));
             refused.push(refuse);
         }
         let mut controllers = Vec::new();
-        for (i, place) in places.iter().enumerate() {
-            let file = dir.join(format!("{}.toml", place.member));
+        for (i, addresses) in places.iter().enumerate() {
+            let file = dir.join(format!("{}.toml", addresses.member));
             let text = settings(scenario, &places, i, cloud_address).map_err(ClusterError::Settings)?;
             std::fs::write(&file, text).map_err(|cause| ClusterError::File { file: file.clone(), cause })?;
-            let log = dir.join(format!("{}.log", place.member));
+            let log = dir.join(format!("{}.log", addresses.member));
             let (commands, inbox) = mpsc::unbounded_channel();
             let pid = Arc::new(AtomicI32::new(0));
             let supervisor = Supervisor {
-                member: place.member.clone(),
+                member: addresses.member.clone(),
                 binary: binary.into(),
                 settings: file,
                 log,
@@ -174,11 +174,12 @@
             let supervisor = tokio::spawn(supervisor.run(inbox));
             controllers.push(Controller { commands, pid, supervisor });
         }
-        Ok((Cluster { places, controllers, refused, _relays: relay_tasks }, Sockets { state, cloud }))
+        Ok((Cluster { places, controllers, refused, _relays: relay_tasks }, ServiceListeners { state, cloud }))
     }
 
     /// Kills controller `i` with SIGKILL. It is started again after `restart`, or after the
-    /// restart time of the scenario where that is absent.
+    /// restart time of the scenario where that is absent. Has no effect while the process is
+    /// not running.
     pub fn kill(&self, i: usize, restart: Option<Duration>) {
         if let Some(controller) = self.controllers.get(i) {
             let _ = controller.commands.send(ProcessCommand::Kill(restart));
@@ -204,13 +205,13 @@
     /// Memory in MB and CPU time in seconds of each controller that runs.
     pub fn usage(&self) -> BTreeMap<String, (f64, f64)> {
         let mut usage = BTreeMap::new();
-        for (place, controller) in self.places.iter().zip(&self.controllers) {
+        for (addresses, controller) in self.places.iter().zip(&self.controllers) {
             let pid = controller.pid.load(Ordering::SeqCst);
             let stat = (pid > 0).then(|| procfs::process::Process::new(pid).and_then(|p| p.stat()).ok()).flatten();
             if let Some(stat) = stat {
                 let memory_mb = stat.rss as f64 * procfs::page_size() as f64 / 1_048_576.0;
                 let cpu_s = (stat.utime + stat.stime) as f64 / procfs::ticks_per_second() as f64;
-                usage.insert(place.member.clone(), (memory_mb, cpu_s));
+                usage.insert(addresses.member.clone(), (memory_mb, cpu_s));
             }
         }
         usage
@@ -232,8 +233,11 @@
     member: String,
     binary: PathBuf,
     settings: PathBuf,
+    /// File to which the standard error of the process is appended.
     log: PathBuf,
+    /// Time until a restart, unless the kill gives another one.
     restart: Duration,
+    /// Process id; 0 while no process runs.
     pid: Arc<AtomicI32>,
     recorder: Recorder,
 }
@@ -258,10 +262,11 @@
         self.recorder.record(Event::Controller { controller: self.member.clone(), what: what.into() });
     }
 
+    /// Runs the process until a command to stop, and records its starts and ends.
     async fn run(self, mut commands: mpsc::UnboundedReceiver<ProcessCommand>) {
         loop {
             let mut child = match self.spawn() {
-                Ok(c) => c,
+                Ok(child) => child,
                 Err(e) => {
                     eprintln!("finchquay-emulator: {}: {e}", self.binary.display());
                     self.record("not started");
@@ -328,12 +333,17 @@
 }
 
 /// Builds the settings file of controller `i`, as a deployment platform would provide it.
-fn settings(scenario: &Scenario, places: &[Place], i: usize, cloud: SocketAddr) -> Result<String, toml::ser::Error> {
-    let own = &places[i];
-    let others: Vec<_> = places
+fn settings(
+    scenario: &Scenario,
+    controllers: &[ControllerAddresses],
+    i: usize,
+    cloud: SocketAddr,
+) -> Result<String, toml::ser::Error> {
+    let own = &controllers[i];
+    let others: Vec<_> = controllers
         .iter()
-        .filter(|place| place.member != own.member)
-        .map(|place| json!({"member": place.member, "zone": place.zone, "peer_addr": place.relay}))
+        .filter(|other| other.member != own.member)
+        .map(|other| json!({"member": other.member, "zone": other.zone, "peer_addr": other.relay}))
         .collect();
     let teams: Vec<_> = scenario
         .team
@@ -363,7 +373,7 @@
         "others": others,
         "outside": {"cloud": cloud, "state": own.state},
         "settings": {
-            "initial_size": places.len(),
+            "initial_size": controllers.len(),
             "zones": scenario.zones,
             "time_bound_ms": 100.0,
             "teams": teams,
--- a/crates/emulator/src/cluster/tests.rs
+++ b/crates/emulator/src/cluster/tests.rs
@@ -8,7 +8,7 @@
 fn settings_list_the_other_controllers_by_their_relays() {
     let scenario = Scenario::parse("s", include_str!("../../scenarios/filing-eve.hcl")).unwrap();
     let address = |i: u16, port| SocketAddr::from(([127, 0, 1, i as u8 + 1], port));
-    let place = |i| Place {
+    let addresses = |i| ControllerAddresses {
         member: format!("perch-{i}"),
         zone: "hall".into(),
         public: address(i, 1),
@@ -16,8 +16,8 @@
         relay: address(i, 3),
         state: address(i, 4),
     };
-    let places: Vec<Place> = (0..3).map(place).collect();
-    let text = settings(&scenario, &places, 1, address(9, 9)).unwrap();
+    let controllers: Vec<ControllerAddresses> = (0..3).map(addresses).collect();
+    let text = settings(&scenario, &controllers, 1, address(9, 9)).unwrap();
     let table: toml::Table = text.parse().unwrap();
     assert_eq!(table["others"].as_array().unwrap().len(), 2);
     assert_eq!(table["others"][1]["peer_addr"].as_str(), Some("127.0.1.3:3"));
--- a/crates/emulator/src/history.rs
+++ b/crates/emulator/src/history.rs
@@ -233,7 +233,7 @@
     }
 
     /// Converts an instant to seconds on the clock of the history.
-    pub fn seconds(&self, at: Instant) -> f64 {
+    pub fn seconds_at(&self, at: Instant) -> f64 {
         at.saturating_duration_since(self.shared.began).as_secs_f64()
     }
 
--- a/crates/emulator/src/load.rs
+++ b/crates/emulator/src/load.rs
@@ -31,7 +31,7 @@
 
 /// A job to be submitted, and what its user will do with it.
 #[derive(Debug, Clone)]
-pub struct Planned {
+pub struct PlannedJob {
     /// When it is submitted, in seconds after the start of the load.
     pub at_s: f64,
     /// Specification and true behaviour of the job.
@@ -43,7 +43,7 @@
 
 /// Draws all jobs of a scenario, in the order of submission. The number of the `session` is
 /// part of the job ids, so that those of several runs on the same state differ.
-pub fn plan(scenario: &Scenario, session: u32, rng: &mut StdRng) -> Vec<Planned> {
+pub fn plan(scenario: &Scenario, session: u32, rng: &mut StdRng) -> Vec<PlannedJob> {
     let mut planned = Vec::new();
     let mut number = 0u32;
     for (class, load) in &scenario.load {
@@ -68,7 +68,7 @@
     planned
 }
 
-fn plan_job(uid: String, class: &str, load: &Load, at_s: f64, rng: &mut StdRng) -> Planned {
+fn plan_job(uid: String, class: &str, load: &Load, at_s: f64, rng: &mut StdRng) -> PlannedJob {
     let tasks = (load.tasks.draw(rng).round() as u32).clamp(1, finchquay_protocol::user::TASKS_LIMIT);
     let is_service = load.kind == Kind::Service;
     let run_s: Vec<f32> = match load.kind {
@@ -106,7 +106,7 @@
         checkpoint_duration_s: load.save_s,
         deadline_s: load.deadline_factor.map(|factor| factor * estimated_run_s + 10.0),
     };
-    Planned {
+    PlannedJob {
         at_s,
         description: Description { spec, run_s, broken: false },
         cancel_after_s: early_cancel_s.or(lifetime_s),
@@ -130,7 +130,7 @@
             },
             uid: attempt.uid.clone(),
             controller: self.names.get(&attempt.address).cloned().unwrap_or_default(),
-            began_s: self.recorder.seconds(attempt.began),
+            began_s: self.recorder.seconds_at(attempt.began),
             status: attempt.status,
             state: attempt.state.as_ref().map(|state| state.status),
             done: attempt.state.as_ref().map_or(0, |state| state.done),
@@ -148,9 +148,9 @@
 }
 
 /// Spawns a task for the user of each job. The set is empty once every user has followed
-/// its job to the end.
+/// its job to the end. Ids of finished jobs are added to `over`.
 pub fn play(
-    jobs: Vec<Planned>,
+    jobs: Vec<PlannedJob>,
     client: &Client,
     driver: &Driver,
     recorder: &Recorder,
@@ -173,7 +173,7 @@
     users
 }
 
-/// Queries jobs until the future is dropped: finished jobs, whose final status must not
+/// Queries the status of jobs until the future is dropped: finished jobs, whose final status must not
 /// change, and every sixteenth time an id that nobody uses, which must get 404.
 pub async fn curious(client: Client, over: Over) {
     let mut count = 0;
@@ -204,7 +204,7 @@
 }
 
 /// Acts as the user of one job, from its submission until after its end.
-async fn follow_job(client: &Client, job: &Planned, mut rng: impl Rng, over: &Over) {
+async fn follow_job(client: &Client, job: &PlannedJob, mut rng: impl Rng, over: &Over) {
     let spec = &job.description.spec;
     if client.submit(spec).await.is_err() {
         return;
--- a/crates/emulator/src/machine/driver.rs
+++ b/crates/emulator/src/machine/driver.rs
@@ -35,10 +35,10 @@
     pub address: SocketAddr,
 }
 
-/// Network partitions in effect. Commands that a controller sends to a machine during a
+/// Network partitions that are in effect. Commands that a controller sends to a machine during a
 /// partition are held back and arrive when it ends.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Cuts {
+pub struct Partitions {
     /// Machines that reach no controller.
     pub machines: BTreeSet<String>,
     /// Zones that are cut off from all other zones.
@@ -49,7 +49,7 @@
     pub links: BTreeSet<(String, String)>,
 }
 
-impl Cuts {
+impl Partitions {
     /// Whether a machine in `zone` reaches a controller.
     fn reachable(&self, machine: &str, zone: &str, controller: &Node) -> bool {
         let zone_cut = zone != controller.zone && (self.zones.contains(zone) || self.zones.contains(&controller.zone));
@@ -57,8 +57,8 @@
         !(self.machines.contains(machine) || self.controllers.contains(&controller.member) || zone_cut || link_cut)
     }
 
-    /// Whether commands to a machine are held back. Their sender is not known, so only cuts of
-    /// the machine itself and of its zone count.
+    /// Whether commands to a machine are held back. Their sender is not known, so only a cut of
+    /// the machine itself or of its zone counts.
     fn holds_commands(&self, machine: &str, zone: &str) -> bool {
         self.machines.contains(machine) || self.zones.contains(zone)
     }
@@ -75,7 +75,7 @@
     fleet: Mutex<Fleet>,
     machines: Mutex<HashMap<String, ConnectedMachine>>,
     controllers: Vec<Node>,
-    cuts: watch::Sender<Cuts>,
+    partitions: watch::Sender<Partitions>,
     heartbeat_interval: Duration,
     recorder: Recorder,
 }
@@ -94,7 +94,7 @@
                 fleet: Mutex::new(fleet),
                 machines: Mutex::default(),
                 controllers,
-                cuts: watch::Sender::default(),
+                partitions: watch::Sender::default(),
                 heartbeat_interval,
                 recorder,
             }),
@@ -111,8 +111,8 @@
     }
 
     /// Changes which network partitions are in effect.
-    pub fn cut(&self, change: impl FnOnce(&mut Cuts)) {
-        self.shared.cuts.send_modify(change);
+    pub fn cut(&self, change: impl FnOnce(&mut Partitions)) {
+        self.shared.partitions.send_modify(change);
     }
 
     fn now(&self) -> Duration {
@@ -164,7 +164,7 @@
     /// Records the starts and stops of tasks, and wakes machines with a change to report.
     fn publish_changes(&self) {
         let mut fleet = self.fleet();
-        let (events, changed) = fleet.take();
+        let (events, changed) = fleet.take_changes();
         for (machine, event) in events {
             match event {
                 TaskEvent::Start { task, attempt } => {
@@ -197,8 +197,8 @@
 
     /// Handles a request to a worker.
     async fn handle_request(&self, machine: &str, zone: &str, request: Request) -> Reply {
-        let mut cuts = self.shared.cuts.subscribe();
-        let _ = cuts.wait_for(|cuts| !cuts.holds_commands(machine, zone)).await;
+        let mut partitions = self.shared.partitions.subscribe();
+        let _ = partitions.wait_for(|partitions| !partitions.holds_commands(machine, zone)).await;
         if !self.wait_while_hung(machine).await {
             return Reply::empty(503);
         }
@@ -237,7 +237,7 @@
             let heartbeat = self.fleet().heartbeat(&name, sent);
             self.publish_changes();
             let Some(heartbeat) = heartbeat else { return };
-            let reachable = || self.shared.cuts.borrow().reachable(&name, &zone, controller);
+            let reachable = || self.shared.partitions.borrow().reachable(&name, &zone, controller);
             let mut reply = None;
             if reachable() {
                 reply = connection.post(controller.address, "/checkin", encode(&heartbeat), RESPONSE_TIMEOUT).await;
@@ -285,7 +285,7 @@
                     let next = sent + self.shared.heartbeat_interval.mul_f64(rand::random_range(0.75..1.25));
                     let remaining = next.saturating_sub(self.now());
                     let _ = tokio::time::timeout(remaining, report_now.notified()).await;
-                    // A change is reported at once, except for the shortest interval.
+                    // A change is reported at once, but not before the shortest interval is over.
                     tokio::time::sleep((sent + MIN_HEARTBEAT_INTERVAL).saturating_sub(self.now())).await;
                 }
             }
--- a/crates/emulator/src/machine/fleet.rs
+++ b/crates/emulator/src/machine/fleet.rs
@@ -20,7 +20,7 @@
     /// First command to stop that left time to save: when it came, and the progress in
     /// seconds at that time.
     stop: Option<(Duration, f64)>,
-    /// Tasks that were told to stop, by index.
+    /// Tasks that were told to stop with time to save, by index.
     stopped: BTreeSet<u32>,
     /// When it lost a task while running.
     broken_at: Option<Duration>,
@@ -167,7 +167,7 @@
 
     /// Returns the starts and stops since the last call, and the machines with a change to
     /// report.
-    pub fn take(&mut self) -> (Vec<MachineEvent>, BTreeSet<String>) {
+    pub fn take_changes(&mut self) -> (Vec<MachineEvent>, BTreeSet<String>) {
         (std::mem::take(&mut self.events), std::mem::take(&mut self.changed))
     }
 
@@ -265,6 +265,8 @@
             let description = self.job_data.descriptions.get(&key.0).cloned();
             let (Some(gang), Some(description)) = (self.gangs.get(&key), description) else { continue };
             let spec = &description.spec;
+            // The tasks notice that another one is lost, or was not told to stop, only after
+            // this time.
             let noticed = |at: Duration| now >= at + self.gang_peer;
             // A gang that ends without saving falls back to its last periodic checkpoint.
             let ran_until = gang.broken_at.or(gang.stop.map(|(at, _)| at)).unwrap_or(now);
--- a/crates/emulator/src/machine/fleet/tests.rs
+++ b/crates/emulator/src/machine/fleet/tests.rs
@@ -4,7 +4,7 @@
 use finchquay_protocol::user::{JobKind, JobSpec};
 use finchquay_protocol::worker::TaskState;
 
-const LEASE: f64 = 18.0;
+const LEASE_S: f64 = 18.0;
 
 fn s(x: f64) -> Duration {
     Duration::from_secs_f64(x)
@@ -25,7 +25,7 @@
             cache_gb: 50.0,
             gb_per_s: 1.0,
             speed: 1.0,
-            lease: s(LEASE),
+            lease: s(LEASE_S),
             gang_wait: s(10.0),
         };
         f.boot(traits, s(0.0));
@@ -73,7 +73,7 @@
     assert_eq!(state(&mut f, "host-0", 6.2, "run-1/0").unwrap().1, Some(Cause::Done));
     // As its result is kept, a second start exits at once.
     commands(&mut f, "host-0", 7.0, 3, &[Command::Forget { task: "run-1/0".into(), attempt: 7 }, run("run-1/0", 9)]);
-    let (events, _) = f.take();
+    let (events, _) = f.take_changes();
     let stops = events.iter().filter(|(_, event)| matches!(event, TaskEvent::Stop { cause: "done", .. })).count();
     assert_eq!(stops, 2);
 }
@@ -92,17 +92,17 @@
     assert_eq!(state(&mut f, "host-0", 2.0, "run-1/0").unwrap().0, TaskState::Running);
     f.handle_response("host-0", s(6.0), s(5.0), 1, Some(5), &[]);
     assert!(
-        state(&mut f, "host-0", 5.0 + LEASE - 0.1, "run-1/0").is_some(),
+        state(&mut f, "host-0", 5.0 + LEASE_S - 0.1, "run-1/0").is_some(),
         "the lease counts from when the heartbeat was sent"
     );
-    assert_eq!(state(&mut f, "host-0", 5.0 + LEASE + 0.1, "run-1/0"), None);
+    assert_eq!(state(&mut f, "host-0", 5.0 + LEASE_S + 0.1, "run-1/0"), None);
     assert_eq!(f.worker("host-0").unwrap().agent_epoch(), 2);
-    assert!(f.take().0.iter().any(|(_, event)| matches!(event, TaskEvent::Stop { cause: "lapsed", .. })));
+    assert!(f.take_changes().0.iter().any(|(_, event)| matches!(event, TaskEvent::Stop { cause: "lapsed", .. })));
 }
 
 #[test]
 fn a_hung_machine_resumes_only_within_its_lease() {
-    for (resumed_at, survives) in [(10.0, true), (LEASE + 1.0, false)] {
+    for (resumed_at, survives) in [(10.0, true), (LEASE_S + 1.0, false)] {
         let mut f = fleet(1);
         job(&mut f, "run-1", JobKind::Array, 1, 5.0, 0.0);
         commands(&mut f, "host-0", 0.0, 1, &[run("run-1/0", 1)]);
@@ -111,7 +111,8 @@
         f.advance(s(resumed_at));
         // The tasks end when the lease lapses, not when the machine resumes: from then on
         // they may start elsewhere.
-        let lapsed = f.take().0.iter().any(|(_, event)| matches!(event, TaskEvent::Stop { cause: "lapsed", .. }));
+        let lapsed =
+            f.take_changes().0.iter().any(|(_, event)| matches!(event, TaskEvent::Stop { cause: "lapsed", .. }));
         assert_eq!(lapsed, !survives, "{resumed_at}");
         f.with("host-0", s(resumed_at), |worker, job_data| worker.hang(s(resumed_at), false, job_data));
         assert_eq!(state(&mut f, "host-0", resumed_at + 1.0, "run-1/0").is_some(), survives, "{resumed_at}");
--- a/crates/emulator/src/machine/images.rs
+++ b/crates/emulator/src/machine/images.rs
@@ -12,7 +12,7 @@
 
 /// Image cache of one machine, with the fetches under way.
 #[derive(Debug)]
-pub struct Images {
+pub struct ImageCache {
     gb_per_s: f64,
     cache_gb: f64,
     /// Cached images and their sizes in GB, least recently used first.
@@ -21,10 +21,10 @@
     updated_at: Duration,
 }
 
-impl Images {
+impl ImageCache {
     /// Creates an empty cache of `cache_gb` that fetches `gb_per_s` in total.
-    pub fn new(gb_per_s: f64, cache_gb: f64, now: Duration) -> Images {
-        Images { gb_per_s, cache_gb, cached: Vec::new(), fetches: Vec::new(), updated_at: now }
+    pub fn new(gb_per_s: f64, cache_gb: f64, now: Duration) -> ImageCache {
+        ImageCache { gb_per_s, cache_gb, cached: Vec::new(), fetches: Vec::new(), updated_at: now }
     }
 
     /// Marks an image as the most recently used one. Returns whether it is cached.
@@ -95,7 +95,7 @@
 
     #[test]
     fn fetches_share_the_rate_and_the_oldest_image_is_evicted() {
-        let mut images = Images::new(1.0, 5.0, s(0.0));
+        let mut images = ImageCache::new(1.0, 5.0, s(0.0));
         images.fetch("a", 2.0);
         images.fetch("b", 4.0);
         assert!(!images.advance(s(3.9), false) && images.advance(s(4.1), false));
--- a/crates/emulator/src/machine/worker.rs
+++ b/crates/emulator/src/machine/worker.rs
@@ -4,7 +4,7 @@
 //!
 //! [`fleet`]: super::fleet
 
-use super::images::Images;
+use super::images::ImageCache;
 use finchquay_protocol::user::{JobKind, JobSpec};
 use finchquay_protocol::worker::{Cause, Command, CommandRequest, Heartbeat, TaskId, TaskReport, TaskState};
 use std::collections::{BTreeMap, HashMap, HashSet};
@@ -163,7 +163,7 @@
     lease_renewed_at: Duration,
     /// Tasks by id and attempt, including those that have exited but are not forgotten.
     tasks: BTreeMap<(TaskId, u64), Task>,
-    images: Images,
+    images: ImageCache,
     /// When the machine will be preempted, once notice has been given.
     pub preempted_at: Option<Duration>,
     /// Whether the machine is faulty, so that every task fails on it.
@@ -181,7 +181,7 @@
     /// Creates a machine that has just booted.
     pub fn new(traits: Traits, now: Duration) -> Worker {
         Worker {
-            images: Images::new(traits.gb_per_s, traits.cache_gb, now),
+            images: ImageCache::new(traits.gb_per_s, traits.cache_gb, now),
             traits,
             agent_epoch: 1,
             heartbeat_seq: 0,
