--- a/crates/emulator/src/cloud/machine/tests.rs
+++ b/crates/emulator/src/cloud/machine/tests.rs
@@ -6,6 +6,7 @@
     Duration::from_secs_f64(x)
 }
 
+/// A cloud that offers one machine type in one zone: 3 on-demand and 5 spot machines.
 fn cloud() -> Cloud {
     let kind = MachineType {
         label: "std".into(),
--- a/crates/emulator/src/history.rs
+++ b/crates/emulator/src/history.rs
@@ -158,7 +158,7 @@
         /// Memory in MB and CPU time in seconds of each controller.
         controllers: BTreeMap<String, (f64, f64)>,
     },
-    /// The run is over. Only the shutdown of the machines follows.
+    /// The run is over. Only events of the shutdown follow.
     Over {
         /// Whether the run lasted long enough for every job to end.
         settled: bool,
--- a/crates/emulator/src/machine/fleet/tests.rs
+++ b/crates/emulator/src/machine/fleet/tests.rs
@@ -10,6 +10,7 @@
     Duration::from_secs_f64(x)
 }
 
+/// A fleet of machines named `host-0`, `host-1` and so on, which all boot at 0 s.
 fn fleet(machines: u32) -> Fleet {
     let mut f = Fleet::new(s(4.0));
     for i in 0..machines {
@@ -33,7 +34,7 @@
     f
 }
 
-fn job(f: &mut Fleet, uid: &str, kind: JobKind, tasks: u32, run_s: f32, checkpoint_interval_s: f64) {
+fn upload_job(f: &mut Fleet, uid: &str, kind: JobKind, tasks: u32, run_s: f32, checkpoint_interval_s: f64) {
     let spec =
         JobSpec { kind, task_count: tasks, checkpoint_interval_s, checkpoint_duration_s: 1.0, ..JobSpec::example(uid) };
     f.upload(Description { spec, run_s: vec![run_s; tasks as usize], broken: false });
@@ -47,6 +48,7 @@
     Command::Kill { task: task.into(), attempt, grace_period_s }
 }
 
+/// Sends commands to a machine at `at` seconds. Returns the HTTP status of the response.
 fn commands(f: &mut Fleet, machine: &str, at: f64, token: u64, commands: &[Command]) -> u16 {
     let agent_epoch = f.worker(machine).unwrap().agent_epoch();
     f.handle_commands(machine, s(at), &CommandRequest { fencing_token: token, agent_epoch, commands: commands.into() })
@@ -54,6 +56,8 @@
         .0
 }
 
+/// State of a task, why it ended, and whether its progress was saved, as the machine reports
+/// them at `at` seconds.
 fn state(f: &mut Fleet, machine: &str, at: f64, task: &str) -> Option<(TaskState, Option<Cause>, Option<bool>)> {
     f.advance(s(at));
     let heartbeat = f.heartbeat(machine, s(at)).unwrap();
@@ -63,7 +67,7 @@
 #[test]
 fn an_array_task_fetches_runs_and_completes_once() {
     let mut f = fleet(1);
-    job(&mut f, "run-1", JobKind::Array, 2, 5.0, 0.0);
+    upload_job(&mut f, "run-1", JobKind::Array, 2, 5.0, 0.0);
     assert_eq!(commands(&mut f, "host-0", 0.0, 3, &[run("run-1/0", 7), run("run-1/0", 8), run("run-2/0", 1)]), 200);
     assert_eq!(state(&mut f, "host-0", 0.5, "run-1/0").unwrap().0, TaskState::Fetching);
     assert_eq!(state(&mut f, "host-0", 0.5, "run-2/0").unwrap().1, Some(Cause::UnknownTask));
@@ -83,7 +87,7 @@
 #[test]
 fn stale_tokens_and_epochs_are_rejected_and_a_lapsed_lease_ends_all_tasks() {
     let mut f = fleet(1);
-    job(&mut f, "run-1", JobKind::Service, 1, 1e9, 0.0);
+    upload_job(&mut f, "run-1", JobKind::Service, 1, 1e9, 0.0);
     assert_eq!(commands(&mut f, "host-0", 0.0, 5, &[run("run-1/0", 1)]), 200);
     assert_eq!(commands(&mut f, "host-0", 0.1, 4, &[kill("run-1/0", 1, 0.0)]), 409);
     f.handle_response("host-0", s(0.2), s(0.1), 1, Some(4), &[kill("run-1/0", 1, 0.0)]);
@@ -104,7 +108,7 @@
 fn a_hung_machine_resumes_only_within_its_lease() {
     for (resumed_at, survives) in [(10.0, true), (LEASE_S + 1.0, false)] {
         let mut f = fleet(1);
-        job(&mut f, "run-1", JobKind::Array, 1, 5.0, 0.0);
+        upload_job(&mut f, "run-1", JobKind::Array, 1, 5.0, 0.0);
         commands(&mut f, "host-0", 0.0, 1, &[run("run-1/0", 1)]);
         f.advance(s(3.0));
         f.with("host-0", s(3.0), |worker, job_data| worker.hang(s(3.0), true, job_data));
@@ -125,7 +129,7 @@
 #[test]
 fn a_gang_starts_ends_and_fails_together() {
     let mut f = fleet(3);
-    job(&mut f, "run-1", JobKind::Gang, 2, 20.0, 8.0);
+    upload_job(&mut f, "run-1", JobKind::Gang, 2, 20.0, 8.0);
     commands(&mut f, "host-0", 0.0, 1, &[run("run-1/0", 1)]);
     commands(&mut f, "host-1", 3.0, 1, &[run("run-1/1", 1)]);
     assert_eq!(state(&mut f, "host-0", 3.5, "run-1/0").unwrap().0, TaskState::WaitingForGang);
@@ -151,7 +155,7 @@
 fn a_gang_saves_its_progress_only_if_all_tasks_are_stopped_in_time() {
     for (second_at, kept) in [(10.5, true), (20.0, false)] {
         let mut f = fleet(2);
-        job(&mut f, "run-1", JobKind::Gang, 2, 60.0, 30.0);
+        upload_job(&mut f, "run-1", JobKind::Gang, 2, 60.0, 30.0);
         commands(&mut f, "host-0", 0.0, 1, &[run("run-1/0", 1)]);
         commands(&mut f, "host-1", 0.0, 1, &[run("run-1/1", 1)]);
         f.advance(s(1.1));
@@ -170,7 +174,7 @@
 #[test]
 fn an_incomplete_gang_gives_up_and_tasks_beyond_the_capacity_are_refused() {
     let mut f = fleet(1);
-    job(&mut f, "run-1", JobKind::Gang, 9, 60.0, 0.0);
+    upload_job(&mut f, "run-1", JobKind::Gang, 9, 60.0, 0.0);
     let runs: Vec<Command> = (0..5).map(|i| run(&format!("run-1/{i}"), 1)).collect();
     commands(&mut f, "host-0", 0.0, 1, &runs);
     assert_eq!(state(&mut f, "host-0", 1.0, "run-1/4").unwrap().1, Some(Cause::NoCapacity));
--- a/crates/emulator/src/machine/images.rs
+++ b/crates/emulator/src/machine/images.rs
@@ -7,6 +7,7 @@
 struct Fetch {
     image: String,
     image_gb: f64,
+    /// What has not been fetched yet.
     remaining_gb: f64,
 }
 
