--- a/crates/emulator/src/cloud/machine.rs
+++ b/crates/emulator/src/cloud/machine.rs
@@ -256,11 +256,11 @@
     /// Adds a machine and returns its name. With `up` it needs no time to boot, as for the
     /// machines that a scenario begins with.
     pub fn create(&mut self, now: Duration, machine_type: &str, zone: &str, spot: bool, up: bool) -> String {
-        let number = self.rented;
+        let n = self.rented;
         self.rented += 1;
-        let name = format!("host-{number:06}");
+        let name = format!("host-{n:06}");
         // The last byte of the address takes the values 1 to 250.
-        let [_, _, high, low] = (number / 250 * 256 + number % 250 + 1).to_be_bytes();
+        let [_, _, high, low] = (n / 250 * 256 + n % 250 + 1).to_be_bytes();
         let addr = SocketAddr::from((Ipv4Addr::new(127, 1, high, low), self.config.worker_port));
         let offer = self.config.offers.iter().find(|o| o.kind.label == machine_type);
         let (startup_s, cold_share) = offer.map_or((0.0, 0.0), |o| (o.kind.startup_s, o.cold));
