--- a/crates/emulator/scenarios/all-late.hcl
+++ b/crates/emulator/scenarios/all-late.hcl
@@ -1,4 +1,4 @@
-# All machines of the type come up late by a factor of five.
+# Machines take five times as long to boot during the first minute.
 name = "all-late"
 base = "site.hcl"
 
--- a/crates/emulator/scenarios/cold-machine.hcl
+++ b/crates/emulator/scenarios/cold-machine.hcl
@@ -1,5 +1,5 @@
-# Nothing stands there, and for the first twenty seconds whatever is rented
-# never comes up, though it takes the cloud's room until it is given back.
+# No machine is up at the start, and machines rented in the first twenty seconds never
+# come up, though they use the capacity of the cloud until they are released.
 name = "cold-machine"
 base = "site.hcl"
 
--- a/crates/emulator/scenarios/cold-start.hcl
+++ b/crates/emulator/scenarios/cold-start.hcl
@@ -1,5 +1,5 @@
-# All controllers are killed and come back after most of a lease, at 800
-# machines of which a third stand idle; some die meanwhile. Not in the suite.
+# All controllers are killed and restart after most of a lease, with 800 machines, a
+# third of them idle; some machines die meanwhile. Not in the suite.
 name = "cold-start"
 duration_s = 75
 settle_s = 60
--- a/crates/emulator/scenarios/controllers-fall.hcl
+++ b/crates/emulator/scenarios/controllers-fall.hcl
@@ -1,5 +1,5 @@
-# Controllers crash, stand still, hear no machine, are refused by the
-# state service and by each other; then all restart one after the other.
+# Controllers crash, freeze, do not hear their machines, and are refused by the state
+# service and by each other; then all restart one after the other.
 name = "controllers-fall"
 base = "site.hcl"
 duration_s = 55
--- a/crates/emulator/scenarios/drawn.hcl
+++ b/crates/emulator/scenarios/drawn.hcl
@@ -1,4 +1,4 @@
-# Faults drawn by the seed.
+# Random faults, chosen by the seed.
 name = "drawn"
 base = "site.hcl"
 duration_s = 60
--- a/crates/emulator/scenarios/filing-eve.hcl
+++ b/crates/emulator/scenarios/filing-eve.hcl
@@ -1,4 +1,4 @@
-# The eve of a filing deadline: machines come up slowly, some never, and the
+# The evening before a filing deadline: machines come up slowly, some never do, and the
 # state service answers late.
 name = "filing-eve"
 duration_s = 40
--- a/crates/emulator/scenarios/large-half-again.hcl
+++ b/crates/emulator/scenarios/large-half-again.hcl
@@ -1,5 +1,5 @@
-# Half as many machines and tasks again as `large`, with controllers that are back
-# within 0.2 s; not in the suite.
+# 1.5 times the machines and tasks of `large`, with controllers that restart within
+# 0.2 s. Not in the suite.
 name = "large-half-again"
 base = "large.hcl"
 
--- a/crates/emulator/scenarios/large.hcl
+++ b/crates/emulator/scenarios/large.hcl
@@ -1,4 +1,4 @@
-# 2,000 machines and some 50,000 tasks; not in the suite.
+# 2,000 machines and about 50,000 tasks. Not in the suite.
 name = "large"
 duration_s = 150
 settle_s = 120
--- a/crates/emulator/scenarios/links-fall.hcl
+++ b/crates/emulator/scenarios/links-fall.hcl
@@ -1,6 +1,6 @@
-# Cuts that leave some links up: one controller without the state service, one
-# whose answers from it are lost, one that hears no machine, a zone that one
-# controller does not reach, links between controllers refused meanwhile.
+# Partial network failures: one controller is cut off from the state service, one gets
+# no answers from it, one hears no machine, and one is cut off from a zone; controllers
+# refuse each other's connections for part of the time.
 name = "links-fall"
 base = "site.hcl"
 duration_s = 70
--- a/crates/emulator/scenarios/lost-any.hcl
+++ b/crates/emulator/scenarios/lost-any.hcl
@@ -1,4 +1,4 @@
-# Any acknowledged write is lost, now and then.
+# Acknowledged writes of any kind are lost, five times.
 name = "lost-any"
 base = "site.hcl"
 
--- a/crates/emulator/scenarios/lost-control.hcl
+++ b/crates/emulator/scenarios/lost-control.hcl
@@ -1,6 +1,6 @@
-# An acknowledged write of each record that controllers keep of themselves is
-# lost: members, blocks, the lead, the term, limits of teams. A restart of all
-# makes them write most of it.
+# Acknowledged writes of each kind of record that controllers keep about themselves are
+# lost: members, blocks, the leader, the term, team quotas. A restart of all controllers
+# makes them write most of these records.
 name = "lost-control"
 base = "site.hcl"
 
--- a/crates/emulator/scenarios/lost-job.hcl
+++ b/crates/emulator/scenarios/lost-job.hcl
@@ -1,4 +1,4 @@
-# An acknowledged write of a job's record is lost, several times.
+# Acknowledged writes of job records are lost, four times.
 name = "lost-job"
 base = "site.hcl"
 
--- a/crates/emulator/scenarios/lost-machines.hcl
+++ b/crates/emulator/scenarios/lost-machines.hcl
@@ -1,4 +1,4 @@
-# An acknowledged write of machines' grants is lost, several times.
+# Acknowledged writes that grant machines are lost, four times.
 name = "lost-machines"
 base = "site.hcl"
 
--- a/crates/emulator/scenarios/lost-tail.hcl
+++ b/crates/emulator/scenarios/lost-tail.hcl
@@ -1,5 +1,5 @@
-# The last twenty transactions are lost, as by a crash of the state
-# service whose log was not on disk; the ledger goes back.
+# The state service crashes and loses its last twenty transactions, as if its log had
+# not been on disk; the revision goes back.
 name = "lost-tail"
 base = "site.hcl"
 
--- a/crates/emulator/scenarios/lost-tasks.hcl
+++ b/crates/emulator/scenarios/lost-tasks.hcl
@@ -1,4 +1,4 @@
-# An acknowledged write of places and ends of tasks is lost, several times.
+# Acknowledged writes of placements and ends of tasks are lost, four times.
 name = "lost-tasks"
 base = "site.hcl"
 
--- a/crates/emulator/scenarios/machines-fall.hcl
+++ b/crates/emulator/scenarios/machines-fall.hcl
@@ -1,4 +1,5 @@
-# Machines die, hang, lose the network, fail all tasks and are taken back.
+# Machines die, hang, lose the network, fail all their tasks, run slowly and are
+# preempted.
 name = "machines-fall"
 base = "site.hcl"
 
--- a/crates/emulator/scenarios/quick-restarts.hcl
+++ b/crates/emulator/scenarios/quick-restarts.hcl
@@ -1,6 +1,6 @@
-# Processes that end are back after 50 to 200 ms, at 400 machines: one of them in a
-# loop, all of them three times within seconds, all while the state service is away,
-# and one after the other.
+# Killed controllers restart within 50 to 200 ms, with 400 machines: one of them in a
+# loop, all of them three times within seconds, all of them during an outage of the
+# state service, and one after the other.
 name = "quick-restarts"
 base = "site.hcl"
 duration_s = 70
--- a/crates/emulator/scenarios/sample.hcl
+++ b/crates/emulator/scenarios/sample.hcl
@@ -1,5 +1,5 @@
-# What `finchquay-emulator up` plays: a small site with users, and now and
-# then a fault.
+# The default scenario of `finchquay-emulator up`: a small site with users and an
+# occasional fault.
 name = "sample"
 base = "site.hcl"
 duration_s = 86400
--- a/crates/emulator/scenarios/site.hcl
+++ b/crates/emulator/scenarios/site.hcl
@@ -1,4 +1,4 @@
-# The site and load that the scenarios of the suite lie over.
+# The site and the load that most scenarios of the suite are based on.
 duration_s = 40
 settle_s = 100
 zones = ["hall-a", "hall-b"]
--- a/crates/emulator/scenarios/store-away-all-restart.hcl
+++ b/crates/emulator/scenarios/store-away-all-restart.hcl
@@ -1,4 +1,4 @@
-# The state service is away while all controllers restart.
+# All controllers restart during an outage of the state service.
 name = "store-away-all-restart"
 base = "site.hcl"
 
--- a/crates/emulator/scenarios/store-killed.hcl
+++ b/crates/emulator/scenarios/store-killed.hcl
@@ -1,5 +1,4 @@
-# The state service is killed in the middle of its work and started
-# again from its log, twice.
+# The state service is killed while it works and started again from its log, twice.
 name = "store-killed"
 base = "site.hcl"
 
--- a/crates/emulator/scenarios/write-late.hcl
+++ b/crates/emulator/scenarios/write-late.hcl
@@ -1,5 +1,5 @@
-# Writes of every kind are carried out after they were given up: some just
-# then, some long after.
+# Writes of several kinds are carried out after the controller has given up on them,
+# some shortly after and some much later.
 name = "write-late"
 base = "site.hcl"
 
--- a/crates/emulator/scenarios/write-unanswered.hcl
+++ b/crates/emulator/scenarios/write-unanswered.hcl
@@ -1,4 +1,4 @@
-# Writes of every kind are carried out and never answered.
+# Writes of several kinds are carried out and never answered.
 name = "write-unanswered"
 base = "site.hcl"
 
