--- a/crates/emulator/src/report.rs
+++ b/crates/emulator/src/report.rs
@@ -1,6 +1,8 @@
-//! What a history comes to: latencies as percentiles, throughput, outcomes,
-//! faults, memory and processor time of the controllers, and the verdict. One
-//! set of figures feeds JSON, text and HTML.
+//! The report on a history: latencies as percentiles, throughput, outcomes, faults, memory
+//! and CPU time of the controllers, and the verdict. The same figures are written as JSON,
+//! text and HTML.
+
+#![warn(missing_docs)]
 
 mod cold_start;
 mod html;
@@ -17,141 +19,181 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, HashMap, HashSet};
 
-/// Percentiles of times in milliseconds.
+/// Percentiles of a latency in milliseconds.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Latency {
+    /// Number of measured times.
     pub count: u64,
+    /// Median.
     pub p50_ms: f64,
+    /// 90th percentile.
     pub p90_ms: f64,
+    /// 99th percentile.
     pub p99_ms: f64,
+    /// Longest time.
     pub max_ms: f64,
 }
 
 impl Latency {
-    fn of(h: &Histogram<u64>) -> Latency {
-        let at = |q| h.value_at_quantile(q) as f64;
-        Latency { count: h.len(), p50_ms: at(0.5), p90_ms: at(0.9), p99_ms: at(0.99), max_ms: h.max() as f64 }
+    fn from_histogram(histogram: &Histogram<u64>) -> Latency {
+        let quantile = |q| histogram.value_at_quantile(q) as f64;
+        Latency {
+            count: histogram.len(),
+            p50_ms: quantile(0.5),
+            p90_ms: quantile(0.9),
+            p99_ms: quantile(0.99),
+            max_ms: histogram.max() as f64,
+        }
     }
 }
 
+/// The jobs of one class.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Class {
+    /// Jobs submitted.
     pub jobs: u64,
+    /// Tasks of those jobs.
     pub tasks: u64,
-    /// First attempt to submit until it was accepted, all retries included.
+    /// Time from the first attempt to submit a job until it is accepted, retries included.
     pub accept: Latency,
-    /// First attempt until the first start of each task.
+    /// Time from the first attempt to submit a job until the first start of each task.
     pub start: Latency,
-    /// First attempt until the user was told done.
+    /// Time from the first attempt to submit a job until its user is told that it is done.
     pub done: Latency,
 }
 
+/// Resources that one controller used.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct Process {
-    pub most_mb: f64,
-    /// Share of one core, mean over its life.
+pub struct ControllerUsage {
+    /// Most memory in use, in MB.
+    #[serde(rename = "most_mb")]
+    pub peak_mb: f64,
+    /// Share of one core, averaged over the run.
     pub cpu: f64,
+    /// Number of times that the controller was started.
     pub starts: u64,
 }
 
-/// One point of the curves.
+/// One point of the curves over time.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Point {
+    /// Seconds since the run began.
     pub t: f64,
+    /// Machines that are up.
     pub machines_up: u32,
+    /// Machines that are rented but not up yet.
     pub machines_booting: u32,
+    /// Tasks that are running.
     pub tasks_running: u32,
+    /// Changes in the state service per second, since the last point.
     pub changes_per_s: f64,
+    /// Requests to the state service per second, since the last point.
     pub requests_per_s: f64,
 }
 
+/// The report on one history.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Report {
+    /// Name of the scenario.
     pub scenario: String,
+    /// Seed of the load and the faults.
     pub seed: u64,
+    /// Duration of the run.
     pub seconds: f64,
+    /// Figures for each class of jobs.
     pub classes: BTreeMap<String, Class>,
+    /// Throughput, over the whole run.
     pub tasks_done_per_s: f64,
-    /// Why tasks left their machines.
+    /// Number of tasks that left their machines, by cause.
     pub stops: BTreeMap<String, u64>,
-    /// Answers that users got, by status; `none` is no answer.
+    /// Number of answers to users, by status; `none` counts requests without an answer.
     pub answers: BTreeMap<String, u64>,
+    /// Time at which each fault began (`true`) or ended, and its name.
     pub faults: Vec<(f64, String, bool)>,
+    /// Starts of the whole control plane.
     #[serde(default)]
     pub cold_starts: Vec<ColdStart>,
-    pub controllers: BTreeMap<String, Process>,
+    /// Resources that each controller used.
+    pub controllers: BTreeMap<String, ControllerUsage>,
+    /// Cost of the rented machines.
     pub spent: f64,
+    /// Samples of the cluster over time.
     pub curve: Vec<Point>,
+    /// Verdict of the checker.
     pub verdict: Verdict,
 }
 
 fn histogram() -> Histogram<u64> {
-    // Two digits, up to an hour in milliseconds.
-    Histogram::new_with_bounds(1, 3_600_000, 2).expect("the bounds are sound")
+    // Two significant digits, up to one hour in milliseconds.
+    Histogram::new_with_bounds(1, 3_600_000, 2).expect("the bounds are valid")
 }
 
-struct Times {
+/// Latencies of one class of jobs, as in [`Class`].
+struct ClassLatencies {
     accept: Histogram<u64>,
     start: Histogram<u64>,
     done: Histogram<u64>,
 }
 
-impl Times {
-    fn new() -> Times {
-        Times { accept: histogram(), start: histogram(), done: histogram() }
+impl ClassLatencies {
+    fn new() -> ClassLatencies {
+        ClassLatencies { accept: histogram(), start: histogram(), done: histogram() }
     }
 }
 
-/// Works out the report of a history.
+/// Checks a history and computes its report.
 pub fn report(lines: &[Line]) -> Report {
-    judged(lines, check(lines))
+    report_with_verdict(lines, check(lines))
 }
 
-/// The same, where more than these lines was judged.
-pub fn judged(lines: &[Line], verdict: Verdict) -> Report {
-    let mut r = Report { verdict, ..Report::default() };
-    let mut first: HashMap<&str, (f64, &str)> = HashMap::new();
-    let mut times: BTreeMap<&str, Times> = BTreeMap::new();
+/// Computes the report on a history whose verdict is known; the verdict may also cover
+/// earlier histories.
+pub fn report_with_verdict(lines: &[Line], verdict: Verdict) -> Report {
+    let mut report = Report { verdict, ..Report::default() };
+    // Time of the first attempt to submit each job, and the job's class.
+    let mut submitted: HashMap<&str, (f64, &str)> = HashMap::new();
+    let mut latencies: BTreeMap<&str, ClassLatencies> = BTreeMap::new();
     let (mut accepted, mut done, mut started) = (HashSet::new(), HashSet::new(), HashSet::new());
+    // Time, changes and requests of the last sample.
     let mut last: Option<(f64, u64, u64)> = None;
-    // Processor time of lives that are over, and of the one that runs.
+    // CPU time of each controller's ended processes, and of its current process.
     let mut cpu: BTreeMap<String, (f64, f64)> = BTreeMap::new();
     for line in lines {
         let t = line.t;
-        r.seconds = t;
+        report.seconds = t;
         let ms = |since: f64| ((t - since) * 1000.0).max(1.0) as u64;
         match &line.event {
-            Event::Began { scenario, seed, .. } => (r.scenario, r.seed) = (scenario.clone(), *seed),
+            Event::Began { scenario, seed, .. } => (report.scenario, report.seed) = (scenario.clone(), *seed),
             Event::Job { spec } => {
-                first.insert(&spec.uid, (t, &spec.class));
-                let class = r.classes.entry(spec.class.clone()).or_default();
+                submitted.insert(&spec.uid, (t, &spec.class));
+                let class = report.classes.entry(spec.class.clone()).or_default();
                 class.jobs += 1;
                 class.tasks += u64::from(spec.task_count);
             }
             Event::Call { asked, uid, status, state, .. } => {
-                let name = status.map_or("none".to_string(), |s| s.to_string());
-                *r.answers.entry(name).or_default() += 1;
-                let Some((since, class)) = first.get(uid.as_str()) else { continue };
-                let times = times.entry(class).or_insert_with(Times::new);
+                let status_name = status.map_or("none".to_string(), |s| s.to_string());
+                *report.answers.entry(status_name).or_default() += 1;
+                let Some((since, class)) = submitted.get(uid.as_str()) else { continue };
+                let latencies = latencies.entry(class).or_insert_with(ClassLatencies::new);
                 if *asked == Asked::Submit && matches!(status, Some(200 | 201)) && accepted.insert(uid.as_str()) {
-                    times.accept.saturating_record(ms(*since));
+                    latencies.accept.saturating_record(ms(*since));
                 }
                 if *state == Some(finchquay_protocol::user::Status::Done) && done.insert(uid.as_str()) {
-                    times.done.saturating_record(ms(*since));
+                    latencies.done.saturating_record(ms(*since));
                 }
             }
             Event::Start { job, index, .. } => {
                 if started.insert((job.as_str(), *index))
-                    && let Some((since, class)) = first.get(job.as_str())
+                    && let Some((since, class)) = submitted.get(job.as_str())
                 {
-                    times.entry(class).or_insert_with(Times::new).start.saturating_record(ms(*since));
+                    latencies.entry(class).or_insert_with(ClassLatencies::new).start.saturating_record(ms(*since));
                 }
             }
-            Event::Stop { cause, .. } => *r.stops.entry(cause.clone()).or_default() += 1,
-            Event::Fault { name, on } => r.faults.push((t, name.clone(), *on)),
+            Event::Stop { cause, .. } => *report.stops.entry(cause.clone()).or_default() += 1,
+            Event::Fault { name, on } => report.faults.push((t, name.clone(), *on)),
             Event::Controller { controller, what } => {
-                let process = r.controllers.entry(controller.clone()).or_default();
-                process.starts += u64::from(what == "started");
+                let usage = report.controllers.entry(controller.clone()).or_default();
+                usage.starts += u64::from(what == "started");
                 let used = cpu.entry(controller.clone()).or_default();
                 *used = (used.0 + used.1, 0.0);
             }
@@ -165,8 +207,8 @@
                 controllers,
             } => {
                 let (since, changes, requests) = last.unwrap_or((t - 1.0, 0, 0));
-                let per_s = |now: u64, then: u64| now.saturating_sub(then) as f64 / (t - since).max(0.001);
-                r.curve.push(Point {
+                let per_s = |now: u64, before: u64| now.saturating_sub(before) as f64 / (t - since).max(0.001);
+                report.curve.push(Point {
                     t,
                     machines_up: *machines_up,
                     machines_booting: *machines_booting,
@@ -175,27 +217,29 @@
                     requests_per_s: per_s(*store_requests, requests),
                 });
                 last = Some((t, *store_changes, *store_requests));
-                r.spent = *spent;
+                report.spent = *spent;
                 for (name, (mb, used)) in controllers {
-                    let process = r.controllers.entry(name.clone()).or_default();
-                    process.most_mb = process.most_mb.max(*mb);
+                    let usage = report.controllers.entry(name.clone()).or_default();
+                    usage.peak_mb = usage.peak_mb.max(*mb);
                     cpu.entry(name.clone()).or_default().1 = *used;
                 }
             }
             Event::MachineUp { .. } | Event::MachineGone { .. } | Event::Store { .. } | Event::Over { .. } => {}
         }
     }
-    for (class, t) in times {
-        if let Some(c) = r.classes.get_mut(class) {
-            (c.accept, c.start, c.done) = (Latency::of(&t.accept), Latency::of(&t.start), Latency::of(&t.done));
+    for (name, latencies) in latencies {
+        if let Some(class) = report.classes.get_mut(name) {
+            class.accept = Latency::from_histogram(&latencies.accept);
+            class.start = Latency::from_histogram(&latencies.start);
+            class.done = Latency::from_histogram(&latencies.done);
         }
     }
-    for (name, (before, now)) in cpu {
-        r.controllers.entry(name).or_default().cpu = (before + now) / r.seconds.max(1.0);
+    for (name, (ended, current)) in cpu {
+        report.controllers.entry(name).or_default().cpu = (ended + current) / report.seconds.max(1.0);
     }
-    r.cold_starts = cold_starts(lines, &r.curve);
-    r.tasks_done_per_s = r.verdict.tasks_done as f64 / r.seconds.max(1.0);
-    r
+    report.cold_starts = cold_starts(lines, &report.curve);
+    report.tasks_done_per_s = report.verdict.tasks_done as f64 / report.seconds.max(1.0);
+    report
 }
 
 #[cfg(test)]
--- a/crates/emulator/src/report/cold_start.rs
+++ b/crates/emulator/src/report/cold_start.rs
@@ -1,38 +1,47 @@
-//! Starts of the whole control plane: what happened in the time after each.
+//! Starts of the whole control plane, and what happened shortly after each of them.
+
+#![warn(missing_docs)]
 
 use super::Point;
 use crate::history::{Event, Line};
 use serde::{Deserialize, Serialize};
 use std::collections::HashSet;
 
-/// One start of controllers after a time in which none ran.
+/// A start of controllers after a time in which none was running.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct ColdStart {
-    /// When the first of them started.
+    /// When the first controller started.
     pub at_s: f64,
-    /// Since the last one ended.
+    /// Time since the last controller ended.
     pub down_s: f64,
-    /// Until a user got an answer that was no refusal.
+    /// Time until a user's request succeeded, if one did in the 30 s after the start.
     pub first_answer_s: Option<f64>,
-    /// In the 30 s after it: machines that controllers returned, and that came up.
-    pub returned: u64,
-    pub came_up: u64,
-    /// Tasks that started, and those that their leases ended, from the last
-    /// controller's end on.
-    pub starts: u64,
-    pub lapsed: u64,
-    /// Changes of the state service in its busiest second of those 30.
-    pub most_changes_per_s: f64,
+    /// Machines that controllers released in the 30 s after the start.
+    #[serde(rename = "returned")]
+    pub machines_released: u64,
+    /// Machines that came up in the 30 s after the start.
+    #[serde(rename = "came_up")]
+    pub machines_up: u64,
+    /// Tasks that started in the 30 s after the start.
+    #[serde(rename = "starts")]
+    pub task_starts: u64,
+    /// Tasks that ended with the lease of their machine, from the end of the last
+    /// controller until 30 s after the start.
+    #[serde(rename = "lapsed")]
+    pub tasks_lapsed: u64,
+    /// Changes in the state service in the busiest second of those 30.
+    #[serde(rename = "most_changes_per_s")]
+    pub peak_changes_per_s: f64,
 }
 
-/// How long after a start what happens is put down to it.
-const AFTER_START_S: f64 = 30.0;
+/// How long after a start events are attributed to it.
+const OBSERVATION_S: f64 = 30.0;
 
-/// The starts of all controllers, but for the first.
+/// The starts of the whole control plane after the first one.
 pub(super) fn cold_starts(lines: &[Line], curve: &[Point]) -> Vec<ColdStart> {
     let mut running: HashSet<&str> = HashSet::new();
-    let (mut ended, mut lapsed) = (None, 0);
-    let mut out: Vec<ColdStart> = Vec::new();
+    let (mut ended, mut tasks_lapsed) = (None, 0);
+    let mut cold_starts: Vec<ColdStart> = Vec::new();
     for line in lines {
         let t = line.t;
         match &line.event {
@@ -40,35 +49,37 @@
                 if running.is_empty()
                     && let Some(since) = ended.take()
                 {
-                    out.push(ColdStart { at_s: t, down_s: t - since, lapsed, ..ColdStart::default() });
+                    cold_starts.push(ColdStart { at_s: t, down_s: t - since, tasks_lapsed, ..ColdStart::default() });
                 }
                 running.insert(controller);
             }
             Event::Controller { controller, .. } => {
                 running.remove(controller.as_str());
                 if running.is_empty() {
-                    (ended, lapsed) = (Some(t), 0);
+                    (ended, tasks_lapsed) = (Some(t), 0);
                 }
             }
-            Event::Stop { cause, .. } if cause == "lapsed" && running.is_empty() => lapsed += 1,
+            Event::Stop { cause, .. } if cause == "lapsed" && running.is_empty() => tasks_lapsed += 1,
             event => {
-                let Some(c) = out.last_mut().filter(|c| t < c.at_s + AFTER_START_S) else { continue };
+                let Some(start) = cold_starts.last_mut().filter(|start| t < start.at_s + OBSERVATION_S) else {
+                    continue;
+                };
                 match event {
-                    Event::Call { status: Some(200 | 201), .. } if c.first_answer_s.is_none() => {
-                        c.first_answer_s = Some(t - c.at_s);
+                    Event::Call { status: Some(200 | 201), .. } if start.first_answer_s.is_none() => {
+                        start.first_answer_s = Some(t - start.at_s);
                     }
-                    Event::MachineGone { why, .. } => c.returned += u64::from(why == "released"),
-                    Event::MachineUp { .. } => c.came_up += 1,
-                    Event::Start { .. } => c.starts += 1,
-                    Event::Stop { cause, .. } => c.lapsed += u64::from(cause == "lapsed"),
+                    Event::MachineGone { why, .. } => start.machines_released += u64::from(why == "released"),
+                    Event::MachineUp { .. } => start.machines_up += 1,
+                    Event::Start { .. } => start.task_starts += 1,
+                    Event::Stop { cause, .. } => start.tasks_lapsed += u64::from(cause == "lapsed"),
                     _ => {}
                 }
             }
         }
     }
-    for c in &mut out {
-        let after = curve.iter().filter(|p| p.t >= c.at_s && p.t < c.at_s + AFTER_START_S);
-        c.most_changes_per_s = after.map(|p| p.changes_per_s).fold(0.0, f64::max);
+    for start in &mut cold_starts {
+        let after = curve.iter().filter(|p| p.t >= start.at_s && p.t < start.at_s + OBSERVATION_S);
+        start.peak_changes_per_s = after.map(|p| p.changes_per_s).fold(0.0, f64::max);
     }
-    out
+    cold_starts
 }
--- a/crates/emulator/src/report/tests.rs
+++ b/crates/emulator/src/report/tests.rs
@@ -1,8 +1,9 @@
-//! Tests of the figures of a report.
+//! Tests that a report has the right figures, and survives writing and reading.
 
 use super::*;
 use finchquay_protocol::user::{JobSpec, Status};
 
+/// The history of one job with two tasks.
 fn lines() -> Vec<Line> {
     let call = |asked, status, state| Event::Call {
         asked,
@@ -48,19 +49,19 @@
 }
 
 #[test]
-fn figures_follow_from_the_history() {
-    let r = report(&lines());
-    let c = &r.classes["c"];
-    assert!((c.accept.max_ms - 2000.0).abs() < 20.0 && (c.done.p50_ms - 8000.0).abs() < 80.0);
-    assert_eq!((c.start.count, c.jobs, c.tasks), (2, 1, 2));
-    assert_eq!((r.answers["none"], r.stops["done"], r.tasks_done_per_s), (1, 2, 0.2));
-    assert!((r.curve[1].changes_per_s - 20.0).abs() < 0.01);
-    let p = &r.controllers["c"];
-    assert!((p.cpu - 0.15).abs() < 1e-9 && p.starts == 1, "{p:?}");
-    assert!(r.verdict.holds());
-    let html = page(&r);
+fn report_has_the_figures_of_the_history() {
+    let report = report(&lines());
+    let class = &report.classes["c"];
+    assert!((class.accept.max_ms - 2000.0).abs() < 20.0 && (class.done.p50_ms - 8000.0).abs() < 80.0);
+    assert_eq!((class.start.count, class.jobs, class.tasks), (2, 1, 2));
+    assert_eq!((report.answers["none"], report.stops["done"], report.tasks_done_per_s), (1, 2, 0.2));
+    assert!((report.curve[1].changes_per_s - 20.0).abs() < 0.01);
+    let usage = &report.controllers["c"];
+    assert!((usage.cpu - 0.15).abs() < 1e-9 && usage.starts == 1, "{usage:?}");
+    assert!(report.verdict.holds());
+    let html = page(&report);
     assert!(html.contains("<svg") && html.contains("tasks running"));
-    let back: Report = serde_json::from_str(&serde_json::to_string(&r).unwrap()).unwrap();
-    assert_eq!(back, r);
-    assert!(compare(&r, &r).lines().all(|l| !l.contains("tasks done a second") || l.ends_with("0.000")));
+    let back: Report = serde_json::from_str(&serde_json::to_string(&report).unwrap()).unwrap();
+    assert_eq!(back, report);
+    assert!(compare(&report, &report).lines().all(|l| !l.contains("tasks done a second") || l.ends_with("0.000")));
 }
--- a/crates/emulator/src/run.rs
+++ b/crates/emulator/src/run.rs
@@ -1,4 +1,7 @@
-//! One emulator from start to end: emulator, controllers, users and faults.
+//! Plays a scenario from start to end: brings up the emulated services, the machines and
+//! the controllers, submits the load, injects the faults and checks the history.
+
+#![warn(missing_docs)]
 
 use crate::checker::{self, Verdict};
 use crate::cloud::machine::{Cloud, Config as CloudConfig, Fault as CloudFault, Happening, Offer};
@@ -15,7 +18,9 @@
 use crate::scenario::{Fault, FaultKind, Scenario};
 use crate::state::log::LogError;
 use crate::state::machine::Limits;
-use crate::state::service::{self as state, Fault as StoreFault, Noted, Pick, WriteFault};
+use crate::state::service::{
+    self as state, Fault as StoreFault, FaultEvent, FaultListener, WriteFault, WriteFaultRule,
+};
 use finchquay_client::ClientError;
 use finchquay_protocol::BODY_LIMIT;
 use finchquay_protocol::cloud::MachineType;
@@ -31,47 +36,72 @@
 use tokio::net::TcpListener;
 use tokio::task::{JoinHandle, JoinSet};
 
-/// How often the emulated world moves on.
-const STEP: Duration = Duration::from_millis(20);
-/// How often it is measured.
-const SAMPLE: Duration = Duration::from_secs(1);
-
+/// How often the emulated cloud and machines advance.
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
+/// How often a sample of the cluster is recorded.
+const SAMPLE_INTERVAL: Duration = Duration::from_secs(1);
+/// Machine numbers that a later run in the same directory leaves unused: machines that were
+/// rented but never came up have higher numbers than those in the history.
+const SKIPPED_MACHINE_NUMBERS: u32 = 1000;
+/// Failed attempts, one per tick, after which the state service gives up on an address:
+/// connections from before the stop may keep it in use for a moment.
+const MAX_BIND_RETRIES: u32 = 50;
+
+/// Why a run could not be played to its end.
 #[derive(Debug, Error)]
 pub enum RunError {
+    /// The controllers could not be started.
     #[error(transparent)]
     Cluster(#[from] ClusterError),
+    /// The state service could not be started.
     #[error(transparent)]
     State(#[from] LogError),
+    /// A history could not be read or written.
     #[error(transparent)]
     History(#[from] HistoryError),
+    /// The client of the emulated users could not be created.
     #[error(transparent)]
     Client(#[from] ClientError),
+    /// A file or directory could not be created or written.
     #[error("{}: {cause}", file.display())]
-    File { file: PathBuf, cause: std::io::Error },
+    File {
+        /// Path of the file or directory.
+        file: PathBuf,
+        /// Error of the operating system.
+        cause: std::io::Error,
+    },
 }
 
+/// What to run, and where.
 pub struct Options {
+    /// The scenario to play.
     pub scenario: Scenario,
+    /// Seed of the load and the faults.
     pub seed: u64,
-    /// Holds the state, the controllers' settings and logs, and the histories.
+    /// Directory of the state, the controllers' settings and logs, and the histories.
     pub dir: PathBuf,
-    /// The controllers' program.
+    /// Path of the controllers' program.
     pub controller: PathBuf,
-    /// Port of the controllers for users; 0: free ones.
+    /// Port on which each controller serves users; 0 picks free ports.
     pub public_port: u16,
-    /// Where users beside the load come in, if they do.
+    /// Address of the entry point for users besides the load, if there is to be one.
     pub front: Option<SocketAddr>,
+    /// Called with every line of the history.
     pub watcher: Option<Watcher>,
 }
 
-/// What a run left.
+/// The result of a run.
 pub struct Outcome {
+    /// Path of the history.
     pub history: PathBuf,
+    /// Lines of the history.
     pub lines: Vec<Line>,
+    /// Verdict on this run and the earlier ones in the same directory.
     pub verdict: Verdict,
 }
 
-struct World {
+/// A running emulation: the controllers and everything around them.
+struct Emulation {
     scenario: Scenario,
     recorder: Recorder,
     cloud: Mutex<Cloud>,
@@ -81,22 +111,30 @@
     rng: Mutex<StdRng>,
 }
 
-/// The state service's process, so to speak: it can be ended and started again.
+/// The state service with what it takes to stop it and start it again, as if it were a
+/// process of its own.
 struct StateService {
     config: state::Config,
-    notes: state::Notes,
+    fault_listener: FaultListener,
+    /// `None` while the service is stopped.
     handle: Option<state::Handle>,
-    serving: Vec<JoinHandle<()>>,
-    places: Vec<(String, SocketAddr)>,
+    /// Tasks that serve the listeners, one for each controller.
+    servers: Vec<JoinHandle<()>>,
+    /// Name of each controller, and the address at which the service listens for it.
+    endpoints: Vec<(String, SocketAddr)>,
 }
 
-/// Plays a scenario to its end, or until `stop` comes.
+/// Plays a scenario to its end, or until `stop` completes. In a directory that earlier runs
+/// used, the run continues from their state.
+///
+/// # Errors
+/// A file cannot be read or written, or the emulator or a controller cannot be started.
 pub async fn play(options: Options, stop: impl Future<Output = ()>) -> Result<Outcome, RunError> {
     let dir = &options.dir;
     std::fs::create_dir_all(dir).map_err(|cause| RunError::File { file: dir.clone(), cause })?;
-    let mut earlier = Earlier::read(dir)?;
-    let earlier_lines = std::mem::take(&mut earlier.lines);
-    let history = dir.join(format!("history-{}.jsonl", earlier.session));
+    let mut previous = PreviousRuns::read(dir)?;
+    let previous_lines = std::mem::take(&mut previous.lines);
+    let history = dir.join(format!("history-{}.jsonl", previous.run_number));
     let recorder = Recorder::create(&history, options.watcher)?;
     let scenario = options.scenario;
     let front = match options.front {
@@ -105,27 +143,27 @@
     };
     let (cluster, sockets) =
         Cluster::start(&scenario, &options.controller, dir, options.public_port, &recorder).await?;
-    let places: Vec<(String, SocketAddr)> = cluster.places.iter().map(|p| (p.member.clone(), p.public)).collect();
+    let endpoints: Vec<(String, SocketAddr)> = cluster.places.iter().map(|p| (p.member.clone(), p.public)).collect();
     recorder.record(Event::Began {
         scenario: scenario.name.clone(),
         seed: options.seed,
-        facts: facts(&scenario, &places),
+        facts: site_facts(&scenario, &endpoints),
     });
     let mut state = state_service(&scenario, dir, &cluster, &recorder);
     state.start(sockets.state)?;
     let mut rng = StdRng::seed_from_u64(options.seed);
     let mut fleet = Fleet::new(Scenario::seconds(scenario.workers.gang_peer_s));
-    earlier.upload(&mut fleet);
+    previous.restore(&mut fleet);
     let nodes =
         cluster.places.iter().map(|p| Node { member: p.member.clone(), zone: p.zone.clone(), address: p.public });
-    let report = Scenario::seconds(scenario.workers.heartbeat_interval_s);
-    let driver = Driver::new(fleet, nodes.collect(), report, recorder.clone());
+    let heartbeat_interval = Scenario::seconds(scenario.workers.heartbeat_interval_s);
+    let driver = Driver::new(fleet, nodes.collect(), heartbeat_interval, recorder.clone());
     let worker_port = port(Ipv4Addr::new(127, 1, 0, 1), 0)?.port();
-    let cloud = Cloud::new(cloud_config(&scenario, worker_port), rng.random(), earlier.machines);
-    let jobs = load::plan(&scenario, earlier.session, &mut rng);
+    let cloud = Cloud::new(cloud_config(&scenario, worker_port), rng.random(), previous.machines);
+    let jobs = load::plan(&scenario, previous.run_number, &mut rng);
     let faults = scenario.faults(&mut rng);
     let user_seed = rng.random();
-    let world = Arc::new(World {
+    let emulation = Arc::new(Emulation {
         recorder: recorder.clone(),
         cloud: Mutex::new(cloud),
         driver: driver.clone(),
@@ -135,91 +173,104 @@
         scenario,
     });
     let mut background = JoinSet::new();
-    world.first_machines().await;
-    background.spawn(world.clone().serve_cloud(sockets.cloud));
-    background.spawn(world.clone().tick());
-    background.spawn(world.clone().sample());
+    emulation.create_initial_machines().await;
+    background.spawn(emulation.clone().serve_cloud(sockets.cloud));
+    background.spawn(emulation.clone().run_ticks());
+    background.spawn(emulation.clone().record_samples());
     for (name, fault) in faults {
-        background.spawn(world.clone().fault(name, fault));
+        background.spawn(emulation.clone().play_fault(name, fault));
     }
     if let Some(listener) = front {
-        background.spawn(Front::new(places.clone(), driver.clone(), recorder.clone()).serve(listener));
+        background.spawn(Front::new(endpoints.clone(), driver.clone(), recorder.clone()).serve(listener));
     }
-    let client = load::client(&places, &recorder)?;
-    let over = load::Over::default();
-    let mut users = load::play(jobs, &client, &driver, &recorder, user_seed, &over);
-    background.spawn(load::curious(client.clone(), over));
-    for (uid, cancel) in earlier.open {
+    let client = load::client(&endpoints, &recorder)?;
+    let ended_jobs = load::Over::default();
+    let mut users = load::play(jobs, &client, &driver, &recorder, user_seed, &ended_jobs);
+    background.spawn(load::curious(client.clone(), ended_jobs));
+    for (uid, cancel) in previous.open_jobs {
         users.spawn(load::resume(client.clone(), uid, cancel));
     }
-    let most = world.scenario.duration_s + world.scenario.settle_s;
-    let all_ended = async { while users.join_next().await.is_some() {} };
-    let ended = async {
-        // The load may end before the last fault does; both have to.
-        tokio::time::sleep(Duration::from_secs_f64(world.scenario.duration_s)).await;
-        let _ = tokio::time::timeout(Duration::from_secs_f64(most - world.scenario.duration_s), all_ended).await;
+    let time_limit = emulation.scenario.duration_s + emulation.scenario.settle_s;
+    let users_ended = async { while users.join_next().await.is_some() {} };
+    let run_ended = async {
+        // The load may end before the last fault does; the run waits for both.
+        tokio::time::sleep(Duration::from_secs_f64(emulation.scenario.duration_s)).await;
+        let _ = tokio::time::timeout(Duration::from_secs_f64(time_limit - emulation.scenario.duration_s), users_ended)
+            .await;
     };
     let settled = tokio::select! {
-        () = ended => true,
+        () = run_ended => true,
         () = stop => false,
     };
     users.shutdown().await;
     recorder.record(Event::Over { settled });
     background.shutdown().await;
-    let names: Vec<String> = lock(&world.cloud).alive().map(|(n, _)| n.clone()).collect();
-    names.iter().for_each(|n| world.driver.vanish(n, "the run is over"));
-    let handle = lock(&world.state).handle.take();
-    if let Some(h) = handle {
-        h.stop().await;
+    let machines: Vec<String> = lock(&emulation.cloud).alive().map(|(name, _)| name.clone()).collect();
+    machines.iter().for_each(|name| emulation.driver.vanish(name, "the run is over"));
+    let handle = lock(&emulation.state).handle.take();
+    if let Some(handle) = handle {
+        handle.stop().await;
     }
-    lock(&world.state).serving.iter().for_each(JoinHandle::abort);
-    if let Ok(world) = Arc::try_unwrap(world).map_err(|_| ()) {
-        world.cluster.stop().await;
+    lock(&emulation.state).servers.iter().for_each(JoinHandle::abort);
+    if let Ok(emulation) = Arc::try_unwrap(emulation).map_err(|_| ()) {
+        emulation.cluster.stop().await;
     }
     recorder.flush().map_err(|cause| RunError::File { file: history.clone(), cause })?;
     let lines = history::read(&history)?;
-    let verdict = checker::check(&history::join(earlier_lines, lines.clone()));
+    let verdict = checker::check(&history::join(previous_lines, lines.clone()));
     Ok(Outcome { history, lines, verdict })
 }
 
-fn facts(s: &Scenario, places: &[(String, SocketAddr)]) -> Facts {
+/// What the checker must know about the site.
+fn site_facts(scenario: &Scenario, endpoints: &[(String, SocketAddr)]) -> Facts {
     Facts {
-        limits: s.team.iter().map(|(n, t)| (n.clone(), (t.cpus_max, t.gpus_max))).collect(),
-        cancel_s: s.workers.cancel_s,
-        controllers: places.iter().map(|(n, a)| (n.clone(), a.to_string())).collect(),
+        limits: scenario.team.iter().map(|(name, team)| (name.clone(), (team.cpus_max, team.gpus_max))).collect(),
+        cancel_s: scenario.workers.cancel_s,
+        controllers: endpoints.iter().map(|(name, address)| (name.clone(), address.to_string())).collect(),
     }
 }
 
-fn state_service(s: &Scenario, dir: &Path, cluster: &Cluster, recorder: &Recorder) -> StateService {
-    let limits =
-        Limits { rps: s.state.rps, write_rps: s.state.write_rps, value_kb: s.state.value_kb, txn_ops: s.state.txn_ops };
+/// The state service of a scenario, not started yet.
+fn state_service(scenario: &Scenario, dir: &Path, cluster: &Cluster, recorder: &Recorder) -> StateService {
+    let settings = &scenario.state;
+    let limits = Limits {
+        rps: settings.rps,
+        write_rps: settings.write_rps,
+        value_kb: settings.value_kb,
+        txn_ops: settings.txn_ops,
+    };
     let recorder = recorder.clone();
-    let notes: state::Notes = Arc::new(move |noted| {
-        recorder.record(match noted {
-            Noted::Hit { fault, keys } => Event::Store { what: fault.into(), keys },
-            Noted::TailLost { keys, .. } => Event::Store { what: "tail".into(), keys },
+    let fault_listener: FaultListener = Arc::new(move |event| {
+        recorder.record(match event {
+            FaultEvent::WriteHit { fault, keys } => Event::Store { what: fault.into(), keys },
+            FaultEvent::TailLost { keys, .. } => Event::Store { what: "tail".into(), keys },
         });
     });
     StateService {
-        config: state::Config { path: dir.join("state.redb"), fsync: s.state.fsync, limits },
-        notes,
+        config: state::Config { path: dir.join("state.redb"), fsync: settings.fsync, limits },
+        fault_listener,
         handle: None,
-        serving: Vec::new(),
-        places: cluster.places.iter().map(|p| (p.member.clone(), p.state)).collect(),
+        servers: Vec::new(),
+        endpoints: cluster.places.iter().map(|p| (p.member.clone(), p.state)).collect(),
     }
 }
 
 impl StateService {
+    /// Starts the service on its log, and serves one listener for each controller.
     fn start(&mut self, listeners: Vec<TcpListener>) -> Result<(), LogError> {
-        let handle = state::start(&self.config, self.notes.clone())?;
-        let served = self.places.iter().zip(listeners);
-        self.serving = served.map(|((member, _), l)| tokio::spawn(handle.clone().serve(member.clone(), l))).collect();
+        let handle = state::start(&self.config, self.fault_listener.clone())?;
+        let served = self.endpoints.iter().zip(listeners);
+        let serve = |((member, _), listener): (&(String, SocketAddr), TcpListener)| {
+            tokio::spawn(handle.clone().serve(member.clone(), listener))
+        };
+        self.servers = served.map(serve).collect();
         self.handle = Some(handle);
         Ok(())
     }
 }
 
-fn cloud_config(s: &Scenario, worker_port: u16) -> CloudConfig {
+/// The settings of the emulated cloud.
+fn cloud_config(scenario: &Scenario, worker_port: u16) -> CloudConfig {
     let offer = |(label, m): (&String, &crate::scenario::MachineType)| Offer {
         kind: MachineType {
             label: label.clone(),
@@ -229,141 +280,148 @@
             disk_gb: m.cache_gb,
             pull_gb_per_s: m.fetch_gb_per_s,
             on_demand_price: m.on_demand_price,
-            spot_price: m.spot_hourly,
+            spot_price: m.spot_price,
             startup_s: m.boot_s,
-            zones: s.zones.clone(),
+            zones: scenario.zones.clone(),
         },
-        capacity: s.zones.iter().map(|z| (z.clone(), (m.ordinary, m.spot))).collect(),
-        cold: m.cold,
+        capacity: scenario.zones.iter().map(|zone| (zone.clone(), (m.on_demand, m.spot))).collect(),
+        cold: m.cold_share,
     };
     CloudConfig {
-        offers: s.machine_type.iter().map(offer).collect(),
-        rps: s.cloud.rps,
-        list_lag: Scenario::seconds(s.cloud.list_lag_s),
-        notice: Scenario::seconds(s.cloud.notice_s),
-        silent_share: s.cloud.silent_share,
+        offers: scenario.machine_type.iter().map(offer).collect(),
+        rps: scenario.cloud.rps,
+        list_lag: Scenario::seconds(scenario.cloud.list_lag_s),
+        notice: Scenario::seconds(scenario.cloud.notice_s),
+        silent_share: scenario.cloud.silent_share,
         worker_port,
     }
 }
 
-/// What earlier runs on the same folder left.
-struct Earlier {
-    session: u32,
-    /// Machines that were ever rented; their names are never used again.
+/// What earlier runs in the same directory left behind.
+struct PreviousRuns {
+    /// Number of the run that now begins, from 1.
+    run_number: u32,
+    /// Upper bound on the numbers of the machines that were rented; a name is never used again.
     machines: u32,
+    /// All jobs that were submitted.
     descriptions: Vec<Description>,
+    /// Tasks that are done, by job and index.
     done: Vec<(String, u32)>,
-    /// Jobs without an end that their user knows, and whether it wants them gone.
-    open: Vec<(String, bool)>,
+    /// Accepted jobs that no user was told the end of, and whether the user is to cancel
+    /// them, as is the case for services.
+    open_jobs: Vec<(String, bool)>,
     /// Their histories, at times before 0: a rule may be broken across runs.
     lines: Vec<Line>,
 }
 
-impl Earlier {
-    fn read(dir: &Path) -> Result<Earlier, HistoryError> {
-        let mut out = Earlier {
-            session: 1,
+impl PreviousRuns {
+    /// Reads the histories in a directory, in their order.
+    fn read(dir: &Path) -> Result<PreviousRuns, HistoryError> {
+        let mut previous = PreviousRuns {
+            run_number: 1,
             machines: 0,
             descriptions: Vec::new(),
             done: Vec::new(),
-            open: Vec::new(),
+            open_jobs: Vec::new(),
             lines: Vec::new(),
         };
+        // Whether each job was accepted, and whether it is a service.
         let mut jobs: BTreeMap<String, (bool, bool)> = BTreeMap::new();
         let mut ended: HashSet<String> = HashSet::new();
         loop {
-            let file = dir.join(format!("history-{}.jsonl", out.session));
+            let file = dir.join(format!("history-{}.jsonl", previous.run_number));
             if !file.exists() {
                 break;
             }
-            out.session += 1;
+            previous.run_number += 1;
             let lines = history::read(&file)?;
-            out.lines = history::join(std::mem::take(&mut out.lines), lines.clone());
+            previous.lines = history::join(std::mem::take(&mut previous.lines), lines.clone());
             for line in lines {
                 match line.event {
                     Event::Job { spec } => {
-                        let standing = spec.kind == JobKind::Service;
-                        let run = if standing { f32::INFINITY } else { spec.estimated_run_s.max(0.05) as f32 };
-                        jobs.entry(spec.uid.clone()).or_insert((false, standing));
+                        let service = spec.kind == JobKind::Service;
+                        let run = if service { f32::INFINITY } else { spec.estimated_run_s.max(0.05) as f32 };
+                        jobs.entry(spec.uid.clone()).or_insert((false, service));
                         let run_s = vec![run; spec.task_count as usize];
-                        out.descriptions.push(Description { spec, run_s, broken: false });
+                        previous.descriptions.push(Description { spec, run_s, broken: false });
                     }
                     Event::Call { uid, status: Some(200 | 201), state, .. } => {
-                        if let Some(job) = jobs.get_mut(&uid) {
-                            job.0 = true;
+                        if let Some((accepted, _)) = jobs.get_mut(&uid) {
+                            *accepted = true;
                         }
                         if matches!(state, Some(Status::Done | Status::Cancelled)) {
                             ended.insert(uid);
                         }
                     }
-                    Event::Stop { job, index, cause, .. } if cause == "done" => out.done.push((job, index)),
+                    Event::Stop { job, index, cause, .. } if cause == "done" => previous.done.push((job, index)),
                     Event::MachineUp { machine, .. } => {
-                        let n: u32 = machine.trim_start_matches("host-").parse().unwrap_or(0);
-                        // Those rented but never up have higher numbers.
-                        out.machines = out.machines.max(n + 1000);
+                        let number: u32 = machine.trim_start_matches("host-").parse().unwrap_or(0);
+                        previous.machines = previous.machines.max(number + SKIPPED_MACHINE_NUMBERS);
                     }
                     _ => {}
                 }
             }
         }
         let open = jobs.into_iter().filter(|(uid, (accepted, _))| *accepted && !ended.contains(uid));
-        out.open = open.map(|(uid, (_, standing))| (uid, standing)).collect();
-        Ok(out)
+        previous.open_jobs = open.map(|(uid, (_, service))| (uid, service)).collect();
+        Ok(previous)
     }
 
-    fn upload(&self, fleet: &mut Fleet) {
+    /// Gives the fleet the descriptions of all jobs, and the tasks that are done.
+    fn restore(&self, fleet: &mut Fleet) {
         self.descriptions.iter().for_each(|d| fleet.upload(d.clone()));
         self.done.iter().for_each(|(job, index)| fleet.finished(job, *index));
     }
 }
 
-impl World {
+impl Emulation {
     fn now(&self) -> Duration {
         self.recorder.now()
     }
 
-    /// Machines that stand there when it begins.
-    async fn first_machines(&self) {
-        for (label, m) in &self.scenario.machine_type {
+    /// Creates the machines that are up when the run begins.
+    async fn create_initial_machines(&self) {
+        for (label, machine_type) in &self.scenario.machine_type {
             for zone in &self.scenario.zones {
-                for _ in 0..m.up {
+                for _ in 0..machine_type.up {
                     lock(&self.cloud).create(self.now(), label, zone, false, true);
                 }
             }
         }
-        self.follow_cloud().await;
+        self.apply_cloud_events().await;
     }
 
-    /// Carries out on the machines what the cloud decided.
-    async fn follow_cloud(&self) {
-        let happened = lock(&self.cloud).advance(self.now());
-        for h in happened {
-            match h {
+    /// Carries out on the machines what the cloud decided: boots, preemption notices, ends.
+    async fn apply_cloud_events(&self) {
+        let events = lock(&self.cloud).advance(self.now());
+        for event in events {
+            match event {
                 Happening::Up { name } => {
-                    let Some((traits, addr)) = self.traits(&name) else { continue };
+                    let Some((traits, addr)) = self.machine_traits(&name) else { continue };
                     if let Err(e) = self.driver.boot(traits, addr).await {
-                        eprintln!("finchquay-emulator: {addr}: {e}; this machine stays silent");
+                        eprintln!("finchquay-emulator: {addr}: {e}; machine {name} cannot listen and stays silent");
                     }
                 }
                 Happening::Notice { name, at } => {
-                    self.driver.fleet().with(&name, self.now(), |w, _| w.preempted_at = Some(at));
+                    self.driver.fleet().with(&name, self.now(), |worker, _| worker.preempted_at = Some(at));
                 }
                 Happening::Gone { name, why } => self.driver.vanish(&name, why),
             }
         }
     }
 
-    fn traits(&self, name: &str) -> Option<(Traits, SocketAddr)> {
+    /// The properties of a rented machine, with some random variation in its speed.
+    fn machine_traits(&self, name: &str) -> Option<(Traits, SocketAddr)> {
         let cloud = lock(&self.cloud);
         let mut rng = lock(&self.rng);
-        let r = cloud.rental(name)?;
-        let kind = cloud.kind(&r.machine_type)?;
+        let rental = cloud.rental(name)?;
+        let kind = cloud.kind(&rental.machine_type)?;
         let traits = Traits {
             name: name.into(),
-            addr: r.addr.to_string(),
-            machine_type: r.machine_type.clone(),
-            zone: r.zone.clone(),
-            spot: r.spot,
+            addr: rental.addr.to_string(),
+            machine_type: rental.machine_type.clone(),
+            zone: rental.zone.clone(),
+            spot: rental.spot,
             cores: kind.cores,
             gpus: kind.gpus,
             mem_gb: kind.mem_gb,
@@ -373,44 +431,47 @@
             lease: Scenario::seconds(self.scenario.workers.lease_s),
             gang_wait: Scenario::seconds(self.scenario.workers.gang_wait_s),
         };
-        Some((traits, r.addr))
+        Some((traits, rental.addr))
     }
 
+    /// Serves the API of the emulated cloud until dropped.
     async fn serve_cloud(self: Arc<Self>, listener: TcpListener) {
-        let world = self.clone();
+        let emulation = self.clone();
         http::serve(listener, BODY_LIMIT, move |request| {
-            let world = world.clone();
+            let emulation = emulation.clone();
             async move {
-                let reply = service::answer(&mut lock(&world.cloud), world.now(), &request);
-                // Released machines are gone before the answer arrives.
-                world.follow_cloud().await;
+                let reply = service::answer(&mut lock(&emulation.cloud), emulation.now(), &request);
+                // Machines that this request released must be gone before the answer arrives.
+                emulation.apply_cloud_events().await;
                 reply
             }
         })
         .await;
     }
 
-    async fn tick(self: Arc<Self>) {
+    /// Advances the cloud and the machines until dropped.
+    async fn run_ticks(self: Arc<Self>) {
         loop {
-            tokio::time::sleep(STEP).await;
-            self.follow_cloud().await;
+            tokio::time::sleep(TICK_INTERVAL).await;
+            self.apply_cloud_events().await;
             self.driver.advance();
         }
     }
 
-    async fn sample(self: Arc<Self>) {
+    /// Records a sample of the cluster at each interval until dropped.
+    async fn record_samples(self: Arc<Self>) {
         loop {
             let handle = lock(&self.state).handle.clone();
             let counts = match handle {
-                Some(h) => h.counts().await,
+                Some(handle) => handle.counts().await,
                 None => state::Counts::default(),
             };
             let (up, booting, spent) = {
                 let cloud = lock(&self.cloud);
-                let up = cloud.alive().filter(|(_, r)| r.up).count();
+                let up = cloud.alive().filter(|(_, rental)| rental.up).count();
                 (up as u32, (cloud.alive().count() - up) as u32, cloud.spent(self.now()))
             };
-            let running = self.driver.fleet().workers().map(|w| w.running()).sum::<usize>();
+            let running = self.driver.fleet().workers().map(|worker| worker.running()).sum::<usize>();
             self.recorder.record(Event::Sample {
                 machines_up: up,
                 machines_booting: booting,
@@ -420,86 +481,90 @@
                 spent,
                 controllers: self.cluster.usage(),
             });
-            tokio::time::sleep(SAMPLE).await;
+            tokio::time::sleep(SAMPLE_INTERVAL).await;
         }
     }
 
-    /// One fault, from its time to its end.
-    async fn fault(self: Arc<Self>, name: String, f: Fault) {
-        let at = Scenario::seconds(f.at_s);
+    /// Plays one fault: waits for its time, begins it, and ends it after its duration.
+    async fn play_fault(self: Arc<Self>, name: String, fault: Fault) {
+        let at = Scenario::seconds(fault.at_s);
         tokio::time::sleep(at.saturating_sub(self.now())).await;
         self.recorder.record(Event::Fault { name: name.clone(), on: true });
-        let undo = self.begin(&f).await;
-        if let Some(for_s) = f.for_s {
+        let machines = self.begin_fault(&fault).await;
+        if let Some(for_s) = fault.for_s {
             tokio::time::sleep(Scenario::seconds(for_s)).await;
-            self.end(&f, undo).await;
+            self.end_fault(&fault, machines).await;
         }
         self.recorder.record(Event::Fault { name, on: false });
     }
 
-    fn store(&self, fault: StoreFault) {
-        if let Some(h) = &lock(&self.state).handle {
-            h.fault(fault);
+    /// Injects a fault into the state service, unless it is stopped.
+    fn inject_store_fault(&self, fault: StoreFault) {
+        if let Some(handle) = &lock(&self.state).handle {
+            handle.inject(fault);
         }
     }
 
-    fn member(&self, i: Option<usize>) -> String {
-        i.and_then(|i| self.cluster.places.get(i)).map_or_else(String::new, |p| p.member.clone())
+    /// Name of a controller by its number; empty without a number.
+    fn controller_name(&self, number: Option<usize>) -> String {
+        number.and_then(|number| self.cluster.places.get(number)).map_or_else(String::new, |p| p.member.clone())
     }
 
-    /// Controllers that a fault hits: one by number, or all.
-    fn hit(&self, f: &Fault) -> Vec<usize> {
-        f.controller.map_or_else(|| (0..self.cluster.places.len()).collect(), |i| vec![i])
+    /// Numbers of the controllers that a fault hits: the one it names, or all.
+    fn affected_controllers(&self, fault: &Fault) -> Vec<usize> {
+        fault.controller.map_or_else(|| (0..self.cluster.places.len()).collect(), |i| vec![i])
     }
 
-    /// Some machines that are up, by luck.
-    fn some_machines(&self, count: u32) -> Vec<String> {
-        let mut names: Vec<String> = lock(&self.cloud).alive().filter(|(_, r)| r.up).map(|(n, _)| n.clone()).collect();
+    /// Picks machines at random among those that are up.
+    fn random_machines(&self, count: u32) -> Vec<String> {
+        let mut names: Vec<String> =
+            lock(&self.cloud).alive().filter(|(_, rental)| rental.up).map(|(name, _)| name.clone()).collect();
         let mut rng = lock(&self.rng);
-        let mut out = Vec::new();
-        while out.len() < count as usize && !names.is_empty() {
-            out.push(names.swap_remove(rng.random_range(0..names.len())));
+        let mut picked = Vec::new();
+        while picked.len() < count as usize && !names.is_empty() {
+            picked.push(names.swap_remove(rng.random_range(0..names.len())));
         }
-        out
+        picked
     }
 
-    /// Begins a fault; the machines named are those that it hit.
-    async fn begin(&self, f: &Fault) -> Vec<String> {
+    /// Begins a fault. Returns the machines that it hit, where it hits machines for a time.
+    async fn begin_fault(&self, fault: &Fault) -> Vec<String> {
         use FaultKind as K;
-        let (now, count, factor) = (self.now(), f.count.unwrap_or(1), f.factor.unwrap_or(1.0));
-        let late = Scenario::seconds(f.late_s.unwrap_or(0.0));
-        let restart = f.restart_s.map(Scenario::seconds);
-        let cloud = |fault| lock(&self.cloud).fault(now, &fault);
-        let machine_type = f.machine_type.clone();
-        let pick = |fault| {
-            let prefix = f.prefix.clone().unwrap_or_default();
-            self.store(StoreFault::Write(Pick { fault, prefix, skip: f.skip.unwrap_or(0), count }));
+        let (now, count, factor) = (self.now(), fault.count.unwrap_or(1), fault.factor.unwrap_or(1.0));
+        let late = Scenario::seconds(fault.late_s.unwrap_or(0.0));
+        let restart = fault.restart_s.map(Scenario::seconds);
+        let inject_cloud_fault = |cloud_fault| lock(&self.cloud).fault(now, &cloud_fault);
+        let machine_type = fault.machine_type.clone();
+        let inject_write_fault = |write_fault| {
+            let prefix = fault.prefix.clone().unwrap_or_default();
+            let skip = fault.skip.unwrap_or(0);
+            self.inject_store_fault(StoreFault::Write(WriteFaultRule { fault: write_fault, prefix, skip, count }));
         };
-        match f.kind {
-            K::StoreOutage => self.store(StoreFault::Outage(true)),
-            K::StoreRefuse => self.store(StoreFault::Refuse(self.member(f.controller), true)),
-            K::StoreCut => self.store(StoreFault::Cut(self.member(f.controller), true)),
-            K::StoreMute => self.store(StoreFault::Mute(self.member(f.controller), true)),
-            K::StoreSlow => self.store(StoreFault::Slow(Some((late / 2, late)))),
-            K::StoreRestart => self.kill_store().await,
-            K::WriteLost => pick(WriteFault::Lose),
-            K::WriteUnanswered => pick(WriteFault::Unanswered),
-            K::WriteLate => pick(WriteFault::Late(late)),
-            K::TailLost => self.store(StoreFault::LoseTail(u64::from(count))),
-            K::CloudOutage => cloud(CloudFault::Outage(true)),
-            K::BootsLate => cloud(CloudFault::Late { machine_type, factor }),
-            K::BootsCold => cloud(CloudFault::Cold { machine_type, on: true }),
-            K::Scarce => cloud(CloudFault::Scarce(factor)),
-            K::Recall => cloud(CloudFault::Recall { count }),
-            K::Die => cloud(CloudFault::Die { count }),
+        match fault.kind {
+            K::StoreOutage => self.inject_store_fault(StoreFault::Outage(true)),
+            K::StoreRefuse => self.inject_store_fault(StoreFault::Refuse(self.controller_name(fault.controller), true)),
+            K::StoreCut => self.inject_store_fault(StoreFault::Cut(self.controller_name(fault.controller), true)),
+            K::StoreMute => self.inject_store_fault(StoreFault::Mute(self.controller_name(fault.controller), true)),
+            K::StoreSlow => self.inject_store_fault(StoreFault::Slow(Some((late / 2, late)))),
+            K::StoreRestart => self.kill_state_service().await,
+            K::WriteLost => inject_write_fault(WriteFault::Lose),
+            K::WriteUnanswered => inject_write_fault(WriteFault::Unanswered),
+            K::WriteLate => inject_write_fault(WriteFault::Late(late)),
+            K::TailLost => self.inject_store_fault(StoreFault::LoseTail(u64::from(count))),
+            K::CloudOutage => inject_cloud_fault(CloudFault::Outage(true)),
+            K::BootsLate => inject_cloud_fault(CloudFault::Late { machine_type, factor }),
+            K::BootsCold => inject_cloud_fault(CloudFault::Cold { machine_type, on: true }),
+            K::Scarce => inject_cloud_fault(CloudFault::Scarce(factor)),
+            K::Recall => inject_cloud_fault(CloudFault::Recall { count }),
+            K::Die => inject_cloud_fault(CloudFault::Die { count }),
             K::MachinesCut | K::MachinesHang | K::MachinesSick | K::MachinesSlow => {
-                let names = self.some_machines(count);
-                self.machines(f, &names, true);
+                let names = self.random_machines(count);
+                self.set_machine_fault(fault, &names, true);
                 return names;
             }
-            K::ZoneCut => self.driver.cut(|c| c.zones.extend(f.zone.clone())),
+            K::ZoneCut => self.driver.cut(|c| c.zones.extend(fault.zone.clone())),
             K::ZoneLinkCut => {
-                let link = (f.zone.clone().unwrap_or_default(), self.member(f.controller));
+                let link = (fault.zone.clone().unwrap_or_default(), self.controller_name(fault.controller));
                 self.driver.cut(|c| c.links.extend([link]));
             }
             K::ControllerKill => {
@@ -507,64 +572,78 @@
                     if n > 0 {
                         tokio::time::sleep(late).await;
                     }
-                    self.hit(f).into_iter().for_each(|i| self.cluster.kill(i, restart));
+                    self.affected_controllers(fault).into_iter().for_each(|i| self.cluster.kill(i, restart));
                 }
             }
-            K::ControllerFreeze => self.hit(f).into_iter().for_each(|i| self.cluster.freeze(i, true)),
+            K::ControllerFreeze => {
+                self.affected_controllers(fault).into_iter().for_each(|i| self.cluster.freeze(i, true))
+            }
             K::ControllerDeaf => {
-                let member = self.member(f.controller);
+                let member = self.controller_name(fault.controller);
                 self.driver.cut(|c| c.controllers.extend([member]));
             }
-            K::PeersRefused => self.hit(f).into_iter().for_each(|i| self.cluster.refuse_peers(i, true)),
+            K::PeersRefused => {
+                self.affected_controllers(fault).into_iter().for_each(|i| self.cluster.refuse_peers(i, true))
+            }
             K::Rolling => {
-                let each = restart.unwrap_or(Scenario::seconds(self.scenario.controllers.restart_s));
-                let between = late.max(each * 2);
+                let restart_time = restart.unwrap_or(Scenario::seconds(self.scenario.controllers.restart_s));
+                let pause = late.max(restart_time * 2);
                 for i in 0..self.cluster.places.len() {
                     self.cluster.kill(i, restart);
-                    tokio::time::sleep(between).await;
+                    tokio::time::sleep(pause).await;
                 }
             }
         }
         Vec::new()
     }
 
-    /// Ends a fault that had a beginning.
-    async fn end(&self, f: &Fault, hit: Vec<String>) {
+    /// Ends a fault; `machines` are those that it hit. Faults without a duration end by
+    /// themselves.
+    async fn end_fault(&self, fault: &Fault, machines: Vec<String>) {
         use FaultKind as K;
         let now = self.now();
-        let cloud = |fault| lock(&self.cloud).fault(now, &fault);
-        let machine_type = f.machine_type.clone();
-        match f.kind {
-            K::StoreOutage => self.store(StoreFault::Outage(false)),
-            K::StoreRefuse => self.store(StoreFault::Refuse(self.member(f.controller), false)),
-            K::StoreCut => self.store(StoreFault::Cut(self.member(f.controller), false)),
-            K::StoreMute => self.store(StoreFault::Mute(self.member(f.controller), false)),
-            K::StoreSlow => self.store(StoreFault::Slow(None)),
-            K::StoreRestart => self.restart_store().await,
-            K::CloudOutage => cloud(CloudFault::Outage(false)),
-            K::BootsLate => cloud(CloudFault::Late { machine_type, factor: 1.0 }),
-            K::BootsCold => cloud(CloudFault::Cold { machine_type, on: false }),
-            K::Scarce => cloud(CloudFault::Scarce(1.0)),
-            K::MachinesCut | K::MachinesHang | K::MachinesSick | K::MachinesSlow => self.machines(f, &hit, false),
-            K::ZoneCut => self.driver.cut(|c| c.zones.retain(|z| Some(z) != f.zone.as_ref())),
+        let inject_cloud_fault = |cloud_fault| lock(&self.cloud).fault(now, &cloud_fault);
+        let machine_type = fault.machine_type.clone();
+        match fault.kind {
+            K::StoreOutage => self.inject_store_fault(StoreFault::Outage(false)),
+            K::StoreRefuse => {
+                self.inject_store_fault(StoreFault::Refuse(self.controller_name(fault.controller), false))
+            }
+            K::StoreCut => self.inject_store_fault(StoreFault::Cut(self.controller_name(fault.controller), false)),
+            K::StoreMute => self.inject_store_fault(StoreFault::Mute(self.controller_name(fault.controller), false)),
+            K::StoreSlow => self.inject_store_fault(StoreFault::Slow(None)),
+            K::StoreRestart => self.restart_state_service().await,
+            K::CloudOutage => inject_cloud_fault(CloudFault::Outage(false)),
+            K::BootsLate => inject_cloud_fault(CloudFault::Late { machine_type, factor: 1.0 }),
+            K::BootsCold => inject_cloud_fault(CloudFault::Cold { machine_type, on: false }),
+            K::Scarce => inject_cloud_fault(CloudFault::Scarce(1.0)),
+            K::MachinesCut | K::MachinesHang | K::MachinesSick | K::MachinesSlow => {
+                self.set_machine_fault(fault, &machines, false)
+            }
+            K::ZoneCut => self.driver.cut(|c| c.zones.retain(|z| Some(z) != fault.zone.as_ref())),
             K::ZoneLinkCut => {
-                let link = (f.zone.clone().unwrap_or_default(), self.member(f.controller));
+                let link = (fault.zone.clone().unwrap_or_default(), self.controller_name(fault.controller));
                 self.driver.cut(|c| c.links.retain(|l| *l != link));
             }
-            K::ControllerFreeze => self.hit(f).into_iter().for_each(|i| self.cluster.freeze(i, false)),
+            K::ControllerFreeze => {
+                self.affected_controllers(fault).into_iter().for_each(|i| self.cluster.freeze(i, false))
+            }
             K::ControllerDeaf => {
-                let member = self.member(f.controller);
+                let member = self.controller_name(fault.controller);
                 self.driver.cut(|c| c.controllers.retain(|m| *m != member));
             }
-            K::PeersRefused => self.hit(f).into_iter().for_each(|i| self.cluster.refuse_peers(i, false)),
+            K::PeersRefused => {
+                self.affected_controllers(fault).into_iter().for_each(|i| self.cluster.refuse_peers(i, false))
+            }
             K::WriteLost | K::WriteUnanswered | K::WriteLate | K::TailLost | K::Recall | K::Die => {}
             K::ControllerKill | K::Rolling => {}
         }
     }
 
-    fn machines(&self, f: &Fault, names: &[String], on: bool) {
+    /// Begins or ends a fault on machines.
+    fn set_machine_fault(&self, fault: &Fault, names: &[String], on: bool) {
         let now = self.now();
-        if f.kind == FaultKind::MachinesCut {
+        if fault.kind == FaultKind::MachinesCut {
             return self.driver.cut(|c| {
                 if on {
                     c.machines.extend(names.iter().cloned());
@@ -573,49 +652,50 @@
                 }
             });
         }
+        let factor = fault.factor.unwrap_or(1.0);
         for name in names {
-            self.driver.fleet().with(name, now, |w, shared| match f.kind {
-                FaultKind::MachinesHang => w.hang(now, on, shared),
-                FaultKind::MachinesSick => w.sick = on,
-                _ => w.slow_down(if on { 1.0 / f.factor.unwrap_or(1.0) } else { f.factor.unwrap_or(1.0) }),
+            self.driver.fleet().with(name, now, |worker, shared| match fault.kind {
+                FaultKind::MachinesHang => worker.hang(now, on, shared),
+                FaultKind::MachinesSick => worker.sick = on,
+                _ => worker.slow_down(if on { 1.0 / factor } else { factor }),
             });
         }
     }
 
-    /// Ends the state service as a kill does: every connection breaks, and
-    /// what was not on disk is gone.
-    async fn kill_store(&self) {
-        let (handle, serving) = {
-            let mut s = lock(&self.state);
-            (s.handle.take(), std::mem::take(&mut s.serving))
+    /// Ends the state service as a kill would: every connection breaks, and what is not in
+    /// its log is lost.
+    async fn kill_state_service(&self) {
+        let (handle, servers) = {
+            let mut state = lock(&self.state);
+            (state.handle.take(), std::mem::take(&mut state.servers))
         };
-        serving.iter().for_each(JoinHandle::abort);
-        if let Some(h) = handle {
-            h.stop().await;
+        servers.iter().for_each(JoinHandle::abort);
+        if let Some(handle) = handle {
+            handle.stop().await;
         }
     }
 
-    async fn restart_store(&self) {
-        let places = lock(&self.state).places.clone();
+    /// Starts the state service again from its log, at its old addresses.
+    async fn restart_state_service(&self) {
+        let endpoints = lock(&self.state).endpoints.clone();
         let mut listeners = Vec::new();
-        for (_, address) in &places {
-            // Connections from before may hold the address for a moment.
-            let mut tries = 0;
+        for (_, address) in &endpoints {
+            let mut retries = 0;
             let listener = loop {
                 match bind(*address).await {
-                    Ok(l) => break Some(l),
-                    Err(e) if tries == 50 => {
-                        eprintln!("finchquay-emulator: the state service does not come back: {e}");
+                    Ok(listener) => break Some(listener),
+                    Err(e) if retries == MAX_BIND_RETRIES => {
+                        eprintln!("finchquay-emulator: the state service cannot be started again: {e}");
                         break None;
                     }
-                    Err(_) => tries += 1,
+                    Err(_) => retries += 1,
                 }
-                tokio::time::sleep(STEP).await;
+                tokio::time::sleep(TICK_INTERVAL).await;
             };
             listeners.extend(listener);
         }
         if let Err(e) = lock(&self.state).start(listeners) {
-            eprintln!("finchquay-emulator: the state service does not come back: {e}");
+            eprintln!("finchquay-emulator: the state service cannot be started again: {e}");
         }
     }
 }
--- a/crates/emulator/src/scenario.rs
+++ b/crates/emulator/src/scenario.rs
@@ -1,12 +1,14 @@
-//! Scenarios: what the emulator runs, read from HCL. Everything is checked
-//! here; the rest of the program sees only values that passed.
+//! Scenario files in HCL: the site, the load and the faults of a run. Every value is
+//! checked when a scenario is read; the rest of the program sees only valid ones.
+
+#![warn(missing_docs)]
 
 mod checks;
 mod distribution;
 mod fault;
 
 pub use distribution::Distribution;
-pub use fault::{Draw, Fault, FaultKind};
+pub use fault::{Fault, FaultKind, RandomFaults};
 
 use finchquay_hcl::{File, HclError};
 use finchquay_protocol::user::Priority;
@@ -16,51 +18,68 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// The site that the suite's scenarios lie over.
-const SITE: &str = include_str!("../scenarios/site.hcl");
+/// The base file of the scenarios of the suite.
+const BASE_SITE: &str = include_str!("../scenarios/site.hcl");
 
 /// A scenario file. Durations are in seconds.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
+    /// Name of the scenario.
     pub name: String,
-    /// A file beside this one that it lies over: what it does not say holds from there.
+    /// A file in the same directory that gives all values which this one does not set.
     #[serde(default)]
     pub base: Option<String>,
-    /// Users submit for so long.
+    /// How long users submit jobs.
     pub duration_s: f64,
-    /// Afterwards everything has so long to come to its end.
+    /// How long all jobs then have to end.
     pub settle_s: f64,
+    /// Seed of the load and the faults, unless the command line gives another.
     #[serde(default)]
     pub seed: u64,
+    /// Zones of the site.
     pub zones: Vec<String>,
+    /// The controllers.
     #[serde(default)]
     pub controllers: Controllers,
+    /// Intervals of the machines' agents.
     #[serde(default)]
     pub workers: Workers,
+    /// Limits of the state service.
     #[serde(default)]
     pub state: State,
+    /// Limits of the cloud.
     #[serde(default)]
     pub cloud: Cloud,
+    /// Machine types by label.
     pub machine_type: BTreeMap<String, MachineType>,
+    /// Teams by name.
     pub team: BTreeMap<String, Team>,
+    /// Classes of jobs by name.
     #[serde(default)]
     pub load: BTreeMap<String, Load>,
+    /// Faults by name.
     #[serde(default)]
     pub fault: BTreeMap<String, Fault>,
+    /// Faults that the seed chooses.
     #[serde(default)]
-    pub draw: Option<Draw>,
+    #[serde(rename = "draw")]
+    pub random_faults: Option<RandomFaults>,
 }
 
-/// How many controllers run, and the resources that their settings promise them.
+/// How many controllers run, and the limits in their settings.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Controllers {
+    /// Number of controllers.
     pub count: usize,
-    /// A controller that ended is started again after this.
+    /// Time until a controller that ended is started again.
     pub restart_s: f64,
+    /// Share of one core that a controller may use.
     pub core_share: f64,
+    /// Memory that a controller may use.
     pub ram_mb: f64,
+    /// Most open connections of a controller.
     pub max_connections: usize,
 }
 
@@ -74,11 +93,16 @@
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Workers {
+    /// Time between two heartbeats.
     #[serde(rename = "report_s")]
     pub heartbeat_interval_s: f64,
+    /// Time without a controller after which an agent stops its tasks.
     pub lease_s: f64,
+    /// Time that a ready task waits for the others of its gang.
     pub gang_wait_s: f64,
+    /// Time after which a running gang notices the loss of a task.
     pub gang_peer_s: f64,
+    /// Time within which all tasks of a cancelled job must have stopped.
     pub cancel_s: f64,
 }
 
@@ -88,14 +112,19 @@
     }
 }
 
-/// Limits of the emulated state store.
+/// Limits of the emulated state service.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct State {
+    /// Requests a second.
     pub rps: f64,
+    /// Changed keys a second.
     pub write_rps: f64,
+    /// Largest encoded value, in KiB.
     pub value_kb: f64,
+    /// Most operations in one transaction.
     pub txn_ops: usize,
+    /// Whether every write is synced to disk.
     pub fsync: bool,
 }
 
@@ -105,14 +134,17 @@
     }
 }
 
-/// Limits and habits of the emulated cloud.
+/// Limits and delays of the emulated cloud.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Cloud {
+    /// Requests a second.
     pub rps: f64,
+    /// How far the list of machines lags behind.
     pub list_lag_s: f64,
+    /// Time between the notice of a preemption and the preemption.
     pub notice_s: f64,
-    /// Share of recalls without notice.
+    /// Share of preemptions without notice.
     pub silent_share: f64,
 }
 
@@ -122,39 +154,55 @@
     }
 }
 
-/// A type of machines that the cloud offers, and how many there are.
+/// A machine type of the cloud, and how many machines of it exist.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct MachineType {
+    /// CPUs of one machine.
     pub cpus: f64,
+    /// GPUs of one machine.
     #[serde(default)]
     pub gpus: f64,
+    /// Memory of one machine.
     pub memory_gb: f64,
+    /// Disk space for images.
     pub cache_gb: f64,
+    /// Speed at which images are fetched.
     pub fetch_gb_per_s: f64,
+    /// Price of an on-demand machine for an hour.
     #[serde(rename = "hourly")]
     pub on_demand_price: f64,
-    pub spot_hourly: f64,
+    /// Price of a spot machine for an hour.
+    #[serde(rename = "spot_hourly")]
+    pub spot_price: f64,
+    /// Time from the rental until a machine is up.
     pub boot_s: f64,
-    /// Machines that there are in each zone.
-    pub ordinary: u32,
+    /// On-demand machines that exist in each zone.
+    #[serde(rename = "ordinary")]
+    pub on_demand: u32,
+    /// Spot machines that exist in each zone.
     #[serde(default)]
     pub spot: u32,
-    /// Ordinary machines that are up in each zone when it begins.
+    /// On-demand machines in each zone that are up when the run begins.
     #[serde(default)]
     pub up: u32,
     /// Share of machines that never come up.
     #[serde(default)]
-    pub cold: f64,
+    #[serde(rename = "cold")]
+    pub cold_share: f64,
 }
 
-/// Quota of a team: guaranteed CPUs and GPUs, and limits (0: none).
+/// Quota of a team.
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Team {
+    /// Guaranteed CPUs.
     pub cpus: f64,
+    /// Most CPUs in use; 0: no limit.
     pub cpus_max: f64,
+    /// Guaranteed GPUs.
     pub gpus: f64,
+    /// Most GPUs in use; 0: no limit.
     pub gpus_max: f64,
 }
 
@@ -162,8 +210,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Kind {
+    /// Independent tasks.
     Array,
+    /// Tasks that run only together.
     Gang,
+    /// Tasks that run until the job is cancelled.
     Service,
 }
 
@@ -171,60 +222,75 @@
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Load {
+    /// Kind of the jobs.
     pub kind: Kind,
+    /// Team that the jobs belong to.
     pub team: String,
-    #[serde(default = "standard")]
+    /// Priority of the jobs.
+    #[serde(default = "normal_priority")]
     #[serde(rename = "urgency")]
     pub priority: Priority,
-    /// Jobs that are there at once when it begins.
+    /// Jobs submitted when the run begins.
     #[serde(default)]
     pub initial: u32,
+    /// Mean number of jobs submitted per minute from then on.
     pub per_minute: f64,
+    /// Number of tasks of a job.
     pub tasks: Distribution,
-    /// Run time of a task; of services the time until they are cancelled.
+    /// Run time of a task; for a service, the time until it is cancelled.
     pub run_s: Distribution,
+    /// CPUs of a task.
     pub cpus: f64,
+    /// GPUs of a task.
     #[serde(default)]
     pub gpus: f64,
+    /// Memory of a task.
     pub memory_gb: f64,
+    /// Size of an image.
     pub image_gb: f64,
-    #[serde(default = "one")]
+    /// Number of images, one of which each job picks at random.
+    #[serde(default = "one_image")]
     pub images: u32,
+    /// Whether tasks may run on spot machines.
     #[serde(default)]
     pub spot: bool,
+    /// Whether all tasks of a job must run in one zone.
     #[serde(default)]
     pub one_zone: bool,
+    /// Whether the tasks of a job must be spread over zones.
     #[serde(default)]
     pub spread: bool,
+    /// Time between two checkpoints of a task; 0: none.
     #[serde(default)]
     pub checkpoint_s: f64,
+    /// Time that it takes to save a checkpoint.
     #[serde(default)]
     pub save_s: f64,
-    /// Share of jobs that their users cancel before the end.
+    /// Share of jobs that their users cancel before they end.
     #[serde(default)]
     #[serde(rename = "withdrawn")]
     pub cancelled: f64,
-    /// Deadline: this many times the estimate, and 10 s.
+    /// Deadline of a job: this many times its estimated run time, plus 10 s.
     #[serde(default)]
     pub deadline_factor: Option<f64>,
-    /// Aim told to the controllers: starts within this time.
+    /// Objective in the controllers' settings: tasks start within this time.
     #[serde(default)]
     pub start_within_s: Option<f64>,
 }
 
-fn one() -> u32 {
+fn one_image() -> u32 {
     1
 }
 
-fn standard() -> Priority {
+fn normal_priority() -> Priority {
     Priority::Normal
 }
 
 impl Scenario {
-    /// Reads a scenario file and the one that it lies over.
+    /// Reads a scenario file and its base.
     ///
     /// # Errors
-    /// The file, line and key at fault.
+    /// A file cannot be read, or a value is invalid; the error names file, line and key.
     pub fn read(path: &Path) -> Result<Scenario, HclError> {
         let file = File::read(path)?;
         let base = match file.top("base") {
@@ -237,36 +303,42 @@
         })
     }
 
-    /// A scenario whose text comes with the program; `name` stands for its
-    /// file, and a base is the site that comes along.
+    /// Parses the text of a scenario that is compiled into the program. Errors name `name`
+    /// as the file. Any base stands for `site.hcl`, which is compiled in as well.
+    ///
+    /// # Errors
+    /// A value is invalid; the error names line and key.
     pub fn parse(name: &str, text: &str) -> Result<Scenario, HclError> {
         let file = File::parse(Path::new(name), text.into())?;
         Scenario::checked(&match file.top("base") {
-            Some(base) => File::parse(Path::new(base), SITE.into()).map(|b| file.over(b))?,
+            Some(base) => File::parse(Path::new(base), BASE_SITE.into()).map(|b| file.over(b))?,
             None => file,
         })
     }
 
+    /// Deserializes a scenario and checks its values.
     fn checked(file: &File) -> Result<Scenario, HclError> {
-        let s: Scenario = file.typed()?;
-        s.check(file)?;
-        Ok(s)
+        let scenario: Scenario = file.typed()?;
+        scenario.check(file)?;
+        Ok(scenario)
     }
 
-    /// Duration of a number of seconds that passed the checks.
-    pub fn seconds(s: f64) -> Duration {
-        Duration::from_secs_f64(s)
+    /// Converts a number of seconds from a checked scenario, which is finite and not
+    /// negative.
+    pub fn seconds(seconds: f64) -> Duration {
+        Duration::from_secs_f64(seconds)
     }
 
-    /// All faults, those drawn by the seed among them, in order of time.
+    /// All faults, given ones and random ones, in order of time.
     pub fn faults(&self, rng: &mut impl Rng) -> Vec<(String, Fault)> {
-        let mut all: Vec<(String, Fault)> = self.fault.iter().map(|(n, f)| (n.clone(), f.clone())).collect();
-        if let Some(d) = &self.draw {
-            for i in 0..d.count {
-                let kind = d.kinds[rng.random_range(0..d.kinds.len())];
-                let at = rng.random_range(d.from_s..=d.to_s);
-                let length = d.for_s.draw(rng);
-                all.push((format!("drawn-{i}"), Fault::drawn(kind, at, length, self, rng)));
+        let mut all: Vec<(String, Fault)> =
+            self.fault.iter().map(|(name, fault)| (name.clone(), fault.clone())).collect();
+        if let Some(random) = &self.random_faults {
+            for i in 0..random.count {
+                let kind = random.kinds[rng.random_range(0..random.kinds.len())];
+                let at_s = rng.random_range(random.from_s..=random.to_s);
+                let for_s = random.for_s.draw(rng);
+                all.push((format!("drawn-{i}"), Fault::random(kind, at_s, for_s, self, rng)));
             }
         }
         all.sort_by(|a, b| a.1.at_s.total_cmp(&b.1.at_s));
--- a/crates/emulator/src/scenario/checks.rs
+++ b/crates/emulator/src/scenario/checks.rs
@@ -1,14 +1,15 @@
-//! Checks of a scenario that parsed: ranges, and names that must exist.
+//! Checks of a deserialized scenario: numbers are in range, and names that it refers to
+//! exist.
 
-use super::fault::keys;
+use super::fault::fault_keys;
 use super::{Fault, Load, MachineType, Scenario};
 use finchquay_hcl::{File, HclError};
 
 impl Scenario {
-    /// Checks every key.
+    /// Checks every value.
     ///
     /// # Errors
-    /// The first key at fault, with its line.
+    /// A value is invalid; the error names the first such key and its line.
     pub(super) fn check(&self, file: &File) -> Result<(), HclError> {
         let positive: Vec<(Vec<&str>, f64)> = vec![
             (vec!["duration_s"], self.duration_s),
@@ -27,9 +28,9 @@
             (vec!["cloud", "rps"], self.cloud.rps),
             (vec!["cloud", "list_lag_s"], self.cloud.list_lag_s),
         ];
-        for (path, v) in positive {
-            if !(v.is_finite() && v > 0.0) {
-                return Err(file.refuse(&path, format!("must be above 0, is {v}")));
+        for (path, value) in positive {
+            if !(value.is_finite() && value > 0.0) {
+                return Err(file.refuse(&path, format!("must be above 0, is {value}")));
             }
         }
         let not_negative = [
@@ -37,134 +38,145 @@
             (vec!["controllers", "restart_s"], self.controllers.restart_s),
             (vec!["cloud", "notice_s"], self.cloud.notice_s),
         ];
-        for (path, v) in not_negative {
-            if !(v.is_finite() && v >= 0.0) {
-                return Err(file.refuse(&path, format!("must not be negative, is {v}")));
+        for (path, value) in not_negative {
+            if !(value.is_finite() && value >= 0.0) {
+                return Err(file.refuse(&path, format!("must not be negative, is {value}")));
             }
         }
         if self.workers.cancel_s <= self.workers.lease_s + self.workers.heartbeat_interval_s {
-            return Err(file.refuse(&["workers", "cancel_s"], "must be above lease_s and report_s together"));
+            return Err(file.refuse(&["workers", "cancel_s"], "must be above the sum of lease_s and report_s"));
         }
         if self.zones.is_empty() {
-            return Err(file.refuse(&["zones"], "needs at least one zone"));
+            return Err(file.refuse(&["zones"], "must name at least one zone"));
         }
         if self.controllers.count > 100 {
             return Err(file.refuse(&["controllers", "count"], "must be at most 100"));
         }
         if !(0.0..=1.0).contains(&self.cloud.silent_share) {
-            return Err(file.refuse(&["cloud", "silent_share"], "is a share, from 0 to 1"));
+            return Err(file.refuse(&["cloud", "silent_share"], "must be a share between 0 and 1"));
         }
         for (name, m) in &self.machine_type {
             let fields = [
+                // Key, value, and whether 0 is invalid.
                 ("cpus", m.cpus, true),
                 ("gpus", m.gpus, false),
                 ("memory_gb", m.memory_gb, true),
                 ("cache_gb", m.cache_gb, true),
                 ("fetch_gb_per_s", m.fetch_gb_per_s, true),
                 ("hourly", m.on_demand_price, true),
-                ("spot_hourly", m.spot_hourly, true),
+                ("spot_hourly", m.spot_price, true),
                 ("boot_s", m.boot_s, false),
             ];
-            for (key, v, above) in fields {
-                if !(v.is_finite() && v >= 0.0 && (v > 0.0 || !above)) {
-                    let least = if above { "above" } else { "at least" };
-                    return Err(file.refuse(&["machine_type", name, key], format!("must be {least} 0, is {v}")));
+            for (key, value, positive) in fields {
+                if !(value.is_finite() && value >= 0.0 && (value > 0.0 || !positive)) {
+                    let bound = if positive { "above" } else { "at least" };
+                    return Err(file.refuse(&["machine_type", name, key], format!("must be {bound} 0, is {value}")));
                 }
             }
-            if !(0.0..=1.0).contains(&m.cold) {
-                return Err(file.refuse(&["machine_type", name, "cold"], "is a share, from 0 to 1"));
+            if !(0.0..=1.0).contains(&m.cold_share) {
+                return Err(file.refuse(&["machine_type", name, "cold"], "must be a share between 0 and 1"));
             }
-            if m.up > m.ordinary {
-                return Err(file.refuse(&["machine_type", name, "up"], "is more than there are ordinary ones"));
+            if m.up > m.on_demand {
+                return Err(file.refuse(&["machine_type", name, "up"], "must not be above ordinary"));
             }
         }
-        for (name, t) in &self.team {
-            let within = |least: f64, most: f64| least >= 0.0 && most >= 0.0 && (most == 0.0 || least <= most);
-            if !(within(t.cpus, t.cpus_max) && within(t.gpus, t.gpus_max)) {
-                return Err(file.refuse(&["team", name], "guarantees more than its limit allows"));
+        for (name, team) in &self.team {
+            let valid = |guaranteed: f64, limit: f64| {
+                guaranteed >= 0.0 && limit >= 0.0 && (limit == 0.0 || guaranteed <= limit)
+            };
+            if !(valid(team.cpus, team.cpus_max) && valid(team.gpus, team.gpus_max)) {
+                return Err(file.refuse(&["team", name], "must not be negative, nor guarantee more than its limit"));
             }
         }
-        self.load.iter().try_for_each(|(name, l)| self.check_load(file, name, l))?;
-        self.fault.iter().try_for_each(|(name, f)| self.check_fault(file, name, f))?;
-        if let Some(d) = &self.draw {
-            let ok = d.from_s >= 0.0 && d.to_s >= d.from_s && d.to_s.is_finite() && !d.kinds.is_empty();
-            if !ok {
-                return Err(file.refuse(&["draw"], "needs kinds, and from_s and to_s that is not before it"));
+        self.load.iter().try_for_each(|(name, load)| self.check_load(file, name, load))?;
+        self.fault.iter().try_for_each(|(name, fault)| self.check_fault(file, name, fault))?;
+        if let Some(random) = &self.random_faults {
+            let valid = random.from_s >= 0.0
+                && random.to_s >= random.from_s
+                && random.to_s.is_finite()
+                && !random.kinds.is_empty();
+            if !valid {
+                return Err(file.refuse(&["draw"], "needs kinds, and a to_s that is not before from_s"));
             }
-            d.for_s.check().map_err(|e| file.refuse(&["draw", "for_s"], e))?;
+            random.for_s.check().map_err(|e| file.refuse(&["draw", "for_s"], e))?;
         }
         Ok(())
     }
 
-    fn check_load(&self, file: &File, name: &str, l: &Load) -> Result<(), HclError> {
-        let at = |key: &'static str, what: String| file.refuse(&["load", name, key], what);
-        if !self.team.contains_key(&l.team) {
-            return Err(at("team", format!("no such team {:?}", l.team)));
-        }
-        l.tasks.check().map_err(|e| at("tasks", e.into()))?;
-        l.run_s.check().map_err(|e| at("run_s", e.into()))?;
+    /// Checks one class of jobs.
+    fn check_load(&self, file: &File, name: &str, load: &Load) -> Result<(), HclError> {
+        let invalid = |key: &'static str, why: String| file.refuse(&["load", name, key], why);
+        if !self.team.contains_key(&load.team) {
+            return Err(invalid("team", format!("no such team {:?}", load.team)));
+        }
+        load.tasks.check().map_err(|e| invalid("tasks", e.into()))?;
+        load.run_s.check().map_err(|e| invalid("run_s", e.into()))?;
         let fields = [
-            ("per_minute", l.per_minute),
-            ("cpus", l.cpus),
-            ("gpus", l.gpus),
-            ("memory_gb", l.memory_gb),
-            ("image_gb", l.image_gb),
-            ("checkpoint_s", l.checkpoint_s),
-            ("save_s", l.save_s),
-            ("deadline_factor", l.deadline_factor.unwrap_or(0.0)),
-            ("start_within_s", l.start_within_s.unwrap_or(1.0)),
+            ("per_minute", load.per_minute),
+            ("cpus", load.cpus),
+            ("gpus", load.gpus),
+            ("memory_gb", load.memory_gb),
+            ("image_gb", load.image_gb),
+            ("checkpoint_s", load.checkpoint_s),
+            ("save_s", load.save_s),
+            ("deadline_factor", load.deadline_factor.unwrap_or(0.0)),
+            ("start_within_s", load.start_within_s.unwrap_or(1.0)),
         ];
-        for (key, v) in fields {
-            if !(v.is_finite() && v >= 0.0) {
-                return Err(at(key, format!("must not be negative, is {v}")));
+        for (key, value) in fields {
+            if !(value.is_finite() && value >= 0.0) {
+                return Err(invalid(key, format!("must not be negative, is {value}")));
             }
         }
-        if !(0.0..=1.0).contains(&l.cancelled) {
-            return Err(at("withdrawn", "is a share, from 0 to 1".into()));
+        if !(0.0..=1.0).contains(&load.cancelled) {
+            return Err(invalid("withdrawn", "must be a share between 0 and 1".into()));
         }
-        if l.images == 0 {
-            return Err(at("images", "must be at least 1".into()));
+        if load.images == 0 {
+            return Err(invalid("images", "must be at least 1".into()));
         }
-        let fits = |m: &MachineType| l.cpus <= m.cpus && l.gpus <= m.gpus && l.memory_gb <= m.memory_gb;
+        let fits = |m: &MachineType| load.cpus <= m.cpus && load.gpus <= m.gpus && load.memory_gb <= m.memory_gb;
         if !self.machine_type.values().any(fits) {
-            return Err(at("cpus", "a task fits no machine type".into()));
+            return Err(invalid("cpus", "no machine type is large enough for a task".into()));
         }
         Ok(())
     }
 
-    pub(super) fn check_fault(&self, file: &File, name: &str, f: &Fault) -> Result<(), HclError> {
-        let at = |key: &str, what: String| file.refuse(&["fault", name, key], what);
-        let keys = keys(f.kind);
-        let given = f.given();
-        if let Some(missing) = keys.required.iter().find(|m| !given.contains(m)) {
-            return Err(at("kind", format!("this kind needs {missing}")));
-        }
-        if let Some(extra) = given.iter().find(|g| !keys.required.contains(g) && !keys.optional.contains(g)) {
-            return Err(at(extra, "this kind has no use for it".into()));
-        }
-        let or_none = |v: Option<f64>| v.unwrap_or(0.0);
+    /// Checks one fault: it gives exactly the keys that its kind uses, with valid values.
+    pub(super) fn check_fault(&self, file: &File, name: &str, fault: &Fault) -> Result<(), HclError> {
+        let invalid = |key: &str, why: String| file.refuse(&["fault", name, key], why);
+        let keys = fault_keys(fault.kind);
+        let given = fault.given_keys();
+        if let Some(missing) = keys.required.iter().find(|key| !given.contains(key)) {
+            return Err(invalid("kind", format!("this kind of fault needs {missing}")));
+        }
+        if let Some(extra) = given.iter().find(|key| !keys.required.contains(key) && !keys.optional.contains(key)) {
+            return Err(invalid(extra, "is not used by this kind of fault".into()));
+        }
+        let or_zero = |value: Option<f64>| value.unwrap_or(0.0);
         let times = [
-            ("at_s", f.at_s),
-            ("for_s", or_none(f.for_s)),
-            ("late_s", or_none(f.late_s)),
-            ("restart_s", or_none(f.restart_s)),
+            ("at_s", fault.at_s),
+            ("for_s", or_zero(fault.for_s)),
+            ("late_s", or_zero(fault.late_s)),
+            ("restart_s", or_zero(fault.restart_s)),
         ];
-        for (key, v) in times {
-            if !(v.is_finite() && v >= 0.0) {
-                return Err(at(key, format!("must not be negative, is {v}")));
+        for (key, value) in times {
+            if !(value.is_finite() && value >= 0.0) {
+                return Err(invalid(key, format!("must not be negative, is {value}")));
             }
         }
-        if f.factor.is_some_and(|x| !(x.is_finite() && x > 0.0)) {
-            return Err(at("factor", "must be above 0".into()));
+        if fault.factor.is_some_and(|x| !(x.is_finite() && x > 0.0)) {
+            return Err(invalid("factor", "must be above 0".into()));
         }
-        if f.controller.is_some_and(|c| c >= self.controllers.count) {
-            return Err(at("controller", format!("there are {}, numbered from 0", self.controllers.count)));
+        if fault.controller.is_some_and(|c| c >= self.controllers.count) {
+            return Err(invalid(
+                "controller",
+                format!("must be below the number of controllers, {}", self.controllers.count),
+            ));
         }
-        if f.zone.as_ref().is_some_and(|z| !self.zones.contains(z)) {
-            return Err(at("zone", "no such zone".into()));
+        if fault.zone.as_ref().is_some_and(|z| !self.zones.contains(z)) {
+            return Err(invalid("zone", "no such zone".into()));
         }
-        if f.machine_type.as_ref().is_some_and(|m| !self.machine_type.contains_key(m)) {
-            return Err(at("machine_type", "no such machine type".into()));
+        if fault.machine_type.as_ref().is_some_and(|m| !self.machine_type.contains_key(m)) {
+            return Err(invalid("machine_type", "no such machine type".into()));
         }
         Ok(())
     }
--- a/crates/emulator/src/scenario/fault.rs
+++ b/crates/emulator/src/scenario/fault.rs
@@ -1,113 +1,132 @@
 //! Faults of a scenario: their kinds, and the keys that each kind uses.
 
+#![warn(missing_docs)]
+
 use super::{Distribution, Scenario};
 use rand::{Rng, RngExt};
 use serde::Deserialize;
 
-/// What a fault does.
+/// Kind of a fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FaultKind {
-    /// The state service answers nobody.
+    /// The state service refuses every request.
     StoreOutage,
-    /// The state service refuses one controller.
+    /// The state service refuses the requests of one controller.
     StoreRefuse,
-    /// Nothing passes between one controller and the state service; what it wrote
-    /// arrives when the cut is over.
+    /// Nothing passes between one controller and the state service; transactions that it
+    /// sent are carried out when the fault ends.
     StoreCut,
-    /// One controller's requests are carried out, and the answers are lost.
+    /// The requests of one controller are carried out, but it gets no answers.
     StoreMute,
-    /// The state service answers late.
+    /// The answers of the state service are delayed.
     StoreSlow,
-    /// The state service is killed, and started again from its log.
+    /// The state service is killed, and started again from its log after a while.
     StoreRestart,
-    /// A write is acknowledged and lost.
+    /// A transaction is acknowledged and lost.
     WriteLost,
-    /// A write is carried out and never answered.
+    /// A transaction is carried out and never answered.
     WriteUnanswered,
-    /// A write is never answered and carried out much later.
+    /// A transaction is never answered, and carried out later.
     WriteLate,
-    /// The last transactions are lost, the ledger goes back.
+    /// The last transactions are lost, and the revision of the store goes back.
     TailLost,
+    /// The cloud refuses every request.
     CloudOutage,
-    /// Machines boot late.
+    /// Machines take longer to boot.
     BootsLate,
-    /// Machines never come up.
+    /// Machines that are rented never come up.
     BootsCold,
-    /// The cloud has fewer machines.
+    /// The cloud has fewer machines to rent.
     Scarce,
-    /// Spot machines are taken back.
+    /// Spot machines are preempted.
     Recall,
-    /// Machines stop with all that is on them.
+    /// Machines fail, together with everything that runs on them.
     Die,
+    /// Machines and controllers do not reach each other.
     MachinesCut,
+    /// Machines make no progress and do not answer.
     MachinesHang,
     /// Machines fail every task.
     MachinesSick,
-    /// Machines run their tasks slower.
+    /// Machines run their tasks more slowly.
     MachinesSlow,
+    /// Machines and controllers do not reach each other across the border of one zone.
     ZoneCut,
     /// The machines of a zone and one controller do not reach each other.
     ZoneLinkCut,
+    /// Controllers are killed, and started again after a while.
     ControllerKill,
-    /// A controller stands still while its clocks run on.
+    /// A controller is suspended while time goes on.
     ControllerFreeze,
     /// No machine reaches a controller.
     ControllerDeaf,
     /// Connections between controllers are refused.
     PeersRefused,
-    /// All controllers are restarted one after the other.
+    /// All controllers are killed and started again, one after the other.
     Rolling,
 }
 
-/// One fault. What a kind does not use must be left out.
+/// One fault. Keys that its kind does not use must be left out.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
+    /// Kind of the fault.
     pub kind: FaultKind,
+    /// Time in the run at which it begins.
     pub at_s: f64,
+    /// How long it lasts.
     #[serde(default)]
     pub for_s: Option<f64>,
-    /// Controller by number from 0; all where absent.
+    /// Number of the controller that it hits, from 0; all controllers if absent.
     #[serde(default)]
     pub controller: Option<usize>,
+    /// Machine type that it hits; all types if absent.
     #[serde(default)]
     pub machine_type: Option<String>,
+    /// Zone that it hits.
     #[serde(default)]
     pub zone: Option<String>,
-    /// Machines, writes or transactions that it hits; times that a controller ends.
+    /// Number of machines or transactions that it hits, or of times that controllers are
+    /// killed.
     #[serde(default)]
     pub count: Option<u32>,
-    /// Times as long, as slow; or the share that is left.
+    /// How many times as long boots take or tasks run, or the share of the cloud's machines
+    /// that is left.
     #[serde(default)]
     pub factor: Option<f64>,
-    /// Keys that a hit write changes.
+    /// It hits transactions that change a key with this prefix.
     #[serde(default)]
     pub prefix: Option<String>,
-    /// Such writes that pass before.
+    /// Number of such transactions that pass before the first one is hit.
     #[serde(default)]
     pub skip: Option<u32>,
-    /// How late; the time from one end to the next.
+    /// Delay of answers or late transactions, or the time from one kill to the next.
     #[serde(default)]
     pub late_s: Option<f64>,
-    /// After how long a process is back; as the controllers are set where absent.
+    /// Time until a killed controller is started again; that of the scenario if absent.
     #[serde(default)]
     pub restart_s: Option<f64>,
 }
 
-/// Faults drawn by the seed.
+/// Faults that the seed chooses.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Draw {
+pub struct RandomFaults {
+    /// Number of faults.
     pub count: u32,
+    /// Kinds to choose from.
     pub kinds: Vec<FaultKind>,
+    /// Earliest time at which a fault begins.
     pub from_s: f64,
+    /// Latest time at which a fault begins.
     pub to_s: f64,
+    /// How long a fault lasts.
     pub for_s: Distribution,
 }
 
-/// Keys that a kind of fault uses; all others must be left out.
-pub(super) struct Keys {
+/// Keys that a kind of fault uses, besides `kind` and `at_s`; all others must be left out.
+pub(super) struct FaultKeys {
     /// Keys that must be given.
     pub(super) required: &'static [&'static str],
     /// Keys that may be given.
@@ -115,7 +134,7 @@
 }
 
 /// The keys that a kind of fault uses.
-pub(super) fn keys(kind: FaultKind) -> Keys {
+pub(super) fn fault_keys(kind: FaultKind) -> FaultKeys {
     use FaultKind::*;
     let (required, optional): (&'static [&'static str], &'static [&'static str]) = match kind {
         StoreOutage | CloudOutage => (&["for_s"], &[]),
@@ -137,12 +156,12 @@
         PeersRefused => (&["for_s"], &["controller"]),
         Rolling => (&[], &["late_s", "restart_s"]),
     };
-    Keys { required, optional }
+    FaultKeys { required, optional }
 }
 
 impl Fault {
-    /// The keys that this fault gives, `kind` and `at_s` aside.
-    pub(super) fn given(&self) -> Vec<&'static str> {
+    /// The keys that this fault gives, besides `kind` and `at_s`.
+    pub(super) fn given_keys(&self) -> Vec<&'static str> {
         let fields = [
             ("for_s", self.for_s.is_some()),
             ("controller", self.controller.is_some()),
@@ -158,24 +177,24 @@
         fields.into_iter().filter(|(_, given)| *given).map(|(name, _)| name).collect()
     }
 
-    /// A random fault of a kind.
-    pub fn drawn(kind: FaultKind, at_s: f64, for_s: f64, scenario: &Scenario, rng: &mut impl Rng) -> Fault {
-        let required = keys(kind).required;
-        let has = |key: &str| required.contains(&key);
+    /// A fault of a kind with random values for the keys that the kind needs.
+    pub fn random(kind: FaultKind, at_s: f64, for_s: f64, scenario: &Scenario, rng: &mut impl Rng) -> Fault {
+        let required = fault_keys(kind).required;
+        let needs = |key: &str| required.contains(&key);
         let prefixes = ["fq/j/", "fq/t/", "fq/h/", ""];
         Fault {
             kind,
             at_s,
-            for_s: has("for_s").then_some(for_s),
-            controller: has("controller").then(|| rng.random_range(0..scenario.controllers.count)),
+            for_s: needs("for_s").then_some(for_s),
+            controller: needs("controller").then(|| rng.random_range(0..scenario.controllers.count)),
             machine_type: None,
-            zone: has("zone").then(|| scenario.zones[rng.random_range(0..scenario.zones.len())].clone()),
-            count: has("count").then(|| rng.random_range(1..=3)),
-            factor: has("factor").then(|| if kind == FaultKind::Scarce { 0.3 } else { 4.0 }),
-            prefix: has("prefix").then(|| prefixes[rng.random_range(0..prefixes.len())].to_string()),
+            zone: needs("zone").then(|| scenario.zones[rng.random_range(0..scenario.zones.len())].clone()),
+            count: needs("count").then(|| rng.random_range(1..=3)),
+            factor: needs("factor").then(|| if kind == FaultKind::Scarce { 0.3 } else { 4.0 }),
+            prefix: needs("prefix").then(|| prefixes[rng.random_range(0..prefixes.len())].to_string()),
             skip: None,
             restart_s: None,
-            late_s: has("late_s").then(|| if kind == FaultKind::StoreSlow { 0.4 } else { for_s }),
+            late_s: needs("late_s").then(|| if kind == FaultKind::StoreSlow { 0.4 } else { for_s }),
         }
     }
 }
--- a/crates/emulator/src/state/log.rs
+++ b/crates/emulator/src/state/log.rs
@@ -1,6 +1,8 @@
-//! The state service on disk: an embedded store that gets every change in one
-//! transaction of its own before the change is answered, so that a kill at any
-//! moment leaves all of a transaction or nothing.
+//! The state service's log on disk, kept in an embedded database. Every change is
+//! committed to it in one database transaction before the change is answered, so that a
+//! kill at any moment leaves either all of a transaction or nothing.
+
+#![warn(missing_docs)]
 
 use super::machine::{Change, Entry, Limits, Store};
 use finchquay_protocol::{decode, encode};
@@ -13,19 +15,22 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Key to version, lease (0: none) and value in CBOR.
+/// Maps each key to its version, its lease (0: none) and its value in CBOR.
 const KEYS: TableDefinition<&str, (u64, u64, &[u8])> = TableDefinition::new("keys");
-/// Lease to its time in milliseconds.
+/// Maps each lease to its time to live in milliseconds.
 const LEASES: TableDefinition<u64, u64> = TableDefinition::new("leases");
-/// `ledger` and `next_lease`.
+/// Holds two numbers: the revision, as `ledger`, and the next lease id, as `next_lease`.
 const META: TableDefinition<&str, u64> = TableDefinition::new("meta");
 
+/// Why the log could not be opened, read or written.
 #[derive(Debug, Error)]
 pub enum LogError {
+    /// The embedded database failed.
     #[error("the state service's log: {0}")]
     Log(Box<redb::Error>),
-    #[error("the state service's log holds a value that is not CBOR under {0:?}")]
-    Spoilt(String),
+    /// The value under this key cannot be decoded.
+    #[error("the state service's log: the value under {0:?} is not valid CBOR")]
+    Corrupt(String),
 }
 
 impl<E: Into<redb::Error>> From<E> for LogError {
@@ -34,23 +39,27 @@
     }
 }
 
-/// What one write to the log carries: some transactions together.
+/// One write to the log: the effects of several transactions together.
 #[derive(Debug, Default)]
 pub struct Batch {
+    /// Changes to write, oldest first.
     pub changes: Vec<Change>,
-    /// Keys as they are after a lost tail.
-    pub undone: Vec<Change>,
+    /// Changes of a lost tail, newest first; each key is set back to its value before.
+    pub rolled_back: Vec<Change>,
+    /// Leases that were granted, with their time to live, or that ended (`None`).
     pub leases: Vec<(u64, Option<Duration>)>,
-    pub ledger: u64,
+    /// Revision of the store after the batch.
+    pub revision: u64,
+    /// Id of the next lease to grant.
     pub next_lease: u64,
 }
 
-/// A file whose writes are handed to the system and not forced to disk: they
-/// survive a kill of this process, not one of the machine.
+/// A file whose writes are handed to the operating system but not synced to disk: they
+/// survive a kill of this process, but not a crash of the machine.
 #[derive(Debug)]
-struct Unforced(FileBackend);
+struct UnsyncedFile(FileBackend);
 
-impl StorageBackend for Unforced {
+impl StorageBackend for UnsyncedFile {
     fn len(&self) -> io::Result<u64> {
         self.0.len()
     }
@@ -76,20 +85,24 @@
     }
 }
 
+/// The log: an open database file.
 pub struct Log {
     db: Database,
 }
 
 impl Log {
-    /// Opens or creates the log. Without `fsync` a write survives the
-    /// service's own kill, not one of the machine.
+    /// Opens or creates the log. Without `fsync` a write survives a kill of the service,
+    /// but not a crash of the machine.
+    ///
+    /// # Errors
+    /// The file cannot be opened or is not such a database.
     pub fn open(path: &Path, fsync: bool) -> Result<Log, LogError> {
         let db = if fsync {
             Database::create(path)?
         } else {
             let file = OpenOptions::new().read(true).write(true).create(true).truncate(false).open(path);
             let file = file.map_err(redb::Error::Io)?;
-            Database::builder().create_with_backend(Unforced(FileBackend::new(file)?))?
+            Database::builder().create_with_backend(UnsyncedFile(FileBackend::new(file)?))?
         };
         let txn = db.begin_write()?;
         txn.open_table(KEYS)?;
@@ -99,13 +112,17 @@
         Ok(Log { db })
     }
 
+    /// Reads the store as it was after the last batch; every lease has its full time again.
+    ///
+    /// # Errors
+    /// The database cannot be read, or holds a value that is not CBOR.
     pub fn load(&self, limits: Limits, now: Duration) -> Result<Store, LogError> {
         let txn = self.db.begin_read()?;
         let mut keys = BTreeMap::new();
         for row in txn.open_table(KEYS)?.iter()? {
             let (key, value) = row?;
             let (version, lease, bytes) = value.value();
-            let data = decode(bytes).map_err(|_| LogError::Spoilt(key.value().into()))?;
+            let data = decode(bytes).map_err(|_| LogError::Corrupt(key.value().into()))?;
             keys.insert(key.value().to_string(), Entry { data, version, lease: (lease > 0).then_some(lease) });
         }
         let mut ttls = BTreeMap::new();
@@ -115,17 +132,21 @@
         }
         let meta = txn.open_table(META)?;
         let number = |name| Ok::<_, LogError>(meta.get(name)?.map(|v| v.value()));
-        let (ledger, next) = (number("ledger")?.unwrap_or(0), number("next_lease")?.unwrap_or(1));
-        Ok(Store::restored(limits, keys, ledger, ttls, next, now))
+        let (revision, next_lease) = (number("ledger")?.unwrap_or(0), number("next_lease")?.unwrap_or(1));
+        Ok(Store::restore(limits, keys, revision, ttls, next_lease, now))
     }
 
+    /// Commits a batch in one database transaction.
+    ///
+    /// # Errors
+    /// The database cannot be written.
     pub fn write(&self, batch: &Batch) -> Result<(), LogError> {
         let txn = self.db.begin_write()?;
         {
             let mut keys = txn.open_table(KEYS)?;
             let after = batch.changes.iter().map(|c| (&c.key, &c.after));
-            let undone = batch.undone.iter().map(|c| (&c.key, &c.before));
-            for (key, entry) in after.chain(undone) {
+            let rolled_back = batch.rolled_back.iter().map(|c| (&c.key, &c.before));
+            for (key, entry) in after.chain(rolled_back) {
                 match entry {
                     Some(e) => {
                         let bytes = encode(&e.data);
@@ -139,12 +160,12 @@
             let mut leases = txn.open_table(LEASES)?;
             for (id, ttl) in &batch.leases {
                 match ttl {
-                    Some(t) => leases.insert(id, t.as_millis() as u64)?,
+                    Some(ttl) => leases.insert(id, ttl.as_millis() as u64)?,
                     None => leases.remove(id)?,
                 };
             }
             let mut meta = txn.open_table(META)?;
-            meta.insert("ledger", batch.ledger)?;
+            meta.insert("ledger", batch.revision)?;
             meta.insert("next_lease", batch.next_lease)?;
         }
         txn.commit()?;
@@ -162,39 +183,40 @@
         Limits { rps: 1e6, write_rps: 1e6, value_kb: 8.0, txn_ops: 32 }
     }
 
-    fn batch(st: &mut Store) -> Batch {
+    fn batch(store: &mut Store) -> Batch {
         Batch {
-            changes: st.take_fresh(),
-            ledger: st.ledger(),
-            next_lease: st.next_lease(),
-            leases: st.leases().map(|(id, t)| (id, Some(t))).collect(),
+            changes: store.take_unwritten(),
+            revision: store.revision(),
+            next_lease: store.next_lease(),
+            leases: store.leases().map(|(id, ttl)| (id, Some(ttl))).collect(),
             ..Batch::default()
         }
     }
 
-    /// What was answered is there after a kill; what was not written in whole is not there in part.
+    /// A transaction that was answered survives a kill; one that was not written in whole
+    /// leaves no part of itself.
     #[test]
-    fn a_reopened_log_has_every_written_change_and_no_other() {
+    fn reopened_log_has_exactly_the_written_changes() {
         let dir = tempfile::tempdir().unwrap();
         let path = dir.path().join("state.redb");
         let now = Duration::ZERO;
         let put = |k: &str, lease| Op::Put { key: k.into(), data: Value::Text(k.into()), lease };
         {
             let log = Log::open(&path, false).unwrap();
-            let mut st = log.load(limits(), now).unwrap();
-            let id = st.grant(now, 5000).unwrap();
-            st.transact(now, &Txn { conditions: vec![], ops: vec![put("a", Some(id)), put("b", None)] });
-            log.write(&batch(&mut st)).unwrap();
-            st.transact(now, &Txn { conditions: vec![], ops: vec![put("c", None), Op::Delete { key: "b".into() }] });
-            // Killed before this one was written: the process ends here.
+            let mut store = log.load(limits(), now).unwrap();
+            let id = store.grant(now, 5000).unwrap();
+            store.transact(now, &Txn { conditions: vec![], ops: vec![put("a", Some(id)), put("b", None)] });
+            log.write(&batch(&mut store)).unwrap();
+            store.transact(now, &Txn { conditions: vec![], ops: vec![put("c", None), Op::Delete { key: "b".into() }] });
+            // The process is killed here, before the second transaction was written.
         }
         let log = Log::open(&path, false).unwrap();
-        let mut st = log.load(limits(), now).unwrap();
-        assert_eq!((st.ledger(), st.len(), st.next_lease()), (1, 2, 2));
-        assert!(st.get("c").is_none() && st.get("b").is_some());
-        assert_eq!(st.changes("", 0), None, "watches from before get 410");
-        assert_eq!(st.changes("", 1), Some(vec![]));
-        assert_eq!(st.expire(Duration::from_secs(5)), [1]);
-        assert!(st.get("a").is_none());
+        let mut store = log.load(limits(), now).unwrap();
+        assert_eq!((store.revision(), store.len(), store.next_lease()), (1, 2, 2));
+        assert!(store.get("c").is_none() && store.get("b").is_some());
+        assert_eq!(store.changes_since("", 0), None, "a watch from before the restart gets 410");
+        assert_eq!(store.changes_since("", 1), Some(vec![]));
+        assert_eq!(store.expire(Duration::from_secs(5)), [1]);
+        assert!(store.get("a").is_none());
     }
 }
--- a/crates/emulator/src/state/machine.rs
+++ b/crates/emulator/src/state/machine.rs
@@ -1,7 +1,11 @@
-//! What the state service knows, and every change to it. Pure: the time comes
-//! in. Invariants: the ledger only grows, but for a tail that is lost on
-//! purpose; a key's version is the ledger number of its last change; a key
-//! hangs on at most one lease, and that lease lives.
+//! The state machine of the emulated state service. It does no input or output and
+//! reads no clock: the caller passes the time.
+//!
+//! Invariants: the revision only grows, except when a tail is lost on purpose; the
+//! version of a key is the revision of its last change; a key is attached to at most
+//! one lease, and that lease has not ended.
+
+#![warn(missing_docs)]
 
 use crate::bucket::Bucket;
 use ciborium::Value;
@@ -12,48 +16,64 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-/// What the service allows, as in the settings of the controllers.
+/// Limits of the service, the same as in the settings of the controllers.
 #[derive(Debug, Clone)]
 pub struct Limits {
+    /// Requests a second.
     pub rps: f64,
+    /// Changed keys a second.
     pub write_rps: f64,
+    /// Largest encoded value, in KiB.
     pub value_kb: f64,
+    /// Most operations in one transaction.
     pub txn_ops: usize,
 }
 
+/// The value of a key.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Entry {
+    /// The value itself.
     pub data: Value,
+    /// Revision of the last change of the key.
     pub version: u64,
+    /// Lease that the key is attached to, if any.
     pub lease: Option<u64>,
 }
 
+/// A lease: its keys are deleted when it ends.
 #[derive(Debug, Clone)]
 pub struct Lease {
+    /// Time to live after a grant or an extension.
     pub ttl: Duration,
-    pub until: Duration,
+    /// When it ends unless it is extended.
+    pub expires_at: Duration,
     keys: BTreeSet<String>,
 }
 
-/// One key's change: what it was before, for a tail that is lost, and after.
+/// A change of one key. The value before it is kept so that a lost tail can be undone.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Change {
+    /// The key that changed.
     pub key: String,
+    /// The value before; `None` if the key did not exist.
     pub before: Option<Entry>,
+    /// The value after; `None` if the key was deleted.
     pub after: Option<Entry>,
-    pub ledger: u64,
+    /// Revision of the change.
+    pub revision: u64,
 }
 
 impl Change {
-    fn news(&self) -> WatchEvent {
+    /// The change as a watch reports it.
+    fn watch_event(&self) -> WatchEvent {
         match &self.after {
             Some(e) => WatchEvent {
                 put: Some(self.key.clone()),
                 delete: None,
                 data: Some(e.data.clone()),
-                version: self.ledger,
+                version: self.revision,
             },
-            None => WatchEvent { put: None, delete: Some(self.key.clone()), data: None, version: self.ledger },
+            None => WatchEvent { put: None, delete: Some(self.key.clone()), data: None, version: self.revision },
         }
     }
 }
@@ -61,53 +81,61 @@
 /// How a transaction ended.
 #[derive(Debug, PartialEq)]
 pub enum Outcome {
-    Done {
-        ledger: u64,
+    /// It was carried out.
+    Committed {
+        /// Revision of the store after it.
+        revision: u64,
     },
-    /// Conditions that did not hold.
-    Failed {
+    /// Some of its conditions did not hold; nothing changed.
+    Conflict {
+        /// Keys whose conditions did not hold.
         keys: Vec<String>,
-        ledger: u64,
+        /// Revision of the store.
+        revision: u64,
     },
+    /// It names a lease that does not exist.
     NoSuchLease,
+    /// It breaks a limit or names an invalid key.
     Malformed,
-    /// Over the rate of changes.
-    TooMany,
+    /// The rate of changes is above its limit.
+    RateLimited,
 }
 
+/// The store: keys, leases, and the latest changes for watches.
 #[derive(Debug)]
 pub struct Store {
     limits: Limits,
     keys: BTreeMap<String, Entry>,
-    ledger: u64,
+    revision: u64,
     leases: BTreeMap<u64, Lease>,
     next_lease: u64,
-    /// The last changes, oldest first.
+    /// The latest changes, oldest first, which watches are answered from.
     window: VecDeque<Change>,
-    /// TxnResponse number before the oldest change that the window holds.
-    window_from: u64,
+    /// Revision before the oldest change in the window: watches from earlier get 410.
+    window_start: u64,
     requests: Bucket,
     writes: Bucket,
-    /// Changes since the log last asked.
-    fresh: Vec<Change>,
+    /// Changes that are not in the log yet.
+    unwritten: Vec<Change>,
 }
 
 impl Store {
+    /// Creates an empty store.
     pub fn new(limits: Limits) -> Store {
-        Store::restored(limits, BTreeMap::new(), 0, BTreeMap::new(), 1, Duration::ZERO)
+        Store::restore(limits, BTreeMap::new(), 0, BTreeMap::new(), 1, Duration::ZERO)
     }
 
-    /// A store as its log had it: leases have their full time again, and
-    /// watches from before get 410.
-    pub fn restored(
+    /// Creates a store with the contents of its log. Leases have their full time again,
+    /// and watches from before the restart get 410.
+    pub fn restore(
         limits: Limits,
         keys: BTreeMap<String, Entry>,
-        ledger: u64,
+        revision: u64,
         ttls: BTreeMap<u64, Duration>,
         next_lease: u64,
         now: Duration,
     ) -> Store {
-        let lease = |(id, ttl)| (id, Lease { ttl, until: now + ttl, keys: BTreeSet::new() });
+        let lease = |(id, ttl)| (id, Lease { ttl, expires_at: now + ttl, keys: BTreeSet::new() });
         let mut leases: BTreeMap<u64, Lease> = ttls.into_iter().map(lease).collect();
         for (key, e) in &keys {
             if let Some(l) = e.lease.and_then(|id| leases.get_mut(&id)) {
@@ -119,53 +147,61 @@
             writes: Bucket::new(limits.write_rps, 1.0),
             limits,
             keys,
-            ledger,
+            revision,
             leases,
             next_lease,
             window: VecDeque::new(),
-            window_from: ledger,
-            fresh: Vec::new(),
+            window_start: revision,
+            unwritten: Vec::new(),
         }
     }
 
-    pub fn ledger(&self) -> u64 {
-        self.ledger
+    /// Revision of the store: it grows by one with every transaction that has operations and
+    /// with every lease that ends with keys.
+    pub fn revision(&self) -> u64 {
+        self.revision
     }
 
+    /// Id of the next lease to grant.
     pub fn next_lease(&self) -> u64 {
         self.next_lease
     }
 
+    /// Number of keys.
     pub fn len(&self) -> usize {
         self.keys.len()
     }
 
+    /// Whether there is no key.
     pub fn is_empty(&self) -> bool {
         self.keys.is_empty()
     }
 
-    /// Changes that the log has not been given yet.
-    pub fn take_fresh(&mut self) -> Vec<Change> {
-        std::mem::take(&mut self.fresh)
+    /// Takes the changes that are to be written to the log.
+    pub fn take_unwritten(&mut self) -> Vec<Change> {
+        std::mem::take(&mut self.unwritten)
     }
 
-    /// Counts one request against the limit.
-    pub fn request(&mut self, now: Duration) -> bool {
+    /// Counts one request against the limit; false if it is above it.
+    pub fn admit_request(&mut self, now: Duration) -> bool {
         self.requests.take(now, 1.0)
     }
 
+    /// Reads one key.
     pub fn get(&self, key: &str) -> Option<Row> {
         let e = self.keys.get(key)?;
         Some(Row { key: key.into(), data: e.data.clone(), version: e.version, lease: e.lease })
     }
 
-    pub fn scan(&self, starts: &str, after: &str, page: usize) -> Rows {
+    /// Reads a page of the keys under a prefix, from the first one behind `after`; no page
+    /// is larger than the limits on rows and bytes of the protocol.
+    pub fn scan(&self, prefix: &str, after: &str, page: usize) -> Rows {
         use std::ops::Bound::{Excluded, Included, Unbounded};
-        let low = if after >= starts { Excluded(after) } else { Included(starts) };
+        let low = if after >= prefix { Excluded(after) } else { Included(prefix) };
         let mut rows = Vec::new();
         let (mut bytes, mut truncated) = (0, false);
         for (key, e) in self.keys.range::<str, _>((low, Unbounded)) {
-            if !key.starts_with(starts) {
+            if !key.starts_with(prefix) {
                 break;
             }
             bytes += key.len() + encode(&e.data).len() + 32;
@@ -175,64 +211,66 @@
             }
             rows.push(Row { key: key.clone(), data: e.data.clone(), version: e.version, lease: None });
         }
-        Rows { rows, truncated, revision: self.ledger }
+        Rows { rows, truncated, revision: self.revision }
     }
 
-    /// Changes under a prefix after a ledger number; `None`: that is too old.
-    pub fn changes(&self, starts: &str, after: u64) -> Option<Vec<WatchEvent>> {
-        if after < self.window_from {
+    /// Changes under a prefix since a revision; `None` if the window does not reach back
+    /// to that revision.
+    pub fn changes_since(&self, prefix: &str, after: u64) -> Option<Vec<WatchEvent>> {
+        if after < self.window_start {
             return None;
         }
-        let first = self.window.partition_point(|c| c.ledger <= after);
-        Some(self.window.range(first..).filter(|c| c.key.starts_with(starts)).map(Change::news).collect())
+        let first = self.window.partition_point(|c| c.revision <= after);
+        Some(self.window.range(first..).filter(|c| c.key.starts_with(prefix)).map(Change::watch_event).collect())
     }
 
-    /// Judges and carries out a transaction.
+    /// Checks a transaction and, where its conditions hold, carries it out.
     pub fn transact(&mut self, now: Duration, txn: &Txn) -> Outcome {
-        self.transact_as(now, txn, true)
+        self.transact_or_lose(now, txn, true)
     }
 
-    /// Answers a transaction as if it were carried out, and forgets it: the
-    /// ledger counts it, no key changes, no watch shows it.
-    pub fn lose(&mut self, now: Duration, txn: &Txn) -> Outcome {
-        self.transact_as(now, txn, false)
+    /// Answers a transaction as if it were carried out, and loses it: the revision counts
+    /// it, but no key changes and no watch reports it.
+    pub fn acknowledge_and_lose(&mut self, now: Duration, txn: &Txn) -> Outcome {
+        self.transact_or_lose(now, txn, false)
     }
 
-    fn transact_as(&mut self, now: Duration, txn: &Txn, keep: bool) -> Outcome {
+    fn transact_or_lose(&mut self, now: Duration, txn: &Txn, apply: bool) -> Outcome {
         if !self.well_formed(txn) {
             return Outcome::Malformed;
         }
         if !self.writes.take(now, txn.ops.len() as f64) {
-            return Outcome::TooMany;
+            return Outcome::RateLimited;
         }
-        let dead = |op: &Op| matches!(op, Op::Put { lease: Some(id), .. } if !self.leases.contains_key(id));
-        if txn.ops.iter().any(dead) {
+        let lease_is_gone = |op: &Op| matches!(op, Op::Put { lease: Some(id), .. } if !self.leases.contains_key(id));
+        if txn.ops.iter().any(lease_is_gone) {
             return Outcome::NoSuchLease;
         }
         let version = |key: &str| self.keys.get(key).map_or(0, |e| e.version);
-        let failed: Vec<String> =
+        let conflicts: Vec<String> =
             txn.conditions.iter().filter(|c| version(&c.key) != c.version).map(|c| c.key.clone()).collect();
-        if !failed.is_empty() {
-            return Outcome::Failed { keys: failed, ledger: self.ledger };
+        if !conflicts.is_empty() {
+            return Outcome::Conflict { keys: conflicts, revision: self.revision };
         }
         if txn.ops.is_empty() {
-            return Outcome::Done { ledger: self.ledger };
+            return Outcome::Committed { revision: self.revision };
         }
-        self.ledger += 1;
-        if keep {
+        self.revision += 1;
+        if apply {
             for op in &txn.ops {
                 match op {
                     Op::Put { key, data, lease } => {
-                        let entry = Entry { data: data.clone(), version: self.ledger, lease: *lease };
+                        let entry = Entry { data: data.clone(), version: self.revision, lease: *lease };
                         self.set(key, Some(entry));
                     }
                     Op::Delete { key } => self.set(key, None),
                 }
             }
         }
-        Outcome::Done { ledger: self.ledger }
+        Outcome::Committed { revision: self.revision }
     }
 
+    /// Whether a transaction is within all limits and names valid keys only.
     fn well_formed(&self, txn: &Txn) -> bool {
         let value_limit = self.limits.value_kb * 1024.0;
         let fits = |op: &Op| match op {
@@ -246,7 +284,7 @@
             && encode(txn).len() <= BODY_LIMIT
     }
 
-    /// Puts or removes one key under the current ledger number.
+    /// Sets or deletes one key at the current revision.
     fn set(&mut self, key: &str, after: Option<Entry>) {
         let before = self.keys.get(key).cloned();
         if before.is_none() && after.is_none() {
@@ -266,76 +304,77 @@
                 self.keys.remove(key);
             }
         }
-        let change = Change { key: key.to_string(), before, after, ledger: self.ledger };
-        self.fresh.push(change.clone());
+        let change = Change { key: key.to_string(), before, after, revision: self.revision };
+        self.unwritten.push(change.clone());
         self.window.push_back(change);
         while self.window.len() > WATCH_WINDOW {
             if let Some(old) = self.window.pop_front() {
-                self.window_from = old.ledger;
+                self.window_start = old.revision;
             }
         }
     }
 
-    /// Grants a lease; `None` where the time asked for is out of bounds.
+    /// Grants a lease and returns its id; `None` if the requested time is out of bounds.
     pub fn grant(&mut self, now: Duration, ttl_ms: u64) -> Option<u64> {
         if !TTL_MS.contains(&ttl_ms) {
             return None;
         }
         let (id, ttl) = (self.next_lease, Duration::from_millis(ttl_ms));
         self.next_lease += 1;
-        self.leases.insert(id, Lease { ttl, until: now + ttl, keys: BTreeSet::new() });
+        self.leases.insert(id, Lease { ttl, expires_at: now + ttl, keys: BTreeSet::new() });
         Some(id)
     }
 
-    /// Whether the lease was there to be extended.
+    /// Gives a lease its full time again; false if there is no such lease.
     pub fn extend(&mut self, now: Duration, id: u64) -> bool {
         let lease = self.leases.get_mut(&id);
-        lease.map(|l| l.until = now + l.ttl).is_some()
+        lease.map(|l| l.expires_at = now + l.ttl).is_some()
     }
 
-    /// Ends a lease; its keys go.
+    /// Ends a lease and deletes its keys; false if there is no such lease.
     pub fn revoke(&mut self, id: u64) -> bool {
         let Some(lease) = self.leases.remove(&id) else { return false };
         if !lease.keys.is_empty() {
-            self.ledger += 1;
+            self.revision += 1;
             lease.keys.iter().for_each(|key| self.set(key, None));
         }
         true
     }
 
-    /// Ends leases whose time is over; names them.
+    /// Ends the leases whose time is over, and returns their ids.
     pub fn expire(&mut self, now: Duration) -> Vec<u64> {
-        let over: Vec<u64> = self.leases.iter().filter(|(_, l)| l.until <= now).map(|(id, _)| *id).collect();
-        for id in &over {
+        let expired: Vec<u64> = self.leases.iter().filter(|(_, l)| l.expires_at <= now).map(|(id, _)| *id).collect();
+        for id in &expired {
             self.revoke(*id);
         }
-        over
+        expired
     }
 
-    /// After an outage every lease has its full time again.
+    /// Gives every lease its full time again, as after an outage.
     pub fn renew_all(&mut self, now: Duration) {
-        self.leases.values_mut().for_each(|l| l.until = now + l.ttl);
+        self.leases.values_mut().for_each(|l| l.expires_at = now + l.ttl);
     }
 
+    /// All leases with their time to live.
     pub fn leases(&self) -> impl Iterator<Item = (u64, Duration)> {
         self.leases.iter().map(|(id, l)| (*id, l.ttl))
     }
 
-    /// Loses the last transactions, as a crash loses the tail of a log: the
-    /// ledger goes back and their changes are undone. Says what was undone.
+    /// Loses the last transactions, as a crash loses the tail of a log: the revision goes
+    /// back and their changes are undone. Returns the undone changes, newest first.
     pub fn lose_tail(&mut self, transactions: u64) -> Vec<Change> {
-        let to = self.ledger.saturating_sub(transactions).max(self.window_from);
+        let target = self.revision.saturating_sub(transactions).max(self.window_start);
         let mut undone = Vec::new();
-        while let Some(change) = self.window.pop_back_if(|c| c.ledger > to) {
+        while let Some(change) = self.window.pop_back_if(|c| c.revision > target) {
             undone.push(change);
         }
-        // Newest first, so that the oldest state of a key comes last.
+        // Newest first, so that the oldest value of a key is set last.
         for change in &undone {
             if let Some(l) = change.after.as_ref().and_then(|e| e.lease).and_then(|id| self.leases.get_mut(&id)) {
                 l.keys.remove(&change.key);
             }
             match &change.before {
-                // A key whose lease has ended since must not come back for ever.
+                // A key whose lease has ended since must not come back: nothing would delete it.
                 Some(e) if e.lease.is_none_or(|id| self.leases.contains_key(&id)) => {
                     if let Some(l) = e.lease.and_then(|id| self.leases.get_mut(&id)) {
                         l.keys.insert(change.key.clone());
@@ -347,7 +386,7 @@
                 }
             }
         }
-        self.ledger = to;
+        self.revision = target;
         undone
     }
 }
--- a/crates/emulator/src/state/mod.rs
+++ b/crates/emulator/src/state/mod.rs
@@ -1,6 +1,8 @@
-//! The state service: a small consistent store with conditional transactions,
-//! leases and watches. `machine` is the state machine, `log` keeps it on disk,
-//! `service` speaks HTTP and causes faults.
+//! The emulated state service: a small consistent key-value store with conditional
+//! transactions, leases and watches. `machine` is the state machine, `log` keeps it on
+//! disk, `service` answers over HTTP and injects faults, and `probe` measures a service.
+
+#![warn(missing_docs)]
 
 pub mod log;
 pub mod machine;
--- a/crates/emulator/src/suite.rs
+++ b/crates/emulator/src/suite.rs
@@ -1,23 +1,26 @@
-//! The scenarios that come with the program, and what each must show.
+//! The scenarios that are compiled into the program, and what their runs must show.
 
-/// What is asked of a scenario of the suite.
+#![warn(missing_docs)]
+
+/// What the run of a scenario must show.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Expect {
+pub enum Expectation {
     /// No rule is broken, and every accepted job gets one final answer.
     Holds,
-    /// Recorded as it is: the service does not repair this yet.
+    /// Nothing: violations are only recorded, as the service does not repair such losses
+    /// yet.
     Recorded,
 }
 
 /// One scenario of the suite.
 #[derive(Debug, Clone, Copy)]
 pub struct SuiteScenario {
-    /// Name of the scenario and, without its ending, of its file.
+    /// Name of the scenario, and of its file without the extension.
     pub name: &'static str,
     /// Text of the scenario file.
     pub text: &'static str,
     /// What the run must show.
-    pub expect: Expect,
+    pub expect: Expectation,
 }
 
 macro_rules! scenario {
@@ -25,7 +28,7 @@
         SuiteScenario {
             name: $name,
             text: include_str!(concat!("../scenarios/", $name, ".hcl")),
-            expect: Expect::$expect,
+            expect: Expectation::$expect,
         }
     };
 }
@@ -52,7 +55,7 @@
     scenario!("lost-tail", Recorded),
 ];
 
-/// What `up` plays.
+/// The scenario that `up` plays by default.
 pub const SAMPLE: &str = include_str!("../scenarios/sample.hcl");
 
 /// The scenario of the suite with this name.
@@ -66,11 +69,14 @@
     use crate::scenario::Scenario;
 
     #[test]
-    fn every_scenario_that_comes_along_is_sound_and_named_after_its_file() {
+    fn every_scenario_is_valid_and_named_after_its_file() {
         for SuiteScenario { name, text, .. } in SUITE {
-            let s = Scenario::parse(name, text).unwrap();
-            assert_eq!(s.name, *name);
-            assert!(s.duration_s + s.settle_s <= 300.0, "{name}: the suite is of minutes");
+            let scenario = Scenario::parse(name, text).unwrap();
+            assert_eq!(scenario.name, *name);
+            assert!(
+                scenario.duration_s + scenario.settle_s <= 300.0,
+                "{name}: a scenario of the suite must take minutes only"
+            );
         }
         Scenario::parse("sample", SAMPLE).unwrap();
     }
--- a/crates/emulator/src/view.rs
+++ b/crates/emulator/src/view.rs
@@ -1,5 +1,7 @@
-//! What a person sees while the emulator runs: a terminal view, or plain lines
-//! where there is no terminal. Fed by the history's lines and nothing else.
+//! The display while the emulator runs: a terminal view, or plain lines where there is no
+//! terminal. It is derived from the lines of the history alone.
+
+#![warn(missing_docs)]
 
 use crate::history::{Asked, Event, Line};
 use finchquay_protocol::user::Status;
@@ -10,12 +12,12 @@
 use ratatui::widgets::{Block, Paragraph, Row, Sparkline, Table};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
-/// Seconds that the curve of running tasks shows.
-const CURVE: usize = 120;
+/// Samples in the curve of running tasks, which are one second apart.
+const CURVE_SAMPLES: usize = 120;
 /// Lines of news that are kept.
-const NEWS: usize = 200;
+const MAX_NEWS: usize = 200;
 
-/// Where a job stands, as its user knows.
+/// Progress of a job, as far as its user was told.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Stage {
     Submitted,
@@ -25,6 +27,7 @@
     Cancelled,
 }
 
+/// All stages, with the names that the display gives them.
 const STAGES: [(Stage, &str); 5] = [
     (Stage::Submitted, "submitted"),
     (Stage::Accepted, "waiting"),
@@ -33,30 +36,37 @@
     (Stage::Cancelled, "withdrawn"),
 ];
 
-/// All that the view shows.
+/// The state that the display shows.
 #[derive(Debug, Default)]
 pub struct Model {
-    t: f64,
+    now_s: f64,
     scenario: String,
-    /// Address, state, memory and processor time.
+    /// Address, state, memory in MB and CPU time in seconds of each controller.
     controllers: BTreeMap<String, (String, String, f64, f64)>,
+    /// Machines that are up, and that are booting.
     machines: (u32, u32),
-    running: u32,
+    tasks_running: u32,
     spent: f64,
+    /// Changes in the state service: in total, and their rate per second at the last sample.
     changes: (u64, f64),
+    /// Class and stage of each job.
     jobs: HashMap<String, (String, Stage)>,
+    /// Faults in effect.
     faults: BTreeSet<String>,
+    /// Running tasks in the last samples.
     curve: VecDeque<u64>,
+    /// The latest news, newest first.
     news: VecDeque<String>,
-    starts: u64,
-    done: u64,
+    task_starts: u64,
+    tasks_done: u64,
 }
 
 impl Model {
-    /// Takes one line of the history; returns news worth a plain line.
-    pub fn take(&mut self, line: &Line) -> Option<String> {
-        let before = self.t;
-        self.t = line.t;
+    /// Updates the state with one line of the history. Returns a line of text if the event
+    /// is to be reported as news.
+    pub fn update(&mut self, line: &Line) -> Option<String> {
+        let before_s = self.now_s;
+        self.now_s = line.t;
         let news = match &line.event {
             Event::Began { scenario, facts, .. } => {
                 self.scenario = scenario.clone();
@@ -79,38 +89,39 @@
             }
             Event::Store { what, keys } => {
                 let (first, more) = (keys.first().cloned().unwrap_or_default(), keys.len().saturating_sub(1));
-                Some(format!("state service: write {what}: {first} and {more} more"))
+                Some(format!("state service: write {what}: {first} and {more} more keys"))
             }
             Event::Job { spec } => {
                 self.jobs.insert(spec.uid.clone(), (spec.class.clone(), Stage::Submitted));
                 None
             }
             Event::Call { asked, uid, status, state, .. } => {
-                self.call(*asked, uid, *status, *state);
+                self.record_call(*asked, uid, *status, *state);
                 None
             }
             Event::Start { .. } => {
-                self.starts += 1;
+                self.task_starts += 1;
                 None
             }
             Event::Stop { cause, .. } => {
-                self.done += u64::from(cause == "done");
+                self.tasks_done += u64::from(cause == "done");
                 None
             }
             Event::Sample {
                 machines_up, machines_booting, tasks_running, store_changes, spent, controllers, ..
             } => {
                 self.machines = (*machines_up, *machines_booting);
-                self.running = *tasks_running;
+                self.tasks_running = *tasks_running;
                 self.spent = *spent;
-                let passed = (line.t - before).max(0.5);
-                self.changes = (*store_changes, store_changes.saturating_sub(self.changes.0) as f64 / passed.max(1.0));
+                let passed_s = (line.t - before_s).max(0.5);
+                self.changes =
+                    (*store_changes, store_changes.saturating_sub(self.changes.0) as f64 / passed_s.max(1.0));
                 for (name, (mb, cpu)) in controllers {
-                    let c = self.controllers.entry(name.clone()).or_default();
-                    (c.2, c.3) = (*mb, *cpu);
+                    let controller = self.controllers.entry(name.clone()).or_default();
+                    (controller.2, controller.3) = (*mb, *cpu);
                 }
                 self.curve.push_back(u64::from(*tasks_running));
-                if self.curve.len() > CURVE {
+                if self.curve.len() > CURVE_SAMPLES {
                     self.curve.pop_front();
                 }
                 None
@@ -121,30 +132,31 @@
             Event::MachineUp { .. } | Event::MachineGone { .. } => None,
             Event::Over { settled } => Some(if *settled { "over".into() } else { "stopped".into() }),
         };
-        let news = news.map(|n| format!("{:7.1} s  {n}", line.t));
-        if let Some(n) = &news {
-            self.news.push_front(n.clone());
-            self.news.truncate(NEWS);
+        let news = news.map(|text| format!("{:7.1} s  {text}", line.t));
+        if let Some(text) = &news {
+            self.news.push_front(text.clone());
+            self.news.truncate(MAX_NEWS);
         }
         news
     }
 
-    fn call(&mut self, asked: Asked, uid: &str, status: Option<u16>, state: Option<Status>) {
+    /// Advances the stage of a job after a request of its user.
+    fn record_call(&mut self, asked: Asked, uid: &str, status: Option<u16>, state: Option<Status>) {
         let Some((_, stage)) = self.jobs.get_mut(uid) else { return };
-        let to = match (state, asked, status) {
+        let new_stage = match (state, asked, status) {
             (Some(Status::Done), ..) => Stage::Done,
             (Some(Status::Cancelled), ..) => Stage::Cancelled,
             (Some(Status::Running), ..) => Stage::Running,
             (_, Asked::Submit, Some(200 | 201)) | (Some(Status::Queued), ..) => Stage::Accepted,
             _ => return,
         };
-        // A job may wait again after it ran; an end stays.
+        // A job may wait again after it ran, but an end is final.
         if *stage < Stage::Done {
-            *stage = to;
+            *stage = new_stage;
         }
     }
 
-    /// One line that sums it all up, for where there is no terminal.
+    /// One line with the most important numbers, for output without a terminal.
     pub fn summary(&self) -> String {
         let counts: Vec<String> = STAGES
             .iter()
@@ -152,28 +164,29 @@
             .collect();
         format!(
             "{:7.1} s  machines {} up, {} booting; tasks {} running, {} done; jobs {}; {:.0} changes/s",
-            self.t,
+            self.now_s,
             self.machines.0,
             self.machines.1,
-            self.running,
-            self.done,
+            self.tasks_running,
+            self.tasks_done,
             counts.join(", "),
             self.changes.1
         )
     }
 
+    /// Draws the terminal view.
     pub fn draw(&self, frame: &mut Frame) {
-        let controllers = self.controllers.len() as u16 + 3;
+        let controllers_height = self.controllers.len() as u16 + 3;
         let classes: BTreeSet<&String> = self.jobs.values().map(|(c, _)| c).collect();
         let [head, middle, jobs, curve, news] = Layout::vertical([
             Constraint::Length(1),
-            Constraint::Length(controllers),
+            Constraint::Length(controllers_height),
             Constraint::Length(classes.len() as u16 + 3),
             Constraint::Length(6),
             Constraint::Min(3),
         ])
         .areas(frame.area());
-        let title = format!("finchquay emulator: {}  {:.0} s  (Ctrl-C or q ends it)", self.scenario, self.t);
+        let title = format!("finchquay emulator: {}  {:.0} s  (Ctrl-C or q to quit)", self.scenario, self.now_s);
         frame.render_widget(TextLine::from(title).bold(), head);
         let [left, right] = Layout::horizontal([Constraint::Percentage(60), Constraint::Percentage(40)]).areas(middle);
         let rows = self.controllers.iter().map(|(name, (address, state, mb, cpu))| {
@@ -186,14 +199,17 @@
         frame
             .render_widget(Table::new(rows, widths).header(header).block(Block::bordered().title("controllers")), left);
         let faults: Vec<&str> = self.faults.iter().map(String::as_str).collect();
-        let world = vec![
+        let environment = vec![
             TextLine::from(format!("machines {} up, {} booting", self.machines.0, self.machines.1)),
-            TextLine::from(format!("tasks {} running, {} done, {} starts", self.running, self.done, self.starts)),
+            TextLine::from(format!(
+                "tasks {} running, {} done, {} starts",
+                self.tasks_running, self.tasks_done, self.task_starts
+            )),
             TextLine::from(format!("state {:.0} changes/s   spent {:.3}", self.changes.1, self.spent)),
             TextLine::from(format!("faults {}", if faults.is_empty() { "none".into() } else { faults.join(", ") }))
                 .style(if faults.is_empty() { Style::new() } else { Style::new().fg(Color::Red) }),
         ];
-        frame.render_widget(Paragraph::new(world).block(Block::bordered().title("around them")), right);
+        frame.render_widget(Paragraph::new(environment).block(Block::bordered().title("environment")), right);
         let rows = classes.iter().map(|class| {
             let count = |stage| self.jobs.values().filter(|(c, s)| c == *class && *s == stage).count().to_string();
             Row::new([(*class).clone()].into_iter().chain(STAGES.iter().map(|(s, _)| count(*s))))
@@ -202,9 +218,9 @@
         let header = Row::new(["class"].into_iter().chain(STAGES.iter().map(|(_, n)| *n))).bold();
         frame.render_widget(Table::new(rows, widths).header(header).block(Block::bordered().title("jobs")), jobs);
         let data: Vec<u64> = self.curve.iter().copied().collect();
-        let spark = Sparkline::default().data(&data).block(Block::bordered().title("tasks running"));
-        frame.render_widget(spark, curve);
-        let lines: Vec<TextLine> = self.news.iter().map(|n| TextLine::from(n.as_str())).collect();
+        let sparkline = Sparkline::default().data(&data).block(Block::bordered().title("tasks running"));
+        frame.render_widget(sparkline, curve);
+        let lines: Vec<TextLine> = self.news.iter().map(|text| TextLine::from(text.as_str())).collect();
         frame.render_widget(Paragraph::new(lines).block(Block::bordered().title("news")), news);
     }
 }
@@ -217,8 +233,8 @@
     use ratatui::backend::TestBackend;
 
     #[test]
-    fn the_screen_shows_what_the_history_has() {
-        let mut m = Model::default();
+    fn screen_shows_the_events_of_the_history() {
+        let mut model = Model::default();
         let call = |state| Event::Call {
             asked: Asked::Poll,
             uid: "run-1".into(),
@@ -235,11 +251,11 @@
             call(Status::Done),
             call(Status::Running),
         ];
-        let news: Vec<String> = events.into_iter().filter_map(|event| m.take(&Line { t: 12.0, event })).collect();
+        let news: Vec<String> = events.into_iter().filter_map(|event| model.update(&Line { t: 12.0, event })).collect();
         assert_eq!(news.len(), 2);
-        assert!(m.summary().contains("1 done") && m.summary().contains("0 running"));
+        assert!(model.summary().contains("1 done") && model.summary().contains("0 running"));
         let mut terminal = Terminal::new(TestBackend::new(100, 30)).unwrap();
-        terminal.draw(|f| m.draw(f)).unwrap();
+        terminal.draw(|f| model.draw(f)).unwrap();
         let screen = terminal.backend().to_string();
         for part in ["perch-0", "store-away", "withdrawn", "tasks running", "fault store-away begins"] {
             assert!(screen.contains(part), "{part} is missing from\n{screen}");
--- a/crates/emulator/tests/program.rs
+++ b/crates/emulator/tests/program.rs
@@ -1,5 +1,6 @@
-//! The program itself, started as a user starts it: bad input ends it with one
-//! line and nothing left behind; its state service survives its own kill.
+//! Tests of the program, started as a user starts it: invalid input ends it with one line
+//! of error and nothing left behind, its state service survives a kill, and its children
+//! end with it.
 
 use finchquay_emulator::http::Connection;
 use finchquay_protocol::store::{Condition, Op, Rows, TXN, Txn, TxnResponse};
@@ -19,7 +20,7 @@
 }
 
 #[test]
-fn bad_input_ends_with_one_line_and_code_2() {
+fn invalid_input_ends_with_one_line_and_code_2() {
     let dir = tempfile::tempdir().unwrap();
     let file = |name: &str, text: &str| std::fs::write(dir.path().join(name), text).unwrap();
     file("unknown.hcl", &GOOD.replace("settle_s = 90", "setle_s = 90"));
@@ -28,15 +29,15 @@
     file("good.hcl", GOOD);
     std::fs::create_dir(dir.path().join("used")).unwrap();
     file("used/history-1.jsonl", "");
-    // Something that can be named, though it is no controller.
-    let here = PROGRAM;
+    // Any existing file will do as the controller program, as it is never started.
+    let existing = PROGRAM;
     for (args, parts) in [
-        (vec!["run", "unknown.hcl", "--controller", here], ["unknown.hcl:5: ", "setle_s"]),
-        (vec!["run", "negative.hcl", "--controller", here], ["negative.hcl:", "fault.late-store.at_s"]),
-        (vec!["run", "kind.hcl", "--controller", here], ["kind.hcl:", "fault.late-store.kind"]),
-        (vec!["run", "missing.hcl", "--controller", here], ["missing.hcl: ", "cannot be read"]),
+        (vec!["run", "unknown.hcl", "--controller", existing], ["unknown.hcl:5: ", "setle_s"]),
+        (vec!["run", "negative.hcl", "--controller", existing], ["negative.hcl:", "fault.late-store.at_s"]),
+        (vec!["run", "kind.hcl", "--controller", existing], ["kind.hcl:", "fault.late-store.kind"]),
+        (vec!["run", "missing.hcl", "--controller", existing], ["missing.hcl: ", "cannot be read"]),
         (vec!["run", "good.hcl", "--controller", "nowhere"], ["nowhere: ", "no controller program"]),
-        (vec!["run", "good.hcl", "--controller", here, "--out", "used"], ["used: ", "holds a run already"]),
+        (vec!["run", "good.hcl", "--controller", existing, "--out", "used"], ["used: ", "holds a run already"]),
         (vec!["suite", "no-such"], ["no scenario \"no-such\"", "filing-eve"]),
         (vec!["check", "missing.jsonl"], ["missing.jsonl", ""]),
         (vec!["probe", "192.0.2.1:1"], ["192.0.2.1:1", "loopback"]),
@@ -49,11 +50,11 @@
     }
 }
 
-/// A port in use must be told before any child is started.
+/// A port that is in use must be reported before any child is started.
 #[test]
-fn an_address_in_use_is_named_and_nothing_is_started() {
-    let held = std::net::TcpListener::bind("127.0.1.1:0").unwrap();
-    let port = held.local_addr().unwrap().port().to_string();
+fn address_in_use_is_reported_and_nothing_is_started() {
+    let occupied = std::net::TcpListener::bind("127.0.1.1:0").unwrap();
+    let port = occupied.local_addr().unwrap().port().to_string();
     let dir = tempfile::tempdir().unwrap();
     let out = run(dir.path(), &["up", "--plain", "--keep", "kept", "--controller", PROGRAM, "--port", &port]);
     let text = String::from_utf8_lossy(&out.stderr).to_string();
@@ -62,6 +63,7 @@
     assert!(!dir.path().join("kept/perch-0.log").exists());
 }
 
+/// Starts the state service alone; returns its process and address.
 fn serve(file: &Path) -> (Child, SocketAddr) {
     let mut child = Command::new(PROGRAM)
         .args(["state", "--listen", "127.0.0.1:0"])
@@ -74,34 +76,34 @@
     (child, line.trim().rsplit(' ').next().unwrap().parse().unwrap())
 }
 
-/// Kills the state service while it writes, again and again. Every answered
+/// Kills the state service while it writes, four times. Afterwards every answered
 /// transaction must be there in whole, and no unanswered one in part.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_killed_state_service_keeps_what_it_answered() {
+async fn killed_state_service_keeps_every_answered_transaction() {
     let dir = tempfile::tempdir().unwrap();
     let file = dir.path().join("state.redb");
     let mut answered: HashMap<String, u64> = HashMap::new();
-    let second = Duration::from_secs(1);
-    for life in 0..4u64 {
+    let timeout = Duration::from_secs(1);
+    for run_no in 0..4u64 {
         let (mut child, address) = serve(&file);
         let mut killed = tokio::task::spawn_blocking(move || {
-            std::thread::sleep(Duration::from_millis(150 + life * 37));
+            std::thread::sleep(Duration::from_millis(150 + run_no * 37));
             child.kill().unwrap();
             child.wait().unwrap();
         });
         let mut connection = Connection::default();
         for i in 0..100_000u64 {
-            let name = format!("{life}-{i}");
+            let name = format!("{run_no}-{i}");
             let put = |side: &str| {
                 let data = ciborium::Value::Text(name.clone());
                 Op::Put { key: format!("{side}/{name}"), data, lease: None }
             };
             let conditions = vec![Condition { key: format!("a/{name}"), version: 0 }];
             let txn = Txn { conditions, ops: vec![put("a"), put("b")] };
-            match connection.post(address, TXN, encode(&txn), second).await {
+            match connection.post(address, TXN, encode(&txn), timeout).await {
                 Some(r) if r.status == 200 => {
-                    let at = decode::<TxnResponse>(&r.body).unwrap().revision;
-                    answered.insert(name, at);
+                    let revision = decode::<TxnResponse>(&r.body).unwrap().revision;
+                    answered.insert(name, revision);
                 }
                 Some(r) => panic!("status {}", r.status),
                 None => break,
@@ -128,14 +130,14 @@
     }
     child.kill().unwrap();
     child.wait().unwrap();
-    for (name, at) in &answered {
-        assert_eq!(found.get(name), Some(&vec![*at, *at]), "{name} was answered");
+    for (name, revision) in &answered {
+        assert_eq!(found.get(name), Some(&vec![*revision, *revision]), "{name} was answered");
     }
-    assert!(found.values().all(|v| v.len() == 2), "a transaction is there in part");
-    assert!(found.len() <= answered.len() + 4, "at most one a life was under way");
+    assert!(found.values().all(|v| v.len() == 2), "part of a transaction is there");
+    assert!(found.len() <= answered.len() + 4, "more than one unanswered transaction for each kill");
 }
 
-/// One GET over a connection of its own.
+/// Sends one GET over a new connection; returns the body.
 fn get(address: SocketAddr, path: &str) -> Vec<u8> {
     let mut s = TcpStream::connect(address).unwrap();
     s.set_read_timeout(Some(Duration::from_secs(5))).unwrap();
@@ -146,14 +148,15 @@
     bytes.split_off(head)
 }
 
-/// Garbage on a port gets 400 or a closed connection, and the next caller an answer.
+/// An invalid request gets a 4xx status or a closed connection, and the next one is served.
 #[test]
-fn garbage_is_answered_or_closed_and_harms_nobody() {
+fn invalid_requests_are_refused_and_do_not_disturb_others() {
     let dir = tempfile::tempdir().unwrap();
     let (mut child, address) = serve(&dir.path().join("state.redb"));
     let long = [b"GET /".to_vec(), vec![b'a'; 200_000]].concat();
     let huge = b"POST /multi HTTP/1.1\r\nHost: x\r\nContent-Length: 99999999\r\n\r\nxx".to_vec();
-    let nest = [b"POST /multi HTTP/1.1\r\nHost: x\r\nContent-Length: 3000\r\n\r\n".to_vec(), vec![0x81; 3000]].concat();
+    let deeply_nested =
+        [b"POST /multi HTTP/1.1\r\nHost: x\r\nContent-Length: 3000\r\n\r\n".to_vec(), vec![0x81; 3000]].concat();
     let inputs: Vec<Vec<u8>> = vec![
         b"\0\xff\x13\x37 nonsense\r\n\r\n".to_vec(),
         b"GET /store/a%20b HTTP/9.9\r\n\r\n".to_vec(),
@@ -162,7 +165,7 @@
         b"GET /follow?starts=a&after=-1 HTTP/1.1\r\nHost: x\r\n\r\n".to_vec(),
         long,
         huge,
-        nest,
+        deeply_nested,
     ];
     for bytes in inputs {
         let mut s = TcpStream::connect(address).unwrap();
@@ -180,13 +183,13 @@
     child.wait().unwrap();
 }
 
-/// However the emulator is asked to end, no child may be left behind.
+/// Whichever signal ends the emulator, no child may be left behind.
 #[test]
-fn ending_it_ends_every_child() {
+fn signal_ends_every_child() {
     use std::os::unix::fs::PermissionsExt;
     for signal in [rustix::process::Signal::INT, rustix::process::Signal::TERM] {
         let dir = tempfile::tempdir().unwrap();
-        // Stands in for a controller: notes its process and stays.
+        // Stands in for a controller: writes its process id to a file and keeps running.
         let stub = dir.path().join("stub");
         let pids = dir.path().join("pids");
         let text = format!("#!/bin/sh\necho $$ >> {}\nexec sleep 60\n", pids.display());
@@ -198,10 +201,10 @@
             .stdout(Stdio::piped())
             .spawn()
             .unwrap();
-        let started = |text: &str| text.lines().count() == 3;
-        let until = std::time::Instant::now() + Duration::from_secs(20);
-        while !std::fs::read_to_string(&pids).is_ok_and(|t| started(&t)) {
-            assert!(std::time::Instant::now() < until, "the children did not start");
+        let all_started = |text: &str| text.lines().count() == 3;
+        let deadline = std::time::Instant::now() + Duration::from_secs(20);
+        while !std::fs::read_to_string(&pids).is_ok_and(|text| all_started(&text)) {
+            assert!(std::time::Instant::now() < deadline, "the children did not start");
             std::thread::sleep(Duration::from_millis(20));
         }
         let pid = rustix::process::Pid::from_raw(child.id() as i32).unwrap();
--- a/tests/emulator.rs
+++ b/tests/emulator.rs
@@ -1,6 +1,6 @@
-//! Real controllers on loopback, played by the emulator: load, a killed
-//! controller, a killed state service, a machine that dies, a late write.
-//! Bounded to well under a minute; ports are free ones.
+//! Runs real controllers on loopback under the emulator, with load and faults: a killed
+//! controller, a killed state service, a machine that fails, late writes. It takes
+//! well under a minute and uses free ports only.
 
 use finchquay_client::Client;
 use finchquay_emulator::run::{Options, play};
@@ -94,17 +94,20 @@
         front: Some(front),
         watcher: None,
     };
-    let guest = tokio::spawn(guest(front));
+    let user = tokio::spawn(user_beside_the_load(front));
     let outcome = play(options, std::future::pending()).await.unwrap();
-    assert_eq!(guest.await.unwrap(), Status::Done, "a job beside the load, through the way in");
-    let v = &outcome.verdict;
-    assert!(v.holds() && v.settled, "{:#?}", v.violations);
-    assert!(v.accepted >= 10 && v.accepted == v.confirmed_done + v.confirmed_cancelled, "{v:?}");
-    assert!(v.tasks_done >= 20, "{v:?}");
+    assert_eq!(user.await.unwrap(), Status::Done, "a job submitted through the entry point, beside the load");
+    let verdict = &outcome.verdict;
+    assert!(verdict.holds() && verdict.settled, "{:#?}", verdict.violations);
+    assert!(
+        verdict.accepted >= 10 && verdict.accepted == verdict.confirmed_done + verdict.confirmed_cancelled,
+        "{verdict:?}"
+    );
+    assert!(verdict.tasks_done >= 20, "{verdict:?}");
 }
 
-/// A user beside the load, as `finchquayctl` is one.
-async fn guest(front: SocketAddr) -> Status {
+/// Submits a job through the entry point, as `finchquayctl` does, and waits for its end.
+async fn user_beside_the_load(front: SocketAddr) -> Status {
     tokio::time::sleep(Duration::from_secs(1)).await;
     let client = Client::new([front]).unwrap();
     let spec = JobSpec { team: "t".into(), estimated_run_s: 1.0, ..JobSpec::example("run-777000001") };
