--- a/src/state/cluster_state.rs
+++ b/src/state/cluster_state.rs
@@ -1,4 +1,6 @@
-//! A controller's replica of the store: all records, and what follows from them.
+//! A controller's replica of the store: all records, and the state derived from them.
+
+#![warn(missing_docs)]
 
 use super::job::{EndedJob, Job};
 use super::keys::{Key, parse_key};
@@ -14,106 +16,121 @@
 use ciborium::Value;
 use std::collections::{BTreeMap, HashMap};
 
-/// A replica of the store.
+/// A replica of the store, updated by the changes that the store's watch delivers.
 #[derive(Debug, Default)]
 pub struct ClusterState {
-    /// The applied revision: every change up to it has been applied.
+    /// The revision of the replica: every change up to it has been applied.
     pub revision: u64,
-    /// The newest revision of which any change is known here, be it by the watch, by a
-    /// response or by a page of a read. No answer or action depends on a newer one.
+    /// The newest revision at which the controller knows of a change, from the watch, from a
+    /// response of the store or from a page of a read. No answer or action depends on a newer
+    /// one.
     known_revision: u64,
-    /// Changes up to this revision may have been acted on before this replica was read.
-    /// Until it has applied them all, it must not be taken for complete.
-    inherited_revision: u64,
+    /// The newest revision known to the replica that this one succeeds. The controller may
+    /// have acted on changes up to it, so this replica is incomplete until it has applied
+    /// them all.
+    predecessor_revision: u64,
     /// The number of tasks of a checkpoint.
     pub checkpoint_size: u32,
+    /// The live controllers, by name.
     pub members: Versions<MemberRecord>,
-    /// Counts the changes of members and of the leader.
+    /// The number of changes of members and of the leader that this replica has applied.
     pub members_changed: u64,
+    /// The current leader.
     pub leader: Option<Versioned<LeaderRecord>>,
+    /// The newest term, and the format of all records.
     pub term: Option<Versioned<TermRecord>>,
+    /// The machine types that the cloud offers.
     pub catalog: Option<Versioned<CatalogRecord>>,
+    /// The progress of the maintenance campaigns.
     pub maintenance: Option<Versioned<MaintenanceRecord>>,
+    /// The machine groups, by the name of their first machine.
     pub machine_groups: Versions<MachineGroupRecord>,
-    /// Grants of whole shards, by member.
+    /// The shard grants, by member.
     pub shards: Versions<ShardGrantRecord>,
-    /// The machines of all groups, with the version of their group.
+    /// The machines of all groups, by name, with the version of their group.
     pub machines: Versions<MachineRecord>,
-    /// The version of the key that changes with every group of several machines.
+    /// The version of `MACHINE_GROUPS_KEY`, which changes with every group of several
+    /// machines.
     pub machine_groups_version: u64,
-    /// Counts the changes of `machines`.
+    /// The number of changes of `machines` that this replica has applied.
     pub machines_changed: u64,
+    /// The jobs that are not over, and cancelled ones that may still have tasks on machines,
+    /// by uid.
     pub jobs: BTreeMap<String, Job>,
+    /// The results of the jobs that are over, by uid.
     pub ended: HashMap<Box<str>, EndedJob>,
     /// The tasks placed on each machine.
     pub placed: HashMap<String, PlacedTasks>,
-    /// What they take up, by machine.
+    /// The total load of the placed tasks, by machine.
     pub loads: HashMap<String, MachineLoad>,
-    /// Jobs that were recorded as done: the specification and the time of submission in
-    /// milliseconds. The controller empties the list.
+    /// Jobs that were recorded as done: the specification, and the time of submission in
+    /// milliseconds since the Unix epoch. The controller drains this queue.
     pub finished: Vec<(JobSpec, u64)>,
     /// The controllers' logs, by member.
     pub logs: BTreeMap<String, MemberLog>,
-    /// Jobs without tasks left, whose end is to be recorded. The controller empties the
-    /// list.
+    /// The uids of jobs that are complete and whose end is to be recorded. The controller
+    /// drains this queue.
     pub complete: Vec<String>,
-    /// Jobs that have been cancelled, whose tasks are to be stopped. The controller
-    /// empties the list.
+    /// The uids of newly cancelled jobs, whose tasks are to be stopped. The controller drains
+    /// this queue.
     pub let_go: Vec<String>,
+    /// Whether the task starts of teams with a quota limit are serialized, by team.
     pub teams: Versions<TeamRecord>,
-    /// Present while the whole store is being read.
+    /// The segments collected so far, while the whole store is being read; `None` otherwise.
     pub(super) snapshot: Option<SnapshotSegments>,
-    /// Checkpoints that were read before the record of their job, by job and number.
+    /// Checkpoints that arrived before the record of their job, by job and number.
     pub(super) checkpoints_without_job: BTreeMap<String, BTreeMap<u32, Versioned<TaskRangeCheckpoint>>>,
 }
 
 impl ClusterState {
-    /// An empty replica with checkpoints of `checkpoint_size` tasks.
+    /// Creates an empty replica with checkpoints of `checkpoint_size` tasks.
     pub fn new(checkpoint_size: u32) -> ClusterState {
         ClusterState { checkpoint_size, ..ClusterState::default() }
     }
 
-    /// A replica to be filled by reading the whole store page by page, the first page at
-    /// `revision`. Ends with `loaded`.
+    /// Creates a replica to be filled by reading the whole store page by page, the first page
+    /// at `revision`. `loaded` completes the read.
     pub fn loading(checkpoint_size: u32, revision: u64) -> ClusterState {
         ClusterState { snapshot: Some(SnapshotSegments::new(revision)), ..ClusterState::new(checkpoint_size) }
     }
 
-    /// The format of the records according to the last leader; 0 before there were logs.
+    /// The format of the records as recorded by the last leader; 0 for state without task
+    /// logs.
     pub fn format_version(&self) -> u32 {
         self.term.as_ref().map_or(0, |term| term.rec.format_version)
     }
 
-    /// Notes that every change up to `revision` has been applied.
+    /// Records that every change up to `revision` has been applied.
     pub fn reached(&mut self, revision: u64) {
         self.revision = self.revision.max(revision);
         self.observe_revision(revision);
     }
 
-    /// Notes that a change at `revision` is known, though perhaps not all those before it.
+    /// Records that a change at `revision` is known, though perhaps not all earlier ones.
     pub fn observe_revision(&mut self, revision: u64) {
         self.known_revision = self.known_revision.max(revision);
     }
 
-    /// The newest revision of which any change is known.
+    /// The newest revision at which a change is known.
     pub fn known_revision(&self) -> u64 {
         self.known_revision
     }
 
-    /// Makes this replica the successor of an older one. Responses may have arrived while
-    /// this one was read, and what was answered because of them remains answered.
+    /// Makes this replica the successor of an older one. Responses of the store may have
+    /// arrived while this one was read, and what the controller answered because of them
+    /// cannot be taken back.
     pub fn follows(&mut self, older: &ClusterState) {
         self.observe_revision(older.known_revision);
-        self.inherited_revision = older.known_revision;
+        self.predecessor_revision = older.known_revision;
     }
 
-    /// Whether this replica contains every change that its predecessor knew.
+    /// Whether this replica has applied every change that its predecessor knew of.
     pub fn has_applied_all_known(&self) -> bool {
-        self.revision >= self.inherited_revision
+        self.revision >= self.predecessor_revision
     }
 
-    /// Applies a put, unless the known record is as new. A key or a value of unknown form
-    /// is ignored.
+    /// Applies a put, unless the replica already has this version of the record or a later
+    /// one. Unknown keys and unreadable values are ignored.
     pub fn put(&mut self, key: &str, data: &Value, version: u64) {
         self.observe_revision(version);
         let Some(key) = parse_key(key) else { return };
@@ -159,7 +176,7 @@
         }
     }
 
-    /// Applies a deletion, unless the known record is newer.
+    /// Applies a deletion, unless the replica already has a later version of the record.
     pub fn delete(&mut self, key: &str, version: u64) {
         self.observe_revision(version);
         let Some(key) = parse_key(key) else { return };
@@ -174,7 +191,8 @@
                 remove_named(&mut self.members, name, version);
             }
             Key::MachineGroup(name) => self.delete_machine_group(name, version),
-            // Jobs are never deleted, and checkpoints only with the end of their job.
+            // Jobs are never deleted. Checkpoints are deleted only once their job is over, and the
+            // replica drops them with the job.
             Key::Job(_)
             | Key::TaskRangeCheckpoint(..)
             | Key::LogSegment(..)
--- a/src/state/cluster_state/tests.rs
+++ b/src/state/cluster_state/tests.rs
@@ -1,14 +1,15 @@
-//! What a replica knows that it has not applied yet.
+//! Tests of replicas that have not applied all changes known to the controller.
 
 use super::*;
 use crate::protocol::user::Status;
 use crate::state::records::JobRecord;
 use crate::state::versioned::to_value;
 
-/// The store was read again while a cancellation was answered: the new replica did not
-/// contain it yet, and other controllers would have heard from it that there was none.
+/// If a cancellation is answered while the store is being read again, the new replica does
+/// not contain it yet. Without this check, the controller would tell the others that there was
+/// no cancellation.
 #[test]
-fn a_replica_read_again_knows_that_it_is_incomplete() {
+fn a_replica_is_incomplete_until_it_has_applied_what_its_predecessor_knew() {
     let mut older = ClusterState::new(8);
     let rec = JobRecord {
         spec: Some(JobSpec::example("run-1")),
--- a/src/state/index_ranges.rs
+++ b/src/state/index_ranges.rs
@@ -1,7 +1,10 @@
-//! Sets of task indexes as sorted lists of inclusive ranges, the form in which
+//! Sets of task indexes as sorted lists of disjoint inclusive ranges, the form in which
 //! checkpoints store them.
 
-/// Adds `index` to a sorted list of disjoint inclusive ranges.
+#![warn(missing_docs)]
+
+/// Adds `index` to a sorted list of disjoint inclusive ranges, and joins ranges that become
+/// adjacent.
 pub fn add_to_ranges(ranges: &mut Vec<(u32, u32)>, index: u32) {
     let at = ranges.partition_point(|range| range.1 < index);
     if ranges.get(at).is_some_and(|range| range.0 <= index) {
--- a/src/state/job.rs
+++ b/src/state/job.rs
@@ -1,4 +1,6 @@
-//! Jobs and the state of their tasks.
+//! Jobs in the replica, and the state of their tasks.
+
+#![warn(missing_docs)]
 
 use super::index_ranges::{add_to_ranges, in_ranges};
 use super::log_segment::Facts;
@@ -12,9 +14,12 @@
 /// A job that is not over, or is cancelled and may still have tasks on machines.
 #[derive(Debug)]
 pub struct Job {
+    /// The job's specification.
     pub spec: JobSpec,
+    /// The job's record.
     pub rec: Versioned<JobRecord>,
-    /// The state of its tasks, by checkpoint number; absent where nothing has started.
+    /// The state of the job's tasks, by checkpoint number. A checkpoint has no entry as long as
+    /// none of its tasks has started.
     pub chunks: BTreeMap<u32, TaskRangeState>,
     /// The number of completed tasks.
     pub done: u32,
@@ -22,65 +27,75 @@
     pub placed: u32,
 }
 
-/// What is kept of a job that is over.
+/// The result of a job that is over.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EndedJob {
+    /// The final status, `Done` or `Cancelled`.
     pub status: Status,
+    /// The number of tasks of the job.
     pub task_count: u32,
 }
 
-/// The state of the tasks of one checkpoint: the checkpoint and the log entries since.
+/// The state of the tasks that share one checkpoint: the stored checkpoint with the log
+/// entries since then applied to it.
 #[derive(Debug, Clone, Default)]
 pub struct TaskRangeState {
+    /// The current state, in the form of a checkpoint.
     pub rec: TaskRangeCheckpoint,
     /// The version of the checkpoint in the store; 0 if there is none.
     pub version: u64,
-    /// The revision of the newest segment contained in `rec`.
+    /// The revision of the newest segment or checkpoint that `rec` contains.
     pub last: u64,
 }
 
-/// How a segment changed the placements of a range of tasks.
+/// The changes that the entries of a segment made to the tasks of one checkpoint.
 #[derive(Debug, Default)]
 pub(super) struct TaskRangeChanges {
+    /// The number of tasks that completed.
     pub(super) completed: u32,
+    /// The placements that were added.
     pub(super) started: Vec<Placement>,
+    /// The placements that were removed.
     pub(super) removed: Vec<Placement>,
 }
 
 impl Job {
+    /// Creates a job none of whose tasks has started.
     pub(super) fn new(spec: JobSpec, rec: Versioned<JobRecord>) -> Job {
         Job { spec, rec, chunks: BTreeMap::new(), done: 0, placed: 0 }
     }
 
-    /// The number of checkpoints of `size` tasks that the job's tasks take.
+    /// The number of checkpoints, of `size` tasks each, that cover the job's tasks.
     pub fn checkpoint_count(&self, size: u32) -> u32 {
         self.spec.task_count.div_ceil(size)
     }
 
+    /// Whether the job has been cancelled.
     pub fn cancelled(&self) -> bool {
         self.rec.rec.end == Some(Status::Cancelled)
     }
 
-    /// Whether no task is left to start or to wait for, so that its end can be recorded.
+    /// Whether no task is left to start or to wait for, so that the job's end can be
+    /// recorded.
     pub fn complete(&self) -> bool {
         if self.cancelled() { self.placed == 0 } else { self.done >= self.spec.task_count }
     }
 
-    /// Whether the task has completed; checkpoints have `size` tasks each.
+    /// Whether the task has completed. Checkpoints have `size` tasks each.
     pub fn is_done(&self, index: u32, size: u32) -> bool {
         let range = self.chunks.get(&(index / size));
         range.is_some_and(|range| in_ranges(&range.rec.done, index))
     }
 
-    /// The placement of the task if it was started and has not ended; checkpoints have
-    /// `size` tasks each.
+    /// The placement of the task, if it was started and has not ended. Checkpoints have `size`
+    /// tasks each.
     pub fn place(&self, index: u32, size: u32) -> Option<&Placement> {
         let range = self.chunks.get(&(index / size))?;
         range.rec.on.iter().find(|placement| placement.index == index)
     }
 
-    /// The tasks that are neither completed nor started, in order; checkpoints have `size`
-    /// tasks each.
+    /// The indexes of the tasks that are neither completed nor started, in ascending order.
+    /// Empty if the job is cancelled. Checkpoints have `size` tasks each.
     pub fn waiting(&self, size: u32) -> Vec<u32> {
         if self.cancelled() || self.done + self.placed >= self.spec.task_count {
             return Vec::new();
@@ -99,11 +114,12 @@
         (0..self.spec.task_count).filter(|index| !taken[*index as usize]).collect()
     }
 
-    /// The number of tasks that are neither completed nor started.
+    /// The number of tasks that are neither completed nor started; 0 if the job is cancelled.
     pub fn waiting_count(&self) -> u32 {
         if self.cancelled() { 0 } else { self.spec.task_count.saturating_sub(self.done + self.placed) }
     }
 
+    /// The status of the job as users see it.
     pub fn status(&self) -> Status {
         if self.cancelled() {
             return Status::Cancelled;
@@ -111,14 +127,15 @@
         if self.placed > 0 { Status::Running } else { Status::Queued }
     }
 
-    /// All placements of its tasks, by checkpoint.
+    /// All placements of the job's tasks, in the order of checkpoints.
     pub(super) fn placements(&self) -> impl Iterator<Item = &Placement> {
         self.chunks.values().flat_map(|range| &range.rec.on)
     }
 }
 
 impl TaskRangeState {
-    /// Applies the log entries about the tasks with these indexes.
+    /// Applies the log entries about the tasks with these indexes, and returns the changes that
+    /// they made.
     pub(super) fn replay(&mut self, entries: &Facts, indexes: Range<u32>) -> TaskRangeChanges {
         let mut changes = TaskRangeChanges::default();
         self.replay_completions(entries, indexes.clone(), &mut changes);
--- a/src/state/job_table.rs
+++ b/src/state/job_table.rs
@@ -1,4 +1,6 @@
-//! The jobs of a replica: their records, cancellation and end.
+//! The jobs of a replica: how their records, their cancellation and their end are applied.
+
+#![warn(missing_docs)]
 
 use super::cluster_state::ClusterState;
 use super::job::{EndedJob, Job};
@@ -9,18 +11,18 @@
 use std::collections::BTreeMap;
 
 impl ClusterState {
-    /// Jobs that were cancelled after revision `since` and may still have tasks on
-    /// machines, with the newest revision of their record.
+    /// Jobs that were cancelled after revision `since` and may still have tasks on machines,
+    /// each with the revision of its record.
     ///
-    /// A job that is over is left out: it is recorded as over only once each of its tasks
-    /// is proved gone.
+    /// Jobs that are over are left out: a job is recorded as over only once each of its tasks
+    /// is proved to be gone.
     pub fn cancelled_since(&self, since: u64) -> impl Iterator<Item = (&String, u64)> {
         let jobs = self.jobs.iter().filter(move |(_, job)| job.cancelled() && job.rec.version > since);
         jobs.map(|(uid, job)| (uid, job.rec.version))
     }
 
-    /// Applies a cancellation that another controller has reported, made at a `revision`
-    /// that has not been applied here yet.
+    /// Applies a cancellation that another controller has reported. It was stored at
+    /// `revision`, which this replica may not have applied yet.
     pub fn cancelled_elsewhere(&mut self, uid: &str, revision: u64) {
         let Some(job) = self.jobs.get(uid).filter(|job| !job.cancelled()) else { return };
         let record = JobRecord { end: Some(Status::Cancelled), ..job.rec.rec.clone() };
@@ -28,13 +30,14 @@
         self.put_job(uid, record, revision);
     }
 
-    /// Whether no task of the job may start or keep running: it is cancelled, over or
-    /// unknown.
+    /// Whether no task of the job may start or keep running, because the job is cancelled, over
+    /// or unknown.
     pub fn must_not_run(&self, uid: &str) -> bool {
         self.jobs.get(uid).is_none_or(Job::cancelled)
     }
 
-    /// The status of a job, and its numbers of completed and of placed tasks.
+    /// The status of a job, and the numbers of its completed and of its placed tasks. `None` if
+    /// the job is unknown.
     pub fn status(&self, uid: &str) -> Option<(Status, u32, u32)> {
         if let Some(ended) = self.ended.get(uid) {
             let done = if ended.status == Status::Done { ended.task_count } else { 0 };
@@ -44,8 +47,8 @@
         Some((job.status(), job.done, job.placed))
     }
 
-    /// The number of tasks that are or may be on machines, by zone. Empty for a job
-    /// without zone affinity or anti-affinity.
+    /// The number of the job's tasks that are or may be on machines, by zone. Empty for a job
+    /// that has neither zone affinity nor zone anti-affinity.
     pub fn tasks_by_zone(&self, job: &Job) -> BTreeMap<String, u32> {
         let mut tasks_by_zone = BTreeMap::new();
         if !job.spec.zone_affinity && !job.spec.zone_anti_affinity {
@@ -87,6 +90,8 @@
         self.ended.insert(uid.into(), ended);
     }
 
+    /// Applies a newer record of a known job, and queues the job if it is newly cancelled or has
+    /// become complete.
     fn update_job(&mut self, uid: &str, record: JobRecord, version: u64) {
         let Some(job) = self.jobs.get_mut(uid).filter(|job| version > job.rec.version) else { return };
         let was_cancelled = job.cancelled();
@@ -97,7 +102,7 @@
         self.queue_if_complete(uid);
     }
 
-    /// Adds a job, and applies checkpoints that were read before its record.
+    /// Adds a job, and applies the checkpoints that arrived before its record.
     fn add_job(&mut self, uid: &str, spec: JobSpec, record: JobRecord, version: u64) {
         let job = Job::new(spec, Versioned { rec: record, version });
         self.jobs.insert(uid.to_string(), job);
@@ -107,6 +112,7 @@
         }
     }
 
+    /// Removes a job, its placements and its share of the machines' loads.
     fn drop_job(&mut self, uid: &str) {
         if let Some(job) = self.jobs.remove(uid) {
             for placement in job.placements() {
@@ -116,7 +122,7 @@
         self.checkpoints_without_job.remove(uid);
     }
 
-    /// Queues the job for the recording of its end if no task of it is left.
+    /// Queues the job to have its end recorded if it is complete.
     pub(super) fn queue_if_complete(&mut self, uid: &str) {
         if self.jobs.get(uid).is_some_and(Job::complete) {
             self.complete.push(uid.to_string());
--- a/src/state/keys.rs
+++ b/src/state/keys.rs
@@ -1,16 +1,19 @@
-//! The keys under which records are kept in the store. All of them share one prefix, so
-//! that one watch sees every change.
+//! The keys under which records are kept in the store. All of them share one prefix, so that
+//! a single watch delivers every change.
+
+#![warn(missing_docs)]
 
 /// The prefix of all keys.
 pub const PREFIX: &str = "fq/";
-/// A key that is never written: reading it returns the store's current revision.
+/// A key that is never written. Reading it returns the store's current revision.
 pub const BARRIER_KEY: &str = "fq/none";
 /// The key of `TermRecord`.
 pub const TERM_KEY: &str = "fq/term";
 /// The key of `LeaderRecord`.
 pub const LEADER_KEY: &str = "fq/lead";
-/// Changed together with every machine group of several machines, so that a controller
-/// that has not seen the group cannot record one of its machines a second time.
+/// A key that changes together with every machine group of several machines. A write that
+/// requires its version fails for a controller that has not seen the newest such group, so no
+/// machine of the group is recorded a second time.
 pub const MACHINE_GROUPS_KEY: &str = "fq/packs";
 /// The key of `CatalogRecord`.
 pub const CATALOG_KEY: &str = "fq/catalog";
@@ -21,12 +24,13 @@
 /// The prefix of the keys of `TeamRecord`.
 pub const TEAMS_PREFIX: &str = "fq/q/";
 
-/// The slots of a controller's log, which is a ring buffer of segments. The next segment
-/// overwrites the oldest one, whose contents must be in checkpoints by then.
+/// The number of slots of a controller's log, which is a ring buffer of segments. Once all
+/// slots are used, the next segment overwrites the oldest one, whose contents must be in
+/// checkpoints by then.
 ///
-/// At two segments a second an array job of the usual length ends before its segments
-/// are overwritten, so that most of them never need a checkpoint; reading the store takes
-/// a few more pages in return.
+/// At two segments a second, an array job of the usual length ends before its segments are
+/// overwritten, so most segments never need a checkpoint. In return, reading the store takes a
+/// few more pages.
 pub const LOG_SLOTS: u64 = 256;
 
 /// The key of a member's `MemberRecord`.
@@ -44,12 +48,12 @@
     format!("fq/j/{uid}")
 }
 
-/// The key of the log slot that the member's segment `seq` is written to.
+/// The key of the log slot to which the member's segment number `seq` is written.
 pub fn log_key(member: &str, seq: u64) -> String {
     format!("fq/l/{member}/{}", seq % LOG_SLOTS)
 }
 
-/// The key of the `TaskRangeCheckpoint` number `chunk` of a job.
+/// The key of a job's `TaskRangeCheckpoint` with the number `chunk`.
 pub fn checkpoint_key(uid: &str, chunk: u32) -> String {
     format!("fq/t/{uid}/{chunk}")
 }
@@ -64,27 +68,32 @@
     format!("fq/h/{name}")
 }
 
-/// A parsed key.
+/// A parsed key of the store.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Key<'a> {
+    /// `TERM_KEY`.
     Term,
+    /// `LEADER_KEY`.
     Leader,
+    /// `MACHINE_GROUPS_KEY`.
     MachineGroups,
+    /// `CATALOG_KEY`.
     Catalog,
+    /// `MAINTENANCE_KEY`.
     Maintenance,
-    /// A member.
+    /// A `MemberRecord`: the member's name.
     Member(&'a str),
-    /// A shard grant, by member.
+    /// A `ShardGrantRecord`: the member's name.
     ShardGrant(&'a str),
-    /// A job.
+    /// A `JobRecord`: the job's uid.
     Job(&'a str),
-    /// A task-range checkpoint: job and number.
+    /// A `TaskRangeCheckpoint`: the job's uid and the checkpoint's number.
     TaskRangeCheckpoint(&'a str, u32),
-    /// A log segment: member and slot.
+    /// A log segment: the member's name and the slot.
     LogSegment(&'a str, u64),
-    /// A machine group.
+    /// A `MachineGroupRecord`: the name of the group's first machine.
     MachineGroup(&'a str),
-    /// A team.
+    /// A `TeamRecord`: the team's name.
     Team(&'a str),
 }
 
@@ -100,6 +109,7 @@
     }
 }
 
+/// Parses a key that contains the name of a record, `fq/KIND/NAME`.
 fn parse_named_key(key: &str) -> Option<Key<'_>> {
     let (kind, name) = key.strip_prefix(PREFIX)?.split_once('/')?;
     match kind {
@@ -113,14 +123,14 @@
             Some(Key::LogSegment(member, slot.parse().ok()?))
         }
         "t" => {
-            let (uid, chunk) = name.rsplit_once('/')?;
-            Some(Key::TaskRangeCheckpoint(uid, chunk.parse().ok()?))
+            let (uid, number) = name.rsplit_once('/')?;
+            Some(Key::TaskRangeCheckpoint(uid, number.parse().ok()?))
         }
         _ => None,
     }
 }
 
-/// Whether the key is never deleted once it exists.
+/// Whether a key of this form is never deleted once it exists; false for unknown keys.
 pub fn lasts(key: &str) -> bool {
     match parse_key(key) {
         Some(Key::Leader | Key::Member(_) | Key::MachineGroup(_) | Key::TaskRangeCheckpoint(..)) | None => false,
--- a/src/state/log_replay.rs
+++ b/src/state/log_replay.rs
@@ -1,8 +1,10 @@
 //! Replay of the controllers' logs and of task-range checkpoints.
 //!
-//! A replica that follows the store's watch applies every segment when it arrives. One
-//! that reads the whole store meets the segments in the order of their keys; it collects
-//! them and replays them by revision once everything has been read.
+//! A replica that follows the store's watch applies every segment when it arrives. A replica
+//! that reads the whole store gets the segments in the order of their keys, so it collects
+//! them and replays them in the order of their revisions once everything has been read.
+
+#![warn(missing_docs)]
 
 use super::cluster_state::ClusterState;
 use super::index_ranges::count_ranges;
@@ -14,31 +16,36 @@
 use crate::protocol::user::TASKS_LIMIT;
 use std::collections::{BTreeMap, HashMap};
 
-/// A controller's log as far as its segments are known.
+/// What a replica knows of a controller's log.
 #[derive(Debug, Default)]
 pub struct MemberLog {
-    /// The number of its newest segment.
+    /// The number of the newest segment.
     pub seq: u64,
+    /// The slots that have been written, by number.
     pub slots: BTreeMap<u64, LogSlot>,
 }
 
 /// The segment in one slot of a log.
 #[derive(Debug, Clone, Default)]
 pub struct LogSlot {
+    /// The revision at which the segment was written.
     pub version: u64,
+    /// The number of the segment in its log.
     pub seq: u64,
-    /// The checkpoints that the segment has entries for: job and number.
+    /// The checkpoints on whose tasks the segment has entries: the job's uid and the
+    /// checkpoint's number.
     pub touched: Vec<(String, u32)>,
 }
 
-/// The segments met while the store is read.
+/// The segments collected while the whole store is being read.
 #[derive(Debug)]
 pub(super) struct SnapshotSegments {
-    /// The store's revision when the read began. Later segments arrive with the watch.
+    /// The store's revision when the read began. The watch delivers later segments.
     revision: u64,
     segments: Vec<UnreplayedSegment>,
 }
 
+/// A segment that has been read but not replayed yet.
 #[derive(Debug)]
 struct UnreplayedSegment {
     version: u64,
@@ -48,6 +55,7 @@
 }
 
 impl SnapshotSegments {
+    /// No segments yet, of a read that began at `revision`.
     pub(super) fn new(revision: u64) -> SnapshotSegments {
         SnapshotSegments { revision, segments: Vec::new() }
     }
@@ -65,7 +73,8 @@
         self.reached(revision);
     }
 
-    /// Applies a log segment, or keeps it for later while the store is being read.
+    /// Applies a log segment. While the whole store is being read, the segment is collected
+    /// instead, to be replayed at the end of the read.
     pub(super) fn put_segment(&mut self, member: &str, slot: u64, record: LogSegmentRecord, version: u64) {
         if let Some(snapshot) = &mut self.snapshot {
             if version <= snapshot.revision {
@@ -78,7 +87,7 @@
             return;
         }
         let entries = record.facts(TASKS_LIMIT).unwrap_or_else(|error| {
-            tracing::error!(%member, slot, %error);
+            tracing::error!(%member, slot, %error, "invalid log segment");
             BTreeMap::new()
         });
         log.seq = log.seq.max(record.seq);
@@ -89,8 +98,8 @@
         }
     }
 
-    /// Replays entries about one job's tasks. A checkpoint that contains the segment is
-    /// left as it is, and a job that is over needs no entries.
+    /// Replays the entries of a segment about one job's tasks. Entries are skipped where the
+    /// checkpoint already contains the segment, and for a job that is over.
     fn replay_job_entries(&mut self, uid: &str, entries: &Facts, version: u64) {
         let size = self.checkpoint_size;
         let Some(job) = self.jobs.get_mut(uid) else { return };
@@ -109,9 +118,9 @@
         self.queue_if_complete(uid);
     }
 
-    /// Applies a checkpoint. It contains nothing that segments do not, so it matters only
-    /// where not all of them are known here: while the store is being read, and for
-    /// records written by versions without task logs.
+    /// Applies a checkpoint. It contains nothing that the segments before it did not, so it
+    /// matters only to a replica that lacks some of them: while the store is being read, and
+    /// for records written by versions without task logs.
     pub(super) fn put_checkpoint(&mut self, uid: &str, number: u32, record: TaskRangeCheckpoint, version: u64) {
         if self.ended.contains_key(uid) {
             return;
@@ -135,8 +144,8 @@
     }
 }
 
-/// Replaces a checkpoint of the job by a newer one and returns the old one; `None` if the
-/// replica has all that the new one contains.
+/// Replaces the state of the tasks of one checkpoint by a newer checkpoint, and returns the
+/// old state. `None` if the replica already has all that the newer checkpoint contains.
 fn replace_checkpoint(
     job: &mut Job,
     number: u32,
@@ -159,7 +168,7 @@
     Some(std::mem::replace(&mut range.rec, record))
 }
 
-/// Updates the job's counts and the machines' loads after a replay.
+/// Updates the job's counts and the machines' loads by the changes that a replay made.
 fn apply_changes(
     job: &mut Job,
     placed: &mut HashMap<String, PlacedTasks>,
@@ -177,7 +186,8 @@
     }
 }
 
-/// The checkpoints that a segment has entries for: job and number.
+/// The checkpoints, of `size` tasks each, on whose tasks a segment has entries: the job's uid
+/// and the checkpoint's number.
 fn touched_checkpoints(entries: &BTreeMap<&str, Facts>, size: u32) -> Vec<(String, u32)> {
     let mut touched = Vec::new();
     for (uid, job_entries) in entries {
--- a/src/state/log_replay/tests.rs
+++ b/src/state/log_replay/tests.rs
@@ -1,4 +1,5 @@
-//! Replicas that follow the watch against replicas that read the whole store.
+//! Tests that a replica that reads the whole store has the same state as one that follows the
+//! watch from the beginning.
 
 use super::*;
 use crate::protocol::user::JobSpec;
@@ -18,7 +19,7 @@
 const MEMBERS: [&str; 2] = ["a", "b"];
 const STEPS: u32 = 1200;
 
-/// A store: its current records and all changes that its watch delivers.
+/// A simulated store: its current records, and all changes that its watch delivers.
 #[derive(Default)]
 struct Store {
     keys: BTreeMap<String, (Value, u64)>,
@@ -33,8 +34,8 @@
         version
     }
 
-    /// Delivers all changes that the replica has not applied.
-    fn watch(&self, replica: &mut ClusterState) {
+    /// Delivers to a replica all changes that it has not applied.
+    fn deliver_changes(&self, replica: &mut ClusterState) {
         for (key, data, version) in self.changes.iter().skip(replica.revision as usize) {
             replica.revision = version - 1;
             replica.put(key, data, *version);
@@ -43,7 +44,7 @@
     }
 }
 
-/// The tasks of a replica in a comparable form.
+/// The state of all tasks of a replica, in a form that can be compared.
 fn task_states(replica: &ClusterState) -> Vec<String> {
     let range_state = |(number, range): (&u32, &TaskRangeState)| {
         let mut on = range.rec.on.clone();
@@ -60,15 +61,15 @@
     jobs.chain(placed).collect()
 }
 
-/// A replica that is being read from the store.
+/// A replica that is being filled by a read of the whole store, in two pages.
 struct StoreRead {
     replica: ClusterState,
-    /// The last key of its first page, until the rest is read.
+    /// The last key of the first page; `None` once the rest has been read.
     after: Option<String>,
 }
 
 impl StoreRead {
-    /// Reads the first half of the store.
+    /// Reads the first half of the store's keys.
     fn begin(store: &Store, revision: u64) -> StoreRead {
         let all: Vec<(&String, &(Value, u64))> = store.keys.iter().collect();
         let mut replica = ClusterState::loading(CHECKPOINT_SIZE, revision);
@@ -77,7 +78,7 @@
         StoreRead { replica, after: page.last().map(|(key, _)| key.to_string()) }
     }
 
-    /// Reads the rest, as it is by now.
+    /// Reads the remaining keys, as they are by now.
     fn finish(&mut self, store: &Store) {
         let Some(after) = self.after.take() else { return };
         for (key, (data, version)) in store.keys.range((Bound::Excluded(after), Bound::Unbounded)) {
@@ -87,8 +88,8 @@
     }
 }
 
-/// Entries of one controller on a job: it starts tasks of its half of the indexes, and ends
-/// some of those that its machines run.
+/// Random entries of one controller about a job: the controller starts tasks in its half of
+/// the indexes, and ends some of the tasks that its machines run.
 fn random_entries(rng: &mut StdRng, job: &Job, writer: usize, step: u32) -> Facts {
     let mut entries = Facts::default();
     let highest_attempt = job.chunks.values().map(|range| range.rec.highest_attempt).max().unwrap_or(0);
@@ -112,30 +113,30 @@
     entries
 }
 
-/// Writes checkpoints of what the segment contains that `seq` is about to overwrite.
+/// Writes checkpoints of the tasks in the segment that segment `seq` is about to overwrite.
 fn checkpoint_overwritten_segment(store: &mut Store, replica: &mut ClusterState, member: &str, seq: u64) {
     let Some(slot) = replica.logs.get(member).and_then(|log| log.slots.get(&(seq % LOG_SLOTS))).cloned() else {
         return;
     };
-    store.watch(replica);
+    store.deliver_changes(replica);
     for (uid, number) in &slot.touched {
         let range = &replica.jobs[uid].chunks[number];
         if range.rec.as_of_revision < slot.version {
             assert!(range.last <= replica.revision);
             let checkpoint = TaskRangeCheckpoint { as_of_revision: replica.revision, ..range.rec.clone() };
             store.put(checkpoint_key(uid, *number), to_value(&checkpoint));
-            store.watch(replica);
+            store.deliver_changes(replica);
         }
     }
 }
 
-/// Two controllers write their logs, one of them ahead of its own watch, slots are
-/// overwritten and checkpoints written now and then. A replica that reads the store at any
-/// point, while writes go on between its pages, and follows the watch from there, has the
-/// state of one that followed from the beginning. A placement that reappeared from an old
-/// segment would be started a second time.
+/// Two controllers write their logs, at times ahead of their own watch, so that slots are
+/// overwritten and checkpoints written. A replica that reads the store at any point, with
+/// writes between its pages, and follows the watch from there has the same state as one that
+/// followed the watch from the beginning. A placement that reappeared from an old segment
+/// would let its task be started a second time.
 #[test]
-fn a_read_of_the_store_gives_the_same_state_as_the_watch() {
+fn reading_the_store_gives_the_same_state_as_following_the_watch() {
     for seed in 0..12 {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut store = Store::default();
@@ -147,16 +148,17 @@
         let mut watcher = ClusterState::new(CHECKPOINT_SIZE);
         let mut reads: Vec<StoreRead> = Vec::new();
         for step in 0..STEPS {
-            // One log wraps around while the other still has the segments that it contradicts.
+            // One log wraps around while the other still holds segments with entries that the
+            // overwritten ones contradicted.
             let writer = usize::from(step % 5 != 0);
             let replica = &mut writers[writer];
-            // The writer follows the watch only now and then.
+            // The writer does not receive the changes at every step.
             if rng.random_bool(0.6) {
-                store.watch(replica);
+                store.deliver_changes(replica);
             }
             let uid = JOBS[rng.random_range(0..2)];
             let Some(job) = replica.jobs.get(uid) else {
-                store.watch(replica);
+                store.deliver_changes(replica);
                 continue;
             };
             let entries = random_entries(&mut rng, job, writer, step);
@@ -167,7 +169,7 @@
             let segment = to_value(&LogSegmentRecord::of(seq, &[(uid.to_string(), entries)].into()));
             let version = store.put(key.clone(), segment.clone());
             replica.put(&key, &segment, version);
-            // A read gets its first page now, and the rest later.
+            // A read gets its first page now, and the rest some steps later.
             if step % 50 == 13 {
                 reads.push(StoreRead::begin(&store, version));
             }
@@ -177,16 +179,16 @@
                 read.finish(&store);
             }
         }
-        store.watch(&mut watcher);
+        store.deliver_changes(&mut watcher);
         assert!(watcher.jobs["run-1"].done > 0 && !watcher.placed.is_empty());
         for replica in &mut writers {
-            store.watch(replica);
+            store.deliver_changes(replica);
             assert_eq!(task_states(replica), task_states(&watcher), "seed {seed}: a writer");
         }
         assert!(reads.len() > 10);
         for (number, read) in reads.iter_mut().enumerate() {
             if read.after.is_none() {
-                store.watch(&mut read.replica);
+                store.deliver_changes(&mut read.replica);
                 assert_eq!(task_states(&read.replica), task_states(&watcher), "seed {seed}: read {number}");
             }
         }
@@ -198,8 +200,8 @@
     JobRecord { spec: Some(spec), end: None, task_count, at_ms: 0, task_ranges: Vec::new() }
 }
 
-/// State of versions without task logs is read: a checkpoint without a revision has the
-/// revision of its record, and segments continue from there.
+/// State written by versions without task logs can be read: a checkpoint without a revision
+/// gets the revision of its record, and only later segments are applied on top of it.
 #[test]
 fn records_of_earlier_versions_are_read() {
     let mut state = ClusterState::loading(8, 20);
@@ -211,7 +213,7 @@
     state.put("fq/term", &cbor!({"term" => 4}).unwrap(), 2);
     let gone = Facts { gone: [(0, 1)].into(), ..Facts::default() };
     let segment = |seq, f: &Facts| to_value(&LogSegmentRecord::of(seq, &[("run-1".to_string(), f.clone())].into()));
-    // The checkpoint contains the segments that are older than it.
+    // The checkpoint already contains the segments that are older than itself.
     state.put("fq/l/a/1", &segment(1, &gone), 5);
     state.loaded();
     assert_eq!((state.jobs["run-1"].placed, state.format_version(), state.revision), (1, 0, 20));
--- a/src/state/log_segment.rs
+++ b/src/state/log_segment.rs
@@ -1,14 +1,15 @@
-//! Segments of the controllers' logs: batches of entries about tasks, in their stored
-//! form.
+//! Segments of the controllers' logs: batches of entries about tasks, in their stored form.
 //!
-//! Each log has one writer, the controller it belongs to, and is a ring buffer of slots.
+//! Each log is a ring buffer of slots with one writer, the controller that it belongs to.
 //! Every replica replays the segments of all logs in the order of the store's revisions,
 //! which is the same for all controllers.
 //!
-//! Entries about one task commute unless one was written by a controller that had seen
-//! the other, and then the store has them in that order: a start is written only where
-//! the replica has no placement, and the removal of an attempt only where it has its
-//! placement.
+//! Two entries about the same task commute, unless one of them was written by a controller
+//! that had seen the other; the store then has them in that order. This holds because a start
+//! is written only where the writer's replica has no placement of the task, and the removal of
+//! an attempt only where the replica has the attempt's placement.
+
+#![warn(missing_docs)]
 
 pub use super::keys::LOG_SLOTS;
 
@@ -17,42 +18,45 @@
 use std::collections::{BTreeMap, BTreeSet};
 use thiserror::Error;
 
-/// A segment as it is stored. Names are listed once, and entries refer to them by
-/// position. Key: `log_key`. Written by the controller that the log belongs to.
+/// A log segment as it is stored. Each name is listed once, and entries refer to names by
+/// their position in the lists. Key: `log_key`. Written by the controller that the log
+/// belongs to.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct LogSegmentRecord {
     /// The number of the segment in its log, from 1.
     #[serde(rename = "n")]
     pub seq: u64,
+    /// The uids of the jobs that entries refer to.
     #[serde(rename = "j", default)]
     jobs: Vec<String>,
+    /// The names of the machines that entries refer to.
     #[serde(rename = "m", default)]
     machines: Vec<String>,
-    /// Completed tasks: job and an inclusive range of indexes.
+    /// Completed tasks: job, and first and last index of an inclusive range.
     #[serde(rename = "d", default)]
     done: Vec<(u32, u32, u32)>,
     /// Attempts that are gone from their machines: job, index, attempt.
     #[serde(rename = "g", default)]
     gone: Vec<(u32, u32, u64)>,
-    /// Attempts that may start: job, index, machine, attempt.
+    /// Attempts that may start from now on: job, index, machine, attempt.
     #[serde(rename = "s", default)]
     starts: Vec<(u32, u32, u32, u64)>,
 }
 
-/// The entries of a segment about one job's tasks, in the order in which they apply:
+/// The entries of a segment about one job's tasks. They apply in the order of the fields:
 /// completions and removals first, then starts.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Facts {
-    /// Indexes of tasks that completed.
+    /// The indexes of tasks that completed.
     pub done: BTreeSet<u32>,
-    /// Index and attempt of tasks that are gone from their machines.
+    /// Attempts that are gone from their machines: index and attempt.
     pub gone: BTreeSet<(u32, u64)>,
-    /// Attempts that may start.
+    /// Attempts that may start from now on.
     pub starts: Vec<Placement>,
 }
 
 impl Facts {
-    /// The numbers of the checkpoints, of `size` tasks each, that the entries concern.
+    /// The numbers of the checkpoints, of `size` tasks each, whose tasks the entries are about.
     pub fn chunks(&self, size: u32) -> BTreeSet<u32> {
         let done = self.done.iter().copied();
         let gone = self.gone.iter().map(|(index, _)| *index);
@@ -61,30 +65,32 @@
     }
 }
 
-/// A segment refers to a name that it does not list.
+/// Error for a segment with an entry that refers to a name that the segment does not list.
+/// Contains the number of the segment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 #[error("segment {0} refers to a name that it does not list")]
 pub struct InvalidSegment(u64);
 
-/// Upper bounds of the bytes that entries and names take in a segment's CBOR.
+/// Upper bounds of the bytes that each part of a segment takes in its CBOR encoding.
 pub mod bytes {
-    /// Array head, and numbers of at most 5, 5 and 5 bytes.
+    /// A completed range: the array head, and numbers of at most 5, 5 and 5 bytes.
     pub const DONE: usize = 1 + 5 + 5 + 5;
-    /// Array head, and numbers of at most 5, 5 and 9 bytes.
+    /// A removal: the array head, and numbers of at most 5, 5 and 9 bytes.
     pub const GONE: usize = 1 + 5 + 5 + 9;
-    /// Array head, and numbers of at most 5, 5, 5 and 9 bytes.
+    /// A start: the array head, and numbers of at most 5, 5, 5 and 9 bytes.
     pub const START: usize = 1 + 5 + 5 + 5 + 9;
-    /// The map, its keys, the heads of its lists and the segment's number.
+    /// The rest of the segment: the map, its keys, the heads of its lists and the segment's
+    /// number.
     pub const FRAME: usize = 64;
 
-    /// A name in one of the lists.
+    /// A name in one of the lists, with the head of the string.
     pub fn name(name: &str) -> usize {
         name.len() + 3
     }
 }
 
 impl LogSegmentRecord {
-    /// The stored form of the entries of each job.
+    /// The stored form, as segment number `seq`, of these entries by job.
     pub fn of(seq: u64, facts: &BTreeMap<String, Facts>) -> LogSegmentRecord {
         let mut segment = LogSegmentRecord { seq, ..LogSegmentRecord::default() };
         let mut machine_numbers: BTreeMap<&str, u32> = BTreeMap::new();
@@ -104,7 +110,7 @@
         segment
     }
 
-    /// Adds completed tasks, with consecutive indexes joined into ranges.
+    /// Adds completed tasks. Consecutive indexes are joined into ranges.
     fn add_completions(&mut self, job: u32, indexes: &BTreeSet<u32>) {
         let mut range: Option<(u32, u32)> = None;
         for index in indexes {
@@ -119,15 +125,15 @@
         self.done.extend(range.map(|(from, to)| (job, from, to)));
     }
 
-    /// The entries by job. Ranges are cut off at the index `most`, the largest number of
-    /// tasks of any job.
+    /// The entries of the segment by job. Ranges are cut off at the index `max_index`, so that a
+    /// damaged segment cannot expand to an unbounded number of entries.
     ///
     /// # Errors
     /// `InvalidSegment` if an entry refers to a name that the segment does not list.
-    pub fn facts(&self, most: u32) -> Result<BTreeMap<&str, Facts>, InvalidSegment> {
+    pub fn facts(&self, max_index: u32) -> Result<BTreeMap<&str, Facts>, InvalidSegment> {
         let mut by_job: BTreeMap<&str, Facts> = BTreeMap::new();
         for (job, from, to) in &self.done {
-            by_job.entry(self.job_name(*job)?).or_default().done.extend(*from..=(*to).min(most));
+            by_job.entry(self.job_name(*job)?).or_default().done.extend(*from..=(*to).min(max_index));
         }
         for (job, index, attempt) in &self.gone {
             by_job.entry(self.job_name(*job)?).or_default().gone.insert((*index, *attempt));
--- a/src/state/log_segment/tests.rs
+++ b/src/state/log_segment/tests.rs
@@ -1,9 +1,10 @@
-//! The stored form of log segments, its size bound and invalid segments.
+//! Tests of the stored form of log segments, of the bounds of their size and of invalid
+//! segments.
 
 use super::*;
 use crate::protocol::{decode, encode};
 
-fn place(index: u32, machine: &str, attempt: u64) -> Placement {
+fn placement(index: u32, machine: &str, attempt: u64) -> Placement {
     Placement { index, machine: machine.into(), attempt }
 }
 
@@ -11,15 +12,15 @@
     let a = Facts {
         done: [0, 1, 2, 7].into(),
         gone: [(4, 2), (5, 2)].into(),
-        starts: vec![place(9, "host-000001", 3), place(8, "host-000002", 3)],
+        starts: vec![placement(9, "host-000001", 3), placement(8, "host-000002", 3)],
     };
-    let b = Facts { starts: vec![place(0, "host-000001", 1)], ..Facts::default() };
+    let b = Facts { starts: vec![placement(0, "host-000001", 1)], ..Facts::default() };
     [("run-a".to_string(), a), ("run-b".to_string(), b)].into()
 }
 
-/// Entries read back from a stored segment are those that were written.
+/// Entries that are read back from a stored segment equal those that were written.
 #[test]
-fn entries_survive_encoding() {
+fn decoding_returns_the_encoded_entries() {
     let facts = sample();
     let rec: LogSegmentRecord = decode(&encode(&LogSegmentRecord::of(5, &facts))).unwrap();
     assert_eq!((rec.seq, rec.machines.len(), rec.done.len()), (5, 2, 2));
@@ -27,27 +28,27 @@
     assert_eq!(back.into_iter().map(|(u, f)| (u.to_string(), f)).collect::<BTreeMap<_, _>>(), facts);
 }
 
-/// A segment over the value limit would be refused on every attempt, and with it
-/// every later one.
+/// The store would refuse a segment over its value limit on every attempt, which would block
+/// all later segments of the log.
 #[test]
 fn the_size_bound_holds_for_the_largest_numbers() {
-    let many = 300u32;
-    let mut f = Facts::default();
-    let mut most = bytes::FRAME + bytes::name("run-000412");
-    for i in 0..many {
+    let entry_count = 300u32;
+    let mut entries = Facts::default();
+    let mut max_bytes = bytes::FRAME + bytes::name("run-000412");
+    for i in 0..entry_count {
         let name = format!("host-{i:06}");
-        most += bytes::DONE + bytes::GONE + bytes::START + bytes::name(&name);
-        f.done.insert(u32::MAX - 2 * i);
-        f.gone.insert((u32::MAX - i, u64::MAX - 1));
-        f.starts.push(place(u32::MAX - i, &name, u64::MAX));
+        max_bytes += bytes::DONE + bytes::GONE + bytes::START + bytes::name(&name);
+        entries.done.insert(u32::MAX - 2 * i);
+        entries.gone.insert((u32::MAX - i, u64::MAX - 1));
+        entries.starts.push(placement(u32::MAX - i, &name, u64::MAX));
     }
-    let rec = LogSegmentRecord::of(u64::MAX, &[("run-000412".to_string(), f)].into());
-    assert!(encode(&rec).len() <= most, "{} of {most}", encode(&rec).len());
+    let rec = LogSegmentRecord::of(u64::MAX, &[("run-000412".to_string(), entries)].into());
+    assert!(encode(&rec).len() <= max_bytes, "{} of {max_bytes}", encode(&rec).len());
 }
 
-/// A damaged segment must not stop the replica, nor make it expand an endless range.
+/// A damaged segment must not make the replica panic or expand an unbounded range.
 #[test]
-fn an_invalid_segment_is_an_error_and_no_panic() {
+fn an_invalid_segment_gives_an_error() {
     let mut rec = LogSegmentRecord::of(3, &sample());
     rec.starts.push((0, 1, 99, 1));
     assert_eq!(rec.facts(10), Err(InvalidSegment(3)));
@@ -56,5 +57,5 @@
     assert_eq!(rec.facts(10), Err(InvalidSegment(4)));
     let mut rec = LogSegmentRecord::of(4, &sample());
     rec.done.push((0, 0, u32::MAX));
-    assert_eq!(rec.facts(10).unwrap()["run-a"].done.len(), 11, "no endless range");
+    assert_eq!(rec.facts(10).unwrap()["run-a"].done.len(), 11, "the range is cut off");
 }
--- a/src/state/machine_groups.rs
+++ b/src/state/machine_groups.rs
@@ -1,4 +1,6 @@
-//! Machine groups and the grants under which their owners may command the machines.
+//! Machine groups, and the grants under which their owners may command the machines.
+
+#![warn(missing_docs)]
 
 use super::cluster_state::ClusterState;
 use super::records::{MachineGroupRecord, MachineRecord, ShardGrantRecord};
@@ -6,10 +8,11 @@
 use ciborium::Value;
 use std::collections::BTreeSet;
 
-/// A grant and the revision at which it was given.
-struct Grant {
+/// The grant that applies to a machine group, in the form of a shard grant.
+struct EffectiveGrant {
+    /// The revision at which the grant was written.
     revision: u64,
-    terms: ShardGrantRecord,
+    record: ShardGrantRecord,
 }
 
 impl ClusterState {
@@ -38,11 +41,12 @@
         }
     }
 
+    /// The names of a group's machines; empty for an unknown group.
     fn group_machines(&self, name: &str) -> Vec<String> {
         self.machine_groups.get(name).map_or(Vec::new(), |group| group.rec.machines.clone())
     }
 
-    /// Updates `machines` from a group, which consisted of `previous` before.
+    /// Updates `machines` from a group that consisted of the machines `previous` before.
     fn rebuild_group_machines(&mut self, name: &str, previous: &[String]) {
         self.machines_changed += 1;
         let group = self.machine_groups.get(name);
@@ -52,45 +56,46 @@
             }
         }
         let Some(group) = group else { return };
-        let grant = self.grant(group);
+        let grant = self.effective_grant(group);
         for machine in &group.rec.machines {
-            let rec = group.rec.host(name, machine, grant.revision, &grant.terms);
+            let rec = group.rec.host(name, machine, grant.revision, &grant.record);
             self.machines.insert(machine.clone(), Versioned { rec, version: group.version });
         }
     }
 
-    /// The newest grant that applies to a group: the one in its record, or a later one of
-    /// its owner's whole shard.
+    /// The grant that applies to a group: a later grant of its owner's whole shard, or else the
+    /// one in the group's own record.
     ///
-    /// A shard grant with a lower fencing token than the group's does not apply, even if it
-    /// was written later: the machines have already seen the higher token.
-    fn grant(&self, group: &Versioned<MachineGroupRecord>) -> Grant {
+    /// A shard grant with a lower fencing token than the group's does not apply, even if it was
+    /// written later: the machines have already seen the higher token.
+    fn effective_grant(&self, group: &Versioned<MachineGroupRecord>) -> EffectiveGrant {
         let has_higher_token = |shard: &ShardGrantRecord| (shard.term, shard.epoch) > (group.rec.term, group.rec.epoch);
         let shard = self.shards.get(&group.rec.owner);
         match shard.filter(|shard| shard.version > group.version && has_higher_token(&shard.rec)) {
-            Some(shard) => Grant { revision: shard.version, terms: shard.rec.clone() },
+            Some(shard) => EffectiveGrant { revision: shard.version, record: shard.rec.clone() },
             None => {
                 let MachineGroupRecord { incarnation, term, epoch, .. } = group.rec;
-                Grant { revision: group.version, terms: ShardGrantRecord { incarnation, term, epoch } }
+                EffectiveGrant { revision: group.version, record: ShardGrantRecord { incarnation, term, epoch } }
             }
         }
     }
 
     /// The group's record with the grant that currently applies.
     ///
-    /// Whoever rewrites a group for another reason writes this: the grant in its record may
-    /// be an older one, which would apply again by being written.
+    /// A controller that rewrites a group for any other reason writes this form: the grant in
+    /// the stored record may be superseded, and rewriting it would make it apply again.
     pub fn with_current_grant(&self, group: &Versioned<MachineGroupRecord>) -> MachineGroupRecord {
-        let ShardGrantRecord { incarnation, term, epoch } = self.grant(group).terms;
+        let ShardGrantRecord { incarnation, term, epoch } = self.effective_grant(group).record;
         MachineGroupRecord { incarnation, term, epoch, ..group.rec.clone() }
     }
 
-    /// Whether the group's owner is live in the incarnation that the grant names.
+    /// Whether the group's owner is live, in the incarnation to which the group is granted.
     pub fn held(&self, group: &Versioned<MachineGroupRecord>) -> bool {
-        self.is_live(&group.rec.owner, self.grant(group).terms.incarnation)
+        self.is_live(&group.rec.owner, self.effective_grant(group).record.incarnation)
     }
 
-    /// Live members that own groups granted to an earlier incarnation of them only.
+    /// Live members that own groups which are granted to another incarnation of theirs, because
+    /// they have restarted since. Sorted by name.
     pub fn restarted(&self) -> Vec<String> {
         let mut names = BTreeSet::new();
         for group in self.machine_groups.values() {
@@ -106,18 +111,19 @@
         self.shards.get(member).map_or(0, |grant| grant.version)
     }
 
-    /// Machines that were granted after revision `since`, with the revision of the grant.
+    /// Machines that were granted after revision `since`, each with the revision of its grant.
     pub fn granted_since(&self, since: u64) -> impl Iterator<Item = (&String, u64)> {
         let machines = self.machines.iter().filter(move |(_, machine)| machine.rec.granted > since);
         machines.map(|(name, machine)| (name, machine.rec.granted))
     }
 
-    /// Whether the member holds a lease in this incarnation.
+    /// Whether the member is live in this incarnation: its record, which is attached to its
+    /// lease, exists.
     pub fn is_live(&self, member: &str, incarnation: u64) -> bool {
         self.members.get(member).is_some_and(|known| known.rec.incarnation == incarnation)
     }
 
-    /// Whether the machine's owner is live in the incarnation that the grant names.
+    /// Whether the machine's owner is live, in the incarnation to which the machine is granted.
     pub fn owned(&self, machine: &MachineRecord) -> bool {
         self.is_live(&machine.owner, machine.incarnation)
     }
--- a/src/state/machine_groups/tests.rs
+++ b/src/state/machine_groups/tests.rs
@@ -1,10 +1,10 @@
-//! Which grant applies to the machines of a group.
+//! Tests of which grant applies to the machines of a group.
 
 use super::*;
 use crate::state::records::MemberRecord;
 use crate::state::versioned::{from_value, to_value};
 
-/// The record of a group of the machines `m-1` and `m-2`.
+/// The stored record of a group of the machines `m-1` and `m-2`.
 fn group(owner: &str, incarnation: u64) -> Value {
     let names = ["m-1", "m-2"].map(String::from).to_vec();
     let (machine_type, zone) = ("std".to_string(), "a".to_string());
@@ -24,8 +24,8 @@
     to_value(&rec)
 }
 
-/// The newer of a group's own grant and the grant of its owner's shard applies: the older
-/// one would let commands of an earlier incarnation pass.
+/// The newer of the group's own grant and its owner's shard grant applies. The older one would
+/// let commands of an earlier incarnation pass.
 #[test]
 fn the_newest_grant_applies() {
     let mut state = ClusterState::new(8);
@@ -38,9 +38,9 @@
     assert!(state.owned(&machine.rec) && machine.rec.drain);
     assert_eq!((machine.version, machine.rec.granted, machine.rec.term, machine.rec.epoch), (4, 6, 2, 9));
     assert!(state.restarted().is_empty());
-    // A machine of the group was marked for draining: written with its own old grant, the
-    // group went back to the earlier incarnation, and the whole shard was granted again
-    // and again.
+    // Marking a machine of the group for draining rewrites the group. If that wrote its own
+    // old grant, the group would go back to the earlier incarnation, and the whole shard would
+    // be granted again and again.
     let marked = state.with_current_grant(&state.machine_groups["m-1"]);
     state.put("fq/h/m-1", &to_value(&marked), 7);
     let machine = &state.machines["m-2"];
@@ -52,11 +52,11 @@
     assert!(state.machines.is_empty());
 }
 
-/// The grant of a shard got no response, and was executed after a group had been added to
-/// the shard under a later epoch: the tokens of its machines decreased, and the machines
-/// obeyed no controller.
+/// A shard grant that got no response may be executed after a group has been added to the
+/// shard under a later epoch. If it applied to that group, the fencing tokens of its machines
+/// would decrease, and the machines would obey no controller.
 #[test]
-fn a_delayed_shard_grant_does_not_decrease_tokens() {
+fn a_delayed_shard_grant_does_not_decrease_fencing_tokens() {
     let mut state = ClusterState::new(8);
     state.put("fq/m/a", &to_value(&MemberRecord { incarnation: 7 }), 3);
     let rec = MachineGroupRecord { epoch: 6, incarnation: 7, term: 2, ..from_value(&group("a", 7)).unwrap() };
--- a/src/state/machine_load.rs
+++ b/src/state/machine_load.rs
@@ -1,39 +1,45 @@
-//! What the tasks placed on each machine take up.
+//! The load of each machine: the total resources of the tasks placed on it.
 //!
-//! The totals are updated with every placement, so that planning never has to add up
+//! Totals are updated with every placement, so that placement planning never has to add up
 //! all tasks of the fleet.
 
+#![warn(missing_docs)]
+
 use super::resources::Resources;
 use super::task_placement::Placement;
 use crate::protocol::user::{JobKind, JobSpec};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::rc::Rc;
 
-/// The names of container images, shared because planning copies them often.
+/// A set of container image names, shared because placement planning copies it often.
 pub type Images = Rc<BTreeSet<String>>;
 
-/// The tasks placed on one machine: attempt number by job and task index.
+/// The tasks placed on one machine: the attempt number by the job's uid and the task's index.
 pub type PlacedTasks = BTreeMap<(String, u32), u64>;
 
 /// Totals over the tasks placed on one machine.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct MachineLoad {
+    /// The resources of all tasks.
     pub all: Resources,
     /// The part of `all` that belongs to array tasks, which can be preempted.
     pub arrays: Resources,
     /// The number of service replicas by job class.
     pub standing: BTreeMap<String, u32>,
+    /// The tasks that use each image, by the image's name.
     pub by_image: BTreeMap<String, ImageLoad>,
-    /// The keys of `by_image`.
+    /// The names of the images in use, which are the keys of `by_image`.
     pub images: Images,
 }
 
 /// The tasks on one machine that use the same image.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct ImageLoad {
+    /// The number of tasks.
     tasks: u32,
     /// The number of array tasks among them.
     pub arrays: u32,
+    /// The size of the image, in GB.
     pub image_gb: f64,
 }
 
@@ -84,6 +90,7 @@
     }
 }
 
+/// Increases the count of a key.
 fn increment(counts: &mut BTreeMap<String, u32>, key: &str) {
     match counts.get_mut(key) {
         Some(count) => *count += 1,
@@ -93,7 +100,7 @@
     }
 }
 
-/// Counts one less; a key whose count reaches zero is removed.
+/// Decreases the count of a key, and removes the key when its count reaches zero.
 fn decrement(counts: &mut BTreeMap<String, u32>, key: &str) {
     let Some(count) = counts.get_mut(key) else { return };
     *count -= 1;
@@ -102,7 +109,7 @@
     }
 }
 
-/// Records a placement of one of the job's tasks in both tables.
+/// Adds a placement of one of the job's tasks to `placed` and `loads`.
 pub(super) fn add_placement(
     placed: &mut HashMap<String, PlacedTasks>,
     loads: &mut HashMap<String, MachineLoad>,
@@ -115,8 +122,8 @@
     }
 }
 
-/// Reverts `add_placement`, unless another attempt of the task has been placed on the
-/// machine since.
+/// Removes a placement from `placed` and `loads`, unless another attempt of the task has been
+/// placed on the machine since.
 pub(super) fn remove_placement(
     placed: &mut HashMap<String, PlacedTasks>,
     loads: &mut HashMap<String, MachineLoad>,
--- a/src/state/machine_load/tests.rs
+++ b/src/state/machine_load/tests.rs
@@ -1,11 +1,12 @@
-//! Machine loads against a full count of the placements.
+//! Tests of machine loads, compared with a full count of the placements.
 
 use super::*;
 use crate::state::ClusterState;
 use crate::state::records::{JobRecord, TaskRangeCheckpoint};
 use crate::state::versioned::to_value;
 
-/// Loads are updated with the placements; a deviation would rent machines or overload them.
+/// Loads are updated with every placement. If they deviated, the controller would rent
+/// needless machines or overload those it has.
 #[test]
 fn loads_agree_with_a_full_count_of_placements() {
     let mut state = ClusterState::new(8);
@@ -17,11 +18,11 @@
     let states: [&[Placement]; 4] =
         [&[at(0, "m"), at(1, "m"), at(2, "n")], &[at(1, "m")], &[at(1, "n"), at(3, "m")], &[]];
     for (i, on) in states.iter().enumerate() {
-        let chunk = TaskRangeCheckpoint { on: on.to_vec(), highest_attempt: 1, ..TaskRangeCheckpoint::default() };
-        state.put("fq/t/run-1/0", &to_value(&chunk), 2 + i as u64);
-        for m in ["m", "n"] {
-            let placed = state.placed.get(m).map_or(0, |p| p.len());
-            let load = state.loads.get(m).cloned().unwrap_or_default();
+        let checkpoint = TaskRangeCheckpoint { on: on.to_vec(), highest_attempt: 1, ..TaskRangeCheckpoint::default() };
+        state.put("fq/t/run-1/0", &to_value(&checkpoint), 2 + i as u64);
+        for machine in ["m", "n"] {
+            let placed = state.placed.get(machine).map_or(0, |p| p.len());
+            let load = state.loads.get(machine).cloned().unwrap_or_default();
             assert!((load.all.cores - spec.cores * placed as f64).abs() < 1e-9, "state {i}");
             assert_eq!(load.images.contains(&spec.image), placed > 0, "state {i}");
         }
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -1,6 +1,7 @@
 //! A controller's replica of the state kept in the store: the records and their keys, the
-//! logs in which controllers record what happens to tasks, and the state that follows
-//! from them.
+//! logs in which controllers record what happens to tasks, and the state derived from both.
+
+#![warn(missing_docs)]
 
 mod cluster_state;
 mod index_ranges;
--- a/src/state/records.rs
+++ b/src/state/records.rs
@@ -1,4 +1,6 @@
-//! The records kept in the store. Their keys are in the module `keys`.
+//! The records kept in the store, in their stored form. Their keys are in the module `keys`.
+
+#![warn(missing_docs)]
 
 pub use super::index_ranges::{add_to_ranges, count_ranges, in_ranges};
 pub use super::keys::{
@@ -14,14 +16,15 @@
 use crate::protocol::user::{JobSpec, Status};
 use serde::{Deserialize, Serialize};
 
-/// The format of records that this program writes; it also reads those before it. State
-/// of a later format is left alone.
+/// The format of the records that this version of the program writes. It also reads earlier
+/// formats, and leaves state of a later format alone.
 pub const FORMAT_VERSION: u32 = 1;
 
-/// A live controller. Key: `member_key`, attached to the controller's lease. Written by
-/// the controller itself; a restart is a new incarnation.
+/// A live controller. Key: `member_key`, attached to the controller's lease. Written by the
+/// controller itself.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MemberRecord {
+    /// The incarnation of the controller; each restart is a new one.
     pub incarnation: u64,
 }
 
@@ -29,29 +32,35 @@
 /// controller that wins the election.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LeaderRecord {
+    /// The leader's name.
     pub member: String,
+    /// The leader's incarnation.
     pub incarnation: u64,
+    /// The term that began with the leader's election.
     pub term: u64,
 }
 
-/// The newest term. Key: `TERM_KEY`. Written by each new leader.
+/// The newest term of leadership. Key: `TERM_KEY`. Written by each new leader.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct TermRecord {
+    /// The number of the term; each election begins a higher one.
     pub term: u64,
-    /// The format of all records. Absent, read as 0, in state without task logs.
+    /// The format of all records. Absent in state without task logs, where it is read as 0.
     #[serde(rename = "form", default)]
     pub format_version: u32,
 }
 
-/// The cloud's machine types as the leader last read them, for controllers that start
-/// while the cloud does not answer. Key: `CATALOG_KEY`. Written by the leader.
+/// The catalog of the cloud's machine types as the leader last read it, for controllers that
+/// start while the cloud does not respond. Key: `CATALOG_KEY`. Written by the leader.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct CatalogRecord {
+    /// The machine types that the cloud offers.
     pub types: Vec<MachineType>,
 }
 
 impl CatalogRecord {
-    /// Whether these are the same types, apart from spot prices, which change constantly.
+    /// Whether the catalog consists of these types. Spot prices are not compared, since they
+    /// change constantly.
     pub fn has(&self, types: &[MachineType]) -> bool {
         let without_price = |machine_type: &MachineType| MachineType { spot_price: 0.0, ..machine_type.clone() };
         self.types.len() == types.len()
@@ -59,52 +68,59 @@
     }
 }
 
-/// A range of a job's tasks, assigned to one controller to start. Part of `JobRecord`.
+/// A range of a job's tasks that one controller is assigned to start. Part of `JobRecord`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct TaskRange {
+    /// The controller's name.
     pub member: String,
+    /// The index of the first task.
     pub from: u32,
+    /// The index of the last task.
     pub to: u32,
 }
 
-/// A job: everything while it is live, only its result afterwards. Key: `job_key`.
-/// Written by the controllers that accept the job, reassign its tasks, cancel it or
+/// A job: its full description while it is live, and only its result once it is over. Key:
+/// `job_key`. Written by the controllers that accept the job, reassign its tasks, cancel it or
 /// record its end.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobRecord {
-    /// Present while the job is live.
+    /// The job's specification. Present while the job is live.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub spec: Option<JobSpec>,
-    /// The final status, `done` or `cancelled`.
+    /// The final status, `Done` or `Cancelled`. A cancelled job has it already while its last
+    /// tasks are being stopped.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub end: Option<Status>,
+    /// The number of tasks of the job; `parcels` in the store.
     #[serde(rename = "parcels")]
     pub task_count: u32,
     /// The time of submission, in milliseconds since the Unix epoch.
     #[serde(default)]
     pub at_ms: u64,
+    /// The ranges of tasks that controllers are assigned to start; `shares` in the store.
     #[serde(default)]
     #[serde(rename = "shares")]
     pub task_ranges: Vec<TaskRange>,
 }
 
-/// The state of a fixed number of consecutive tasks of a job, as the logs have it. Key:
+/// A checkpoint of the logs: the state of a fixed number of consecutive tasks of a job. Key:
 /// `checkpoint_key`. Written by any controller whose log is about to overwrite a segment with
-/// entries on these tasks.
+/// entries about these tasks.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct TaskRangeCheckpoint {
     /// Completed tasks, as inclusive ranges of indexes.
     #[serde(default)]
     pub done: Vec<(u32, u32)>,
-    /// Started tasks that have not completed.
+    /// The placements of started tasks that have not ended.
     #[serde(default)]
     pub on: Vec<Placement>,
-    /// The highest attempt number used.
+    /// The highest attempt number that any of the tasks has used; `tries` in the store.
     #[serde(default)]
     #[serde(rename = "tries")]
     pub highest_attempt: u64,
-    /// The checkpoint contains all segments up to this revision and nothing of later
-    /// ones. Absent in state without task logs, where it is the revision of the record.
+    /// The revision of the checkpoint: it contains the entries of all segments up to this
+    /// revision, and none of later ones; `asof` in the store. Absent in state without task logs,
+    /// where it is the revision of the record.
     #[serde(default, skip_serializing_if = "is_zero")]
     #[serde(rename = "asof")]
     pub as_of_revision: u64,
@@ -114,37 +130,45 @@
     *revision == 0
 }
 
-/// Machines of one type and zone, and the controller to whose shard they belong. Key:
-/// `machine_group_key`. Written by the leader when it rents, reassigns, drains or returns
-/// machines, and by the controller that registers a machine which no record has.
+/// A group of machines of one type in one zone, and the controller to whose shard they belong.
+/// Key: `machine_group_key`. Written by the leader when it rents, reassigns, drains or releases
+/// machines, and by the controller that registers a machine that is in no record.
 ///
-/// The machines of a large rental share a record, written before they have started: one
-/// record each, written as they register, would take all of the store's write capacity.
+/// The machines of a large rental share one record, which is written before they have started.
+/// One record for each, written when it registers, would use up the store's write capacity.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachineGroupRecord {
+    /// The machine type of the machines; `build` in the store.
     #[serde(rename = "build")]
     pub machine_type: String,
+    /// The zone of the machines; `site` in the store.
     #[serde(rename = "site")]
     pub zone: String,
+    /// Whether the machines are spot machines.
     pub spot: bool,
+    /// The controller to whose shard the group belongs.
     pub owner: String,
+    /// The incarnation of the owner to which the group is granted.
     pub incarnation: u64,
+    /// The leader's term at the time of the grant, the first part of the fencing token.
     pub term: u64,
+    /// The number of the grant within the term, the second part of the fencing token.
     pub epoch: u64,
-    /// The machines were running when the cluster was set up: the operators' choice of a
-    /// minimum size, below which the fleet is not scaled in.
+    /// Whether the machines were running when the cluster was set up. They are the minimum size
+    /// that the operators chose, below which the fleet is not scaled in.
     #[serde(default)]
     pub base: bool,
-    /// All machines of the group; the name of the first one is the name of the group.
+    /// The names of all machines of the group. The name of the first one is the group's name.
     pub machines: Vec<String>,
-    /// The machines that take no new tasks and are returned once they are empty.
+    /// The machines that are draining: they take no new tasks and are released once they are
+    /// empty.
     #[serde(default)]
     pub drain: Vec<String>,
 }
 
 impl MachineGroupRecord {
-    /// The machine `name` of this group, which is called `group`, under the grant given
-    /// at revision `granted`.
+    /// The machine `name` of this group under a grant that was written at revision `granted`.
+    /// `group` is the name of the group.
     pub fn host(&self, group: &str, name: &str, granted: u64, grant: &ShardGrantRecord) -> MachineRecord {
         MachineRecord {
             granted,
@@ -161,7 +185,7 @@
         }
     }
 
-    /// The record without some machines; `None` if none remains.
+    /// The record without the machines `names`; `None` if no machine remains.
     pub fn without(&self, names: &[String]) -> Option<MachineGroupRecord> {
         let mut rec = self.clone();
         rec.machines.retain(|machine| !names.contains(machine));
@@ -170,41 +194,54 @@
     }
 }
 
-/// Grants all machine groups that a member owns at the time of writing to a later
-/// incarnation of it, so that one write restores its shard after a restart. Key:
+/// A shard grant: grants all machine groups that a member owns at the time of writing to a
+/// later incarnation of the member, so that one write restores its shard after a restart. Key:
 /// `shard_grant_key`. Written by the leader.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ShardGrantRecord {
+    /// The incarnation of the member to which the shard is granted.
     pub incarnation: u64,
+    /// The leader's term at the time of the grant, the first part of the fencing token.
     pub term: u64,
+    /// The number of the grant within the term, the second part of the fencing token.
     pub epoch: u64,
 }
 
-/// One machine of a group under the newest grant that applies to it. Never stored:
-/// derived from `MachineGroupRecord` and `ShardGrantRecord`.
+/// One machine of a group, under the grant that currently applies to the group. It is never
+/// stored, but derived from `MachineGroupRecord` and `ShardGrantRecord`.
 #[derive(Debug, Clone, PartialEq)]
 pub struct MachineRecord {
-    /// The revision of the grant.
+    /// The revision at which the grant was written.
     pub granted: u64,
+    /// The name of the machine's group.
     pub group: String,
+    /// The machine type.
     pub machine_type: String,
+    /// The machine's zone.
     pub zone: String,
+    /// Whether the machine is a spot machine.
     pub spot: bool,
+    /// The controller to whose shard the machine belongs.
     pub owner: String,
+    /// The incarnation of the owner to which the machine is granted.
     pub incarnation: u64,
+    /// The leader's term at the time of the grant, the first part of the fencing token.
     pub term: u64,
+    /// The number of the grant within the term, the second part of the fencing token.
     pub epoch: u64,
+    /// Whether the machine was running when the cluster was set up.
     pub base: bool,
+    /// Whether the machine is draining.
     pub drain: bool,
 }
 
-/// Whether the starts of a team with a quota limit are serialized. Key: `team_key`; absent
-/// means they are not. Written by every controller that starts tasks of the team.
+/// Whether task starts of a team with a quota limit are serialized. Key: `team_key`; if the
+/// record is absent, they are not. Written by every controller that starts tasks of the team.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct TeamRecord {
-    /// Usage is near the limit: every start changes this record, so that two controllers
-    /// cannot both use what is left of it.
+    /// Whether the team's usage is near its limit. If so, every start changes this record, so
+    /// that two controllers cannot both use the remaining quota.
     pub strict: bool,
-    /// Distinguishes one change from the next.
+    /// A counter that makes each change of the record differ from the one before.
     pub count: u64,
 }
--- a/src/state/resources.rs
+++ b/src/state/resources.rs
@@ -1,22 +1,28 @@
-//! The machine resources that tasks take up.
+//! The resources that machines offer and tasks require.
+
+#![warn(missing_docs)]
 
 use crate::protocol::user::JobSpec;
 
-/// Processor cores, GPUs and memory, of a machine or of tasks.
+/// Amounts of CPU cores, GPUs and memory, of a machine or of tasks.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Resources {
+    /// The number of CPU cores.
     pub cores: f64,
+    /// The number of GPUs.
     pub gpus: f64,
+    /// Memory, in GB.
     pub mem_gb: f64,
 }
 
 impl Resources {
-    /// The resources of `tasks` tasks of the job.
+    /// The resources that `tasks` tasks of the job require.
     pub fn of(spec: &JobSpec, tasks: f64) -> Resources {
         Resources { cores: spec.cores * tasks, gpus: spec.gpus * tasks, mem_gb: spec.mem_gb * tasks }
     }
 
-    /// Adds the resources of `tasks` tasks of the job; a negative number subtracts them.
+    /// Adds the resources that `tasks` tasks of the job require. A negative number subtracts
+    /// them.
     pub fn add(&mut self, spec: &JobSpec, tasks: f64) {
         self.plus(Resources::of(spec, tasks), 1.0);
     }
--- a/src/state/service_levels.rs
+++ b/src/state/service_levels.rs
@@ -1,34 +1,41 @@
-//! Service levels by job class, by team and of the largest jobs of each class: the jobs
-//! that ended since this process started, and of the live jobs how much of them runs and
-//! how long those wait that have not started.
+//! Service levels by job class, by team, and of the largest jobs of each class. They count the
+//! jobs that ended since this process started; of the live jobs, they show how many have
+//! started and how long the others have waited.
 //!
-//! Shares by class do not show whose jobs they are: a team, or all large jobs, may get no
-//! resources while each class as a whole does well.
+//! Shares by class alone are not enough: a team, or all large jobs, may get no resources while
+//! each class as a whole is served well.
+
+#![warn(missing_docs)]
 
 use super::Job;
 use crate::protocol::user::{JobKind, JobSpec};
 use hdrhistogram::Histogram;
 use std::collections::BTreeMap;
 
-/// A class or team with a share below this counts as hardly served.
+/// A group of jobs with a share below this counts as hardly served.
 pub const HARDLY_SERVED_SHARE: f64 = 0.5;
-/// The least number of jobs for which a share is reported.
-const FEWEST_JOBS: u32 = 8;
-/// The quantile of a class above which its jobs count as the largest.
+/// The minimum number of jobs or replicas for which a share is reported.
+const MIN_JOBS_FOR_SHARE: u32 = 8;
+/// The quantile of the sizes in a class above which jobs count as its largest ones.
 const LARGEST_QUANTILE: f64 = 0.9;
+/// The quantile with which `LARGEST_QUANTILE` is compared, to tell whether sizes differ at all.
 const MEDIAN: f64 = 0.5;
-/// The precision of the size histograms.
+/// The precision of the size histograms, in decimal digits.
 const SIGNIFICANT_DIGITS: u8 = 2;
 
-/// A class, a team, or the largest jobs of a class.
+/// A group of jobs for which service levels are reported.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub enum JobGroup {
+    /// The jobs of a class.
     Class(String),
+    /// The jobs of a team.
     Team(String),
+    /// The largest jobs of a class.
     Largest(String),
 }
 
-/// The sizes of the jobs of a class in thousandths: number of tasks, cores and memory.
+/// Histograms of the sizes of the jobs of a class: number of tasks, cores and memory, each in
+/// thousandths.
 #[derive(Debug, Clone)]
 struct JobSizes([Histogram<u64>; 3]);
 
@@ -38,48 +45,52 @@
         JobSizes([(); 3].map(|()| new_histogram()))
     }
 
-    fn of(spec: &JobSpec) -> [u64; 3] {
-        let total = |each: f64| (each * f64::from(spec.task_count) * 1000.0) as u64;
+    /// The size of a job: number of tasks, cores and memory, each in thousandths.
+    fn sizes_of(spec: &JobSpec) -> [u64; 3] {
+        let total = |per_task: f64| (per_task * f64::from(spec.task_count) * 1000.0) as u64;
         [total(1.0), total(spec.cores), total(spec.mem_gb)]
     }
 
+    /// Adds a job to the histograms.
     fn record(&mut self, spec: &JobSpec) {
-        for (histogram, size) in self.0.iter_mut().zip(JobSizes::of(spec)) {
+        for (histogram, size) in self.0.iter_mut().zip(JobSizes::sizes_of(spec)) {
             histogram.record(size).expect("the histogram resizes itself");
         }
     }
 
-    /// Whether the job is among the largest of its class by tasks, cores or memory. Where
-    /// all jobs have about the same size none is.
+    /// Whether the job is among the largest of its class by tasks, cores or memory. If all jobs
+    /// of the class have about the same size, none of them is.
     fn is_large(&self, spec: &JobSpec) -> bool {
-        self.0.iter().zip(JobSizes::of(spec)).any(|(histogram, size)| {
-            let bound = histogram.value_at_quantile(LARGEST_QUANTILE);
-            size >= histogram.lowest_equivalent(bound) && bound > histogram.value_at_quantile(MEDIAN)
+        self.0.iter().zip(JobSizes::sizes_of(spec)).any(|(histogram, size)| {
+            let threshold = histogram.value_at_quantile(LARGEST_QUANTILE);
+            size >= histogram.lowest_equivalent(threshold) && threshold > histogram.value_at_quantile(MEDIAN)
         })
     }
 }
 
-/// The service level of a group of jobs.
+/// The counts behind the service level of a group of jobs.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ServiceTally {
-    /// Jobs with an objective that ended or missed it; each counts once.
+    /// The number of jobs with an objective that have ended or have missed it. Each counts once.
     pub judged: u32,
-    /// Those of them that met it.
+    /// The number of the `judged` jobs that met their objective.
     pub in_time: u32,
-    /// Live jobs.
+    /// The number of live jobs.
     pub live: u32,
-    /// Those of them without any started task.
+    /// The number of live jobs none of whose tasks has started.
     pub untouched: u32,
-    /// How long the oldest of these has waited, in seconds.
+    /// How long the oldest of the `untouched` jobs has waited, in seconds.
     pub waits_s: u64,
-    /// The replicas of live services.
+    /// The number of replicas that live services want.
     pub replicas: u32,
-    /// Those of them that are placed.
+    /// The number of replicas of live services that are placed.
     pub placed: u32,
 }
 
 impl ServiceTally {
-    /// The least of the shares that at least `FEWEST_JOBS` jobs or replicas contribute to.
+    /// The smallest share of the group: of jobs in time, of live jobs that have started, or of
+    /// replicas that are placed. Shares of fewer than `MIN_JOBS_FOR_SHARE` jobs or replicas do
+    /// not count; `None` if there is no other.
     pub fn least_share(&self) -> Option<f64> {
         let shares = [
             share(self.in_time, self.judged),
@@ -90,22 +101,24 @@
     }
 }
 
-fn share(part: u32, all: u32) -> Option<f64> {
-    (all >= FEWEST_JOBS).then(|| f64::from(part) / f64::from(all))
+/// The share of `part` in `total`, unless `total` is too small for a share to be meaningful.
+fn share(part: u32, total: u32) -> Option<f64> {
+    (total >= MIN_JOBS_FOR_SHARE).then(|| f64::from(part) / f64::from(total))
 }
 
-/// Jobs with an objective that ended or missed it.
+/// The numbers of jobs with an objective that have ended or have missed it, and of those that
+/// met it.
 #[derive(Debug, Clone, Copy, Default)]
 struct EndedCount {
     judged: u32,
     in_time: u32,
 }
 
-/// The jobs that ended since this process started.
+/// Counts of the jobs that ended since this process started, by group.
 #[derive(Debug, Default)]
 pub struct Served {
     ended: BTreeMap<JobGroup, EndedCount>,
-    /// By class.
+    /// The sizes of these jobs, by class.
     sizes: BTreeMap<String, JobSizes>,
 }
 
@@ -119,7 +132,8 @@
         groups
     }
 
-    /// Records a job with an objective that has ended or has missed it.
+    /// Records a job with an objective that has ended or has missed it. The caller records each
+    /// job once.
     pub fn note(&mut self, spec: &JobSpec, in_time: bool) {
         self.sizes.entry(spec.class.clone()).or_insert_with(JobSizes::new).record(spec);
         for group in Served::groups(&self.sizes, spec) {
@@ -129,8 +143,8 @@
         }
     }
 
-    /// The service levels of all groups, from the jobs that ended and the live `jobs`, at
-    /// `now_ms` milliseconds since the Unix epoch.
+    /// The service levels of all groups, from the jobs that ended and from those of `jobs` that
+    /// are live. `now_ms` is the current time in milliseconds since the Unix epoch.
     pub fn tallies<'a>(&self, jobs: impl Iterator<Item = &'a Job>, now_ms: u64) -> BTreeMap<JobGroup, ServiceTally> {
         let mut tallies: BTreeMap<JobGroup, ServiceTally> = BTreeMap::new();
         for (group, EndedCount { judged, in_time }) in &self.ended {
@@ -151,6 +165,7 @@
     }
 }
 
+/// Adds a live job to the counts of a group.
 fn add_live_job(counts: &mut ServiceTally, job: &Job, now_ms: u64) {
     counts.live += 1;
     if job.placed == 0 && job.done == 0 {
--- a/src/state/service_levels/tests.rs
+++ b/src/state/service_levels/tests.rs
@@ -1,4 +1,4 @@
-//! Service levels by class, by team and of the largest jobs.
+//! Tests of service levels by class, by team and of the largest jobs.
 
 use super::*;
 
@@ -6,50 +6,52 @@
     JobSpec { class: class.into(), team: team.into(), ..JobSpec::example("run-1") }
 }
 
-/// Most jobs of a class are in time, and all that are not belong to one team.
+/// Most jobs of a class are in time, and all of those that are not belong to one team. The
+/// share of the class alone would hide that the team is not served.
 #[test]
-fn an_unserved_team_shows_although_its_class_does_well() {
-    let mut s = Served::default();
+fn an_unserved_team_is_seen_although_its_class_is_served_well() {
+    let mut served = Served::default();
     for _ in 0..20 {
-        s.note(&spec("scores", "risk"), true);
+        served.note(&spec("scores", "risk"), true);
     }
     for _ in 0..9 {
-        s.note(&spec("scores", "treasury"), false);
+        served.note(&spec("scores", "treasury"), false);
     }
-    let t = s.tallies(std::iter::empty(), 0);
-    assert!(t[&JobGroup::Class("scores".into())].least_share().unwrap() > HARDLY_SERVED_SHARE);
-    assert_eq!(t[&JobGroup::Team("treasury".into())].least_share(), Some(0.0));
-    assert_eq!(t[&JobGroup::Team("risk".into())].least_share(), Some(1.0));
+    let tallies = served.tallies(std::iter::empty(), 0);
+    assert!(tallies[&JobGroup::Class("scores".into())].least_share().unwrap() > HARDLY_SERVED_SHARE);
+    assert_eq!(tallies[&JobGroup::Team("treasury".into())].least_share(), Some(0.0));
+    assert_eq!(tallies[&JobGroup::Team("risk".into())].least_share(), Some(1.0));
 }
 
-/// All small jobs of a class started before the large ones, and the class as a whole
-/// seemed to do well. Jobs are large by number of tasks, by cores or by memory.
+/// If all small jobs of a class start before the large ones, the share of the class alone hides
+/// that the large ones are not served. A job is large by its number of tasks, by its cores or
+/// by its memory.
 #[test]
-fn unserved_large_jobs_show_although_their_class_does_well() {
-    let mut s = Served::default();
+fn unserved_large_jobs_are_seen_although_their_class_is_served_well() {
+    let mut served = Served::default();
     let sized = |task_count, mem_gb| JobSpec { task_count, mem_gb, ..spec("scores", "risk") };
     for n in 0..100 {
-        s.note(&sized(1 + n % 5, 1.0), true);
+        served.note(&sized(1 + n % 5, 1.0), true);
         if n % 4 == 0 {
-            s.note(&sized(200, 1.0), false);
-            s.note(&sized(1, 900.0), false);
+            served.note(&sized(200, 1.0), false);
+            served.note(&sized(1, 900.0), false);
         }
     }
-    let t = s.tallies(std::iter::empty(), 0);
-    assert!(t[&JobGroup::Class("scores".into())].least_share().unwrap() > HARDLY_SERVED_SHARE);
-    let largest = t[&JobGroup::Largest("scores".into())];
+    let tallies = served.tallies(std::iter::empty(), 0);
+    assert!(tallies[&JobGroup::Class("scores".into())].least_share().unwrap() > HARDLY_SERVED_SHARE);
+    let largest = tallies[&JobGroup::Largest("scores".into())];
     assert!(largest.judged >= 20 && largest.least_share().unwrap() < HARDLY_SERVED_SHARE, "{largest:?}");
     let mut alike = Served::default();
     (0..20).for_each(|_| alike.note(&sized(3, 1.0), false));
     assert!(!alike.tallies(std::iter::empty(), 0).contains_key(&JobGroup::Largest("scores".into())));
 }
 
-/// A share of a few jobs says nothing, and the least of several shares is reported.
+/// No share is reported for a few jobs, and the smallest of several shares is reported.
 #[test]
-fn a_share_needs_enough_jobs() {
-    let mut s = Served::default();
-    (0..FEWEST_JOBS - 1).for_each(|_| s.note(&spec("scores", "risk"), false));
-    assert_eq!(s.tallies(std::iter::empty(), 0)[&JobGroup::Class("scores".into())].least_share(), None);
+fn a_share_is_reported_only_for_enough_jobs() {
+    let mut served = Served::default();
+    (0..MIN_JOBS_FOR_SHARE - 1).for_each(|_| served.note(&spec("scores", "risk"), false));
+    assert_eq!(served.tallies(std::iter::empty(), 0)[&JobGroup::Class("scores".into())].least_share(), None);
     let services = ServiceTally { replicas: 10, placed: 4, live: 10, untouched: 2, ..ServiceTally::default() };
-    assert_eq!(services.least_share(), Some(0.4), "the least of them counts");
+    assert_eq!(services.least_share(), Some(0.4), "the smallest share counts");
 }
