--- a/deploy/maintenance.hcl
+++ b/deploy/maintenance.hcl
@@ -1,6 +1,7 @@
-# An operator's file with a campaign (`finchquay --operator deploy/maintenance.hcl`):
-# names of teams, sites and types are those of the platform's settings. See
-# docs/maintenance.md.
+# Example of an operator's file with a disruption budget and a maintenance campaign, to be
+# used as `finchquay --operator deploy/maintenance.hcl`. Teams and zones (`site`) have the
+# names that the platform's settings give them, machine types (`build`) those of the cloud's
+# catalog. See docs/maintenance.md.
 #
 # budget "switch-team" {
 #   away  = 2
--- a/src/config/operator.rs
+++ b/src/config/operator.rs
@@ -1,4 +1,7 @@
-//! The operator's file (HCL): tuning, disruption budgets and rolling replacements.
+//! The operator's file (HCL): tuning of the scheduler, disruption budgets and maintenance
+//! campaigns.
+
+#![warn(missing_docs)]
 
 use super::{SettingsError, Team, read_file};
 use crate::maintenance::budget::DisruptionBudget;
@@ -7,28 +10,32 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 
-/// Settings of the operator. Most defaults are ratios to a figure of the platform's file,
-/// so one file serves deployments of any size.
+/// Settings of the operator. Most of them are ratios to values that the platform sets, so that
+/// one file suits deployments of any size.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Operator {
-    /// Seconds that a task may be queued before it is placed first-fit.
+    /// Time after which a waiting job is overdue and its tasks are placed first-fit, in seconds.
     pub wait_limit_s: f64,
-    /// Longest queued tasks that one knapsack considers.
+    /// Number of tasks of each priority, the longest-waiting ones first, that a placement round
+    /// considers.
     pub window: usize,
-    /// Memory step of the knapsack, in MB.
+    /// Resolution of memory amounts in the knapsack, in MiB.
     pub step_mb: f64,
-    /// An idle machine is returned to the cloud after this many boot times.
+    /// Time after which an idle machine is released, as a multiple of the time that a
+    /// replacement takes to boot and to pull an image.
     pub idle_boots: f64,
-    /// A machine that is not up after this many boot times is replaced.
+    /// Time after which a machine that is not up is replaced, as a multiple of its boot time.
     pub late_boots: f64,
-    /// A silent machine is given up after this many heartbeat intervals.
+    /// Time after which a silent machine is considered lost, as a multiple of the heartbeat
+    /// interval.
     pub silent_reports: f64,
-    /// Headroom for services, as a share of what services use.
+    /// Headroom for services, as a share of their replicas.
     pub spare_share: f64,
-    /// Disruption budget of each team: what it may miss while machines are drained.
+    /// Disruption budgets by team: how many replicas may be away while machines are drained.
     pub budget: BTreeMap<String, DisruptionBudget>,
-    /// Rolling replacements: machines to be drained and returned, in the order of names.
+    /// Maintenance campaigns by name: machines to be drained and released. Campaigns run in the
+    /// order of their names.
     pub campaign: BTreeMap<String, Campaign>,
 }
 
@@ -49,7 +56,8 @@
 }
 
 impl Operator {
-    /// Reads and validates an operator's file, for these teams.
+    /// Reads and validates an operator's file. `teams` are the teams of the deployment, to which
+    /// every budget must belong.
     pub fn load(file: &Path, teams: &[Team]) -> Result<Operator, SettingsError> {
         let text = read_file(file)?;
         let operator: Operator = hcl::from_str(&text).map_err(|error| SettingsError::parse(file, &error))?;
--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -1,30 +1,32 @@
 //! The platform's file (TOML): identity and addresses of this controller, and the
 //! parameters of the deployment.
 
+#![warn(missing_docs)]
+
 use super::{Operator, SettingsError, read_file};
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// Settings of one controller: the platform's file, and the operator's on top of it.
+/// Settings of one controller: those of the platform's file and those of the operator's.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Settings {
-    /// Name of this controller.
+    /// Name of this controller, which is a member of the cluster.
     pub member: String,
     /// Zone of this controller.
     pub zone: String,
-    /// Address to listen at for users, workers and load balancers.
+    /// Address at which the controller listens for users, workers and load balancers.
     pub public_addr: SocketAddr,
-    /// Address to listen at for other controllers.
+    /// Address at which the controller listens for other controllers.
     pub peer_bind: SocketAddr,
     /// The other controllers.
     #[serde(default)]
     pub others: Vec<Other>,
-    /// Services outside of the cluster.
-    pub outside: Outside,
-    /// Parameters of the deployment, the same for all controllers.
-    pub settings: Params,
-    /// The operator's own settings; not part of the platform's file.
+    /// Addresses of the external services.
+    pub outside: ExternalServices,
+    /// Settings of the deployment, which are the same for all controllers.
+    pub settings: DeploymentSettings,
+    /// The operator's own settings, which are not part of the platform's file.
     #[serde(skip)]
     pub operator: Operator,
 }
@@ -32,27 +34,27 @@
 /// Another controller.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Other {
-    /// Its name.
+    /// Name of the controller.
     pub member: String,
-    /// Its zone.
+    /// Zone of the controller.
     pub zone: String,
     /// Address at which it listens for other controllers.
     pub peer_addr: SocketAddr,
 }
 
-/// Addresses of the services that a controller calls.
+/// Addresses of the external services that a controller calls.
 #[derive(Debug, Clone, Deserialize)]
-pub struct Outside {
-    /// Address of the cloud.
+pub struct ExternalServices {
+    /// Address of the cloud provider.
     pub cloud: SocketAddr,
-    /// Address of the store.
+    /// Address of the store that keeps the cluster's state.
     pub state: SocketAddr,
 }
 
-/// Parameters of the deployment.
+/// Settings of the deployment, which are the same for all controllers.
 #[derive(Debug, Clone, Deserialize)]
-pub struct Params {
-    /// All zones.
+pub struct DeploymentSettings {
+    /// Names of all zones.
     pub zones: Vec<String>,
     /// Teams and their quotas.
     #[serde(default)]
@@ -60,61 +62,62 @@
     /// Service-level objectives.
     #[serde(default)]
     pub objectives: Vec<Objective>,
-    /// Timing of the workers.
+    /// Time limits of the workers.
     pub workers: Workers,
     /// Limits of the store.
     pub state: StateLimits,
-    /// Limits of the cloud.
+    /// Limits of the cloud provider.
     pub cloud: CloudLimits,
     /// Limits of the machine that the controller runs on.
     pub machine_limits: MachineLimits,
 }
 
-/// Quota of a team: guarantees and limits. A limit of 0 means none.
+/// Quota of a team: guaranteed resources and limits. A limit of 0 means that there is none.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Team {
     /// Name of the team.
     pub name: String,
-    /// Guaranteed CPU cores.
+    /// Number of CPU cores that the team is guaranteed.
     #[serde(default)]
     pub cpus: f64,
-    /// Limit of CPU cores.
+    /// Maximum number of CPU cores that the team may use.
     #[serde(default)]
     pub cpus_max: f64,
-    /// Guaranteed GPUs.
+    /// Number of GPUs that the team is guaranteed.
     #[serde(default)]
     pub gpus: f64,
-    /// Limit of GPUs.
+    /// Maximum number of GPUs that the team may use.
     #[serde(default)]
     pub gpus_max: f64,
 }
 
-/// One service-level objective; kinds and fields this program does not use are ignored.
+/// One service-level objective. Kinds and fields that this program does not use are ignored.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Objective {
-    /// What is measured.
+    /// What the objective is about: `wait` for the time until the start, `finished` for the time
+    /// until completion, `deadline` for the job's deadline.
     pub kind: String,
-    /// Class of the jobs that it is for.
+    /// Class of the jobs to which the objective applies.
     pub class: Option<String>,
-    /// Limit, in seconds.
+    /// Time limit from submission, in seconds.
     pub within_s: Option<f64>,
-    /// Share of the jobs that must keep the limit, from 0 to 1.
+    /// Share of the jobs that must meet the limit, from 0 to 1.
     pub share: Option<f64>,
-    /// Limit, as a multiple of the deadline.
+    /// Time limit from submission, as a multiple of the job's deadline.
     pub times: Option<f64>,
 }
 
-/// Timing of the workers, in seconds.
+/// Time limits of the workers, in seconds.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Workers {
-    /// Interval of heartbeats; `report_s` in the file.
+    /// Interval between heartbeats; `report_s` in the file.
     #[serde(rename = "report_s")]
     pub heartbeat_interval_s: f64,
-    /// Time without a controller after which a worker stops its tasks.
+    /// Time without contact with a controller after which a worker stops its tasks.
     pub lease_s: f64,
-    /// Time that a ready task waits for the others of its gang.
+    /// Time that a task of a gang waits, once it is ready, for the other tasks of the gang.
     pub gang_wait_s: f64,
-    /// Time after which a running gang notices the loss of a member.
+    /// Time after which a running gang detects that it has lost one of its tasks.
     pub gang_peer_s: f64,
     /// Time within which all tasks of a cancelled job must have stopped.
     pub cancel_s: f64,
@@ -127,34 +130,35 @@
     pub rps: f64,
     /// Transactions per second.
     pub write_rps: f64,
-    /// Largest value, in kB.
+    /// Maximum size of a value, in KiB.
     pub value_kb: f64,
-    /// Most operations in a transaction.
+    /// Maximum number of operations in a transaction.
     pub txn_ops: usize,
 }
 
-/// Limits of the cloud.
+/// Limits of the cloud provider.
 #[derive(Debug, Clone, Deserialize)]
 pub struct CloudLimits {
     /// Requests per second.
     pub rps: f64,
-    /// Time by which its list of machines may lag behind, in seconds.
+    /// Maximum time by which the cloud's list of machines lags behind, in seconds.
     pub list_lag_s: f64,
 }
 
 /// Limits of the machine that the controller runs on.
 #[derive(Debug, Clone, Deserialize)]
 pub struct MachineLimits {
-    /// Share of one CPU core.
+    /// Share of one CPU core that the controller may use.
     pub core_share: f64,
-    /// Memory, in MB.
+    /// Memory that the controller may use, in MiB.
     pub ram_mb: f64,
-    /// Most open sockets.
+    /// Maximum number of open sockets.
     pub max_connections: usize,
 }
 
 impl Settings {
-    /// Reads and validates the platform's file and, where given, the operator's.
+    /// Reads and validates the platform's file, `config`, and the operator's file if one is
+    /// given.
     pub fn load(config: &Path, operator: Option<&Path>) -> Result<Settings, SettingsError> {
         let mut settings = Settings::parse(&read_file(config)?, config)?;
         if let Some(file) = operator {
@@ -163,14 +167,14 @@
         Ok(settings)
     }
 
-    /// Parses and validates the text of the platform's file; `file` is named in errors.
+    /// Parses and validates the text of the platform's file. Errors name `file`.
     pub fn parse(text: &str, file: &Path) -> Result<Settings, SettingsError> {
         let settings: Settings = toml::from_str(text).map_err(|error| SettingsError::parse(file, &error))?;
         settings.validate(file)?;
         Ok(settings)
     }
 
-    /// Number of controllers, this one included.
+    /// Number of controllers of the cluster, including this one.
     pub fn controllers(&self) -> usize {
         self.others.len() + 1
     }
--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -1,8 +1,9 @@
-//! Refusal of invalid settings of the platform and of the operator.
+//! Tests that invalid settings of the platform and of the operator are refused.
 
 use super::*;
 
-const GOOD: &str = r#"
+/// A valid file of the platform.
+const VALID: &str = r#"
 member = "perch-0"
 zone = "z"
 public_addr = "10.0.0.1:8080"
@@ -33,16 +34,17 @@
 max_connections = 800
 "#;
 
-fn refused(from: &str, to: &str) -> String {
-    assert!(GOOD.contains(from), "{from}");
-    let text = GOOD.replace(from, to);
+/// The error for the valid file with one text replaced.
+fn refusal(from: &str, to: &str) -> String {
+    assert!(VALID.contains(from), "{from}");
+    let text = VALID.replace(from, to);
     Settings::parse(&text, Path::new("f.toml")).expect_err("must be refused").to_string()
 }
 
-/// A controller that starts with impossible settings breaks its rules later.
+/// A controller that started with invalid settings would break its guarantees later.
 #[test]
-fn impossible_settings_are_refused_in_one_line() {
-    assert!(Settings::parse(GOOD, Path::new("f.toml")).is_ok());
+fn invalid_settings_are_refused_with_a_one_line_error() {
+    assert!(Settings::parse(VALID, Path::new("f.toml")).is_ok());
     for (from, to, field) in [
         ("report_s = 2.0", "", "report_s"),
         ("report_s = 2.0", "report_s = 0.0", "settings.workers.report_s"),
@@ -58,24 +60,27 @@
         ("rps = 3.0", "rps = nan", "settings.cloud.rps"),
         ("member = \"perch-0\"", "member = \"\"", "member"),
     ] {
-        let line = refused(from, to);
+        let line = refusal(from, to);
         assert!(line.contains(field) && line.starts_with("f.toml") && !line.contains('\n'), "{line}");
     }
 }
 
-/// A value that would break a campaign or a budget is refused by name.
+/// An invalid value in an operator's file is refused with an error that names the field.
 #[test]
-fn operator_files_are_validated_too() {
-    let read = |t: &str| hcl::from_str::<Operator>(t).map_err(|e| e.to_string());
-    assert_eq!(read("window = 100").unwrap().window, 100);
-    assert!(read("windows = 100").unwrap_err().contains("windows"));
-    let plan = "budget \"t\" { away = 2 }\ncampaign \"b\" { build = \"std\" }\ncampaign \"a\" { spot = true }";
-    let plan = read(plan).unwrap();
-    assert_eq!((plan.budget["t"].max_away, plan.campaign.len(), plan.campaign["b"].max_wave_size), (2, 2, 8));
-    let refused = |t: &str| read(t).unwrap().validate(Path::new("o.hcl")).unwrap_err().to_string();
-    assert!(refused("budget \"t\" { share = 1.5 }").contains("o.hcl: budget.t.share"));
-    assert!(refused("campaign \"a\" { first = 9 }").contains("o.hcl: campaign.a"));
-    assert!(read("campaign \"a\" { zone = \"x\" }").unwrap_err().contains("zone"));
-    let bad = read("step_mb = -1").unwrap().validate(Path::new("o.hcl")).unwrap_err();
-    assert!(bad.to_string().contains("o.hcl: step_mb"));
+fn invalid_operator_settings_are_refused() {
+    let parse = |text: &str| hcl::from_str::<Operator>(text).map_err(|e| e.to_string());
+    assert_eq!(parse("window = 100").unwrap().window, 100);
+    assert!(parse("windows = 100").unwrap_err().contains("windows"));
+    let text = "budget \"t\" { away = 2 }\ncampaign \"b\" { build = \"std\" }\ncampaign \"a\" { spot = true }";
+    let operator = parse(text).unwrap();
+    assert_eq!(
+        (operator.budget["t"].max_away, operator.campaign.len(), operator.campaign["b"].max_wave_size),
+        (2, 2, 8)
+    );
+    let refusal = |text: &str| parse(text).unwrap().validate(Path::new("o.hcl")).unwrap_err().to_string();
+    assert!(refusal("budget \"t\" { share = 1.5 }").contains("o.hcl: budget.t.share"));
+    assert!(refusal("campaign \"a\" { first = 9 }").contains("o.hcl: campaign.a"));
+    assert!(parse("campaign \"a\" { zone = \"x\" }").unwrap_err().contains("zone"));
+    let error = parse("step_mb = -1").unwrap().validate(Path::new("o.hcl")).unwrap_err();
+    assert!(error.to_string().contains("o.hcl: step_mb"));
 }
