--- a/src/transport/calls.rs
+++ b/src/transport/calls.rs
@@ -1,4 +1,5 @@
-//! Calls to the store, the cloud and workers: a queue, and a pool of connections.
+//! Outgoing calls to the store, the cloud and the workers: the queue of calls, and the pool
+//! of connections on which they are sent.
 
 use super::connection::{Connection, Role};
 use super::http::{self, Parsed};
@@ -7,29 +8,31 @@
 use mio::net::TcpStream;
 use std::collections::VecDeque;
 
-/// Parallel connections to the store, the cloud or one worker.
-const CONNECTIONS_PER_TARGET: usize = 8;
+/// Maximum number of parallel connections to the store, the cloud or one worker.
+const MAX_CONNECTIONS_PER_TARGET: usize = 8;
 
-/// A call that waits for a connection.
+/// A call that waits in the queue for a connection.
 pub(super) struct QueuedCall {
     pub(super) id: CallId,
     target: Target,
-    /// The request as it is sent.
+    /// The encoded HTTP request.
     request: Vec<u8>,
+    /// The time at which the call ends without an answer.
     pub(super) deadline: Instant,
 }
 
-/// Where a queued call goes.
+/// How a queued call proceeds.
 enum Route {
-    /// A connection that is free or was just opened.
+    /// It is sent on the connection with this token, which is idle or was just opened.
     Connection(usize),
-    /// Nowhere yet: all connections that it may use are busy.
+    /// It stays in the queue: no connection is idle, and none may be opened.
     Wait,
-    /// Its target cannot be dialled.
+    /// It ends without an answer: no connection to its target could be opened.
     Fail,
 }
 
 impl QueuedCall {
+    /// Encodes the request of a call to `target`, whose socket address is `address`.
     pub(super) fn new(
         id: CallId,
         target: Target,
@@ -46,56 +49,62 @@
 }
 
 impl Network {
-    /// Puts queued calls on idle or new connections, within the limits.
-    pub(super) fn pump_queue(&mut self) {
+    /// Sends as many queued calls as the connection limits allow, on idle or new connections.
+    /// The others stay in the queue, in their order.
+    pub(super) fn start_queued_calls(&mut self) {
         let mut waiting = VecDeque::new();
-        let mut full = false;
-        while let Some(call) = self.queue.pop_front() {
-            match self.route(&call, &mut full) {
+        let mut at_limit = false;
+        while let Some(call) = self.queued_calls.pop_front() {
+            match self.route(&call, &mut at_limit) {
                 Route::Connection(token) => self.start_call(token, call),
                 Route::Wait => waiting.push_back(call),
                 Route::Fail => self.events.push_back(Event::CallEnded { id: call.id, result: Err(NoAnswer) }),
             }
         }
-        self.queue = waiting;
+        self.queued_calls = waiting;
     }
 
-    /// Finds or opens a connection for a call. `full` is set once no socket is left; only
-    /// calls to workers wait then.
-    fn route(&mut self, call: &QueuedCall, full: &mut bool) -> Route {
-        if let Some(token) = self.idle.get_mut(&call.target).and_then(Vec::pop) {
+    /// Finds an idle connection for a call or opens one. `at_limit` is set once no socket can
+    /// be freed; from then on calls to workers wait, whereas calls to the store and the cloud
+    /// still open connections.
+    fn route(&mut self, call: &QueuedCall, at_limit: &mut bool) -> Route {
+        if let Some(token) = self.idle_client_connections.get_mut(&call.target).and_then(Vec::pop) {
             return Route::Connection(token);
         }
-        if self.open.get(&call.target).copied().unwrap_or(0) >= CONNECTIONS_PER_TARGET {
+        if self.open_client_connections.get(&call.target).copied().unwrap_or(0) >= MAX_CONNECTIONS_PER_TARGET {
             return Route::Wait;
         }
-        *full = *full || !self.make_capacity();
-        if *full && matches!(call.target, Target::Worker(_)) {
+        *at_limit = *at_limit || !self.ensure_capacity();
+        if *at_limit && matches!(call.target, Target::Worker(_)) {
             return Route::Wait;
         }
         self.dial(call).map_or(Route::Fail, Route::Connection)
     }
 
+    /// Opens a connection to the target of a call and returns its token, or `None` if that
+    /// fails.
     fn dial(&mut self, call: &QueuedCall) -> Option<usize> {
         let stream = TcpStream::connect(self.address(call.target)).ok()?;
         let role = Role::Client { target: call.target, call: None };
-        let token = self.add(stream, role, false, call.deadline)?;
-        *self.open.entry(call.target).or_default() += 1;
+        let token = self.register(stream, role, false, call.deadline)?;
+        *self.open_client_connections.entry(call.target).or_default() += 1;
         Some(token)
     }
 
+    /// Sends the request of a call on a connection, which gets the deadline of the call.
     fn start_call(&mut self, token: usize, queued: QueuedCall) {
         if let Some(connection) = self.connections.get_mut(&token) {
             if let Role::Client { call, .. } = &mut connection.role {
                 *call = Some(queued.id);
             }
             connection.deadline = queued.deadline;
-            connection.write.extend(queued.request);
+            connection.write_buffer.extend(queued.request);
         }
         self.flush(token);
     }
 
-    /// Handles a response, if it was received whole.
+    /// Handles a response once it has been received completely. A malformed response closes
+    /// the connection.
     pub(super) fn read_response(&mut self, token: usize) {
         let now = self.now();
         let Some(connection) = self.connections.get_mut(&token) else {
@@ -104,23 +113,23 @@
         let Role::Client { target, call } = &mut connection.role else {
             return;
         };
-        if connection.read.is_empty() {
+        if connection.read_buffer.is_empty() {
             return;
         }
-        match http::parse_response(&connection.read, self.response_limit) {
+        match http::parse_response(&connection.read_buffer, self.response_limit) {
             Parsed::Partial => {}
             Parsed::Bad(_) => self.close(token),
             Parsed::Whole(response, _) => {
                 let (target, id) = (*target, call.take());
-                connection.read = Vec::new();
+                connection.read_buffer = Vec::new();
                 connection.deadline = now + self.idle_timeout;
                 self.finish_call(token, target, id, response);
             }
         }
     }
 
-    /// Passes a response on, and frees its connection or closes it. A response that no
-    /// call awaits closes it.
+    /// Passes a response to the controller and returns its connection to the pool. The
+    /// connection is closed instead if the response says so, or if no call awaits the response.
     fn finish_call(&mut self, token: usize, target: Target, call: Option<CallId>, response: http::Response) {
         if let Some(id) = call {
             let reply = Reply { status: response.status, body: response.body };
@@ -129,14 +138,14 @@
         if response.close || call.is_none() {
             self.close(token);
         } else {
-            self.idle.entry(target).or_default().push(token);
-            self.pump_queue();
+            self.idle_client_connections.entry(target).or_default().push(token);
+            self.start_queued_calls();
         }
     }
 
-    /// Closes the idle connection to a worker that is nearest its deadline. False if none
-    /// is idle.
-    pub(super) fn shed_idle_call(&mut self) -> bool {
+    /// Closes the idle connection to a worker whose deadline is the earliest. Returns `false`
+    /// if there is no idle one.
+    pub(super) fn close_idle_worker_connection(&mut self) -> bool {
         let idle_until = |connection: &Connection| match connection.role {
             Role::Client { target: Target::Worker(_), call: None } => Some(connection.deadline),
             _ => None,
@@ -149,23 +158,23 @@
             return false;
         };
         if let Role::Client { target, .. } = connection.role {
-            self.forget_call_connection(target, token);
+            self.forget_client_connection(target, token);
         }
         true
     }
 
-    /// A connection of ours to this target was closed.
-    pub(super) fn forget_call_connection(&mut self, target: Target, token: usize) {
-        if let Some(idle) = self.idle.get_mut(&target) {
+    /// Removes a closed connection to a target from the pool and from the connection count.
+    pub(super) fn forget_client_connection(&mut self, target: Target, token: usize) {
+        if let Some(idle) = self.idle_client_connections.get_mut(&target) {
             idle.retain(|other| *other != token);
         }
-        let Some(open) = self.open.get_mut(&target) else {
+        let Some(open) = self.open_client_connections.get_mut(&target) else {
             return;
         };
         *open -= 1;
         if *open == 0 {
-            self.open.remove(&target);
-            self.idle.remove(&target);
+            self.open_client_connections.remove(&target);
+            self.idle_client_connections.remove(&target);
         }
     }
 }
--- a/src/transport/connection.rs
+++ b/src/transport/connection.rs
@@ -1,99 +1,112 @@
-//! One TCP connection, and what it is used for.
+//! A TCP connection with its buffers and its role.
 
 use crate::effects::{CallId, Instant, Target};
 use mio::net::TcpStream;
 use std::io::{self, Read, Write};
 
-/// Bytes that one read takes at most.
+/// Maximum number of bytes that one system call reads from a socket.
 const READ_CHUNK_BYTES: usize = 16 * 1024;
 
 /// What a connection is used for.
 pub(super) enum Role {
-    /// A user, worker or load balancer that connected to us.
+    /// An accepted connection of a user, a worker or a load balancer, on which this process is
+    /// the HTTP server.
     Server {
-        /// A request is being answered.
+        /// Whether a request has been passed to the controller and not been answered yet.
         busy: bool,
-        /// It is closed once the response is sent.
+        /// Whether the connection is closed once its last response has been sent.
         close: bool,
     },
-    /// Our connection to the store, the cloud or a worker.
+    /// A connection opened by this process to the store, the cloud or a worker, on which it is
+    /// the HTTP client.
     Client {
+        /// The service at the other end.
         target: Target,
-        /// The call whose response is awaited.
+        /// The call whose response is awaited; `None` while the connection is idle.
         call: Option<CallId>,
     },
-    /// Another controller that connected to us.
-    PeerIn {
-        /// Its name, once it has sent its hello.
+    /// An accepted connection of another controller, on which frames are received.
+    InboundPeer {
+        /// The name of the other controller, once it has sent its hello frame.
         member: Option<String>,
     },
-    /// Our connection to another controller.
-    PeerOut { member: String },
+    /// A connection opened by this process to another controller, on which frames are sent.
+    OutboundPeer {
+        /// The name of the other controller.
+        member: String,
+    },
 }
 
-/// What is known of a connection that is being established.
-pub(super) enum Progress {
+/// State of the TCP handshake of a connection.
+pub(super) enum ConnectProgress {
+    /// The connection can be read and written.
     Established,
+    /// The handshake has not ended yet.
     Pending,
+    /// The connection could not be established.
     Failed,
 }
 
-/// Whether a connection goes on after a read or write.
+/// Whether a connection can still be used after a read or a write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum StreamState {
+    /// It can be read and written further.
     Open,
-    /// The other side closed it, it failed, or it sent more than it may.
+    /// The other side has closed it or sent more than it may, or an I/O error occurred.
     Ended,
 }
 
-/// An open connection with its buffers.
+/// A connection that is open or being opened, with its buffers.
 pub(super) struct Connection {
     pub(super) stream: TcpStream,
     pub(super) role: Role,
-    /// Received and not handled yet.
-    pub(super) read: Vec<u8>,
-    /// To be sent.
-    pub(super) write: Vec<u8>,
+    /// Bytes received and not yet parsed.
+    pub(super) read_buffer: Vec<u8>,
+    /// Bytes not yet written to the socket.
+    pub(super) write_buffer: Vec<u8>,
+    /// Whether the TCP handshake is known to be complete.
     pub(super) connected: bool,
-    /// It is closed when this passes.
+    /// The time at which the connection is closed; use of the connection extends it.
     pub(super) deadline: Instant,
 }
 
 impl Connection {
+    /// Returns a connection with empty buffers. `connected` is `true` for an accepted stream.
     pub(super) fn new(stream: TcpStream, role: Role, connected: bool, deadline: Instant) -> Connection {
-        Connection { stream, role, read: Vec::new(), write: Vec::new(), connected, deadline }
+        Connection { stream, role, read_buffer: Vec::new(), write_buffer: Vec::new(), connected, deadline }
     }
 
-    /// Checks on a connection that is being established.
-    pub(super) fn progress(&mut self) -> Progress {
+    /// Checks whether the TCP handshake is complete, and records it if so.
+    pub(super) fn connect_progress(&mut self) -> ConnectProgress {
         if self.connected {
-            return Progress::Established;
+            return ConnectProgress::Established;
         }
         if matches!(self.stream.take_error(), Ok(Some(_)) | Err(_)) {
-            return Progress::Failed;
+            return ConnectProgress::Failed;
         }
         match self.stream.peer_addr() {
             Ok(_) => {
                 self.connected = true;
-                Progress::Established
+                ConnectProgress::Established
             }
-            Err(error) if error.kind() == io::ErrorKind::NotConnected => Progress::Pending,
-            Err(_) => Progress::Failed,
+            Err(error) if error.kind() == io::ErrorKind::NotConnected => ConnectProgress::Pending,
+            Err(_) => ConnectProgress::Failed,
         }
     }
 
-    /// Reads what the socket has, into a buffer of at most `limit` bytes.
+    /// Appends what the socket has received to the read buffer. The connection ends if the
+    /// buffer then holds more than `limit` bytes.
     pub(super) fn receive(&mut self, limit: usize) -> StreamState {
         let mut chunk = [0u8; READ_CHUNK_BYTES];
         loop {
             match self.stream.read(&mut chunk) {
                 Ok(0) => return StreamState::Ended,
                 Ok(count) => {
-                    self.read.extend_from_slice(&chunk[..count]);
-                    if self.read.len() > limit {
+                    self.read_buffer.extend_from_slice(&chunk[..count]);
+                    if self.read_buffer.len() > limit {
                         return StreamState::Ended;
                     }
-                    // A short read has emptied the socket; more brings a new event.
+                    // A short read has emptied the socket; further bytes cause a new event.
                     if count < chunk.len() {
                         return StreamState::Open;
                     }
@@ -105,13 +118,13 @@
         }
     }
 
-    /// Writes as much as the socket takes.
+    /// Writes as much of the write buffer as the socket accepts.
     pub(super) fn write_buffered(&mut self) -> StreamState {
-        while !self.write.is_empty() {
-            match self.stream.write(&self.write) {
+        while !self.write_buffer.is_empty() {
+            match self.stream.write(&self.write_buffer) {
                 Ok(0) => return StreamState::Ended,
                 Ok(count) => {
-                    self.write.drain(..count);
+                    self.write_buffer.drain(..count);
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return StreamState::Open,
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
@@ -121,8 +134,8 @@
         StreamState::Open
     }
 
-    /// Whether it is to be closed now that the last response is sent.
+    /// Whether its last response has been sent and the connection is to be closed.
     pub(super) fn is_finished(&self) -> bool {
-        self.write.is_empty() && matches!(self.role, Role::Server { busy: false, close: true })
+        self.write_buffer.is_empty() && matches!(self.role, Role::Server { busy: false, close: true })
     }
 }
--- a/src/transport/http.rs
+++ b/src/transport/http.rs
@@ -1,129 +1,135 @@
-//! HTTP/1.1 on byte buffers: reading requests and responses, writing both.
+//! HTTP/1.1 messages in byte buffers: parsing and writing of requests and responses.
+//! Bodies have a `Content-Length`; transfer encodings are not supported.
 
 use std::io::Write;
 
-/// Most headers of a message.
-const HEADERS_LIMIT: usize = 48;
-/// Largest head of a message, in bytes.
-const HEAD_LIMIT: usize = 16 * 1024;
+/// Maximum number of headers of a message.
+const MAX_HEADERS: usize = 48;
+/// Maximum size in bytes of the head of a message: its first line and its headers.
+const MAX_HEAD_BYTES: usize = 16 * 1024;
 
-/// A request.
+/// An HTTP request.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Request {
-    /// Method, as it was sent.
+    /// The method, as it was sent.
     pub method: String,
-    /// Path and query, as they were sent.
+    /// The path and query, as they were sent.
     pub path: String,
-    /// Body, empty if there is none.
+    /// The body, empty if there is none.
     pub body: Vec<u8>,
-    /// Whether the connection is closed after the response.
+    /// Whether the client wants the connection closed after the response.
     pub close: bool,
 }
 
-/// A response.
+/// An HTTP response.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Response {
-    /// Status code.
+    /// The status code.
     pub status: u16,
-    /// Body, empty if there is none.
+    /// The body, empty if there is none.
     pub body: Vec<u8>,
-    /// Whether the connection is closed after it.
+    /// Whether the server closes the connection after this response.
     pub close: bool,
 }
 
-/// Result of parsing the front of a buffer.
+/// Result of parsing one message at the start of a buffer.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Parsed<T> {
-    /// More bytes are needed.
+    /// The message is incomplete: more bytes are needed.
     Partial,
-    /// A whole message, and its length in bytes.
+    /// A complete message, and the number of bytes that it takes in the buffer.
     Whole(T, usize),
-    /// Malformed: respond with this status and close.
+    /// The message is malformed, too large or not supported. A server responds with this status
+    /// code and closes the connection; a client closes it.
     Bad(u16),
 }
 
-/// What the headers of a message say about its body and its connection.
-struct Head {
+/// What the headers of a message say about its body and about the connection.
+struct ParsedHeaders {
+    /// The length of the body, in bytes.
     body_len: usize,
+    /// Whether the connection is closed after the exchange.
     close: bool,
 }
 
-/// Reads the headers; an error is the status to respond with.
-fn read_headers(list: &[httparse::Header], version: u8) -> Result<Head, u16> {
-    let mut head = Head { body_len: 0, close: version == 0 };
-    let mut seen_len = false;
-    for header in list {
+/// Interprets the headers of an HTTP/1.`minor_version` message. The error is the status code
+/// to respond with.
+fn read_headers(raw_headers: &[httparse::Header], minor_version: u8) -> Result<ParsedHeaders, u16> {
+    let mut headers = ParsedHeaders { body_len: 0, close: minor_version == 0 };
+    let mut length_seen = false;
+    for header in raw_headers {
         if header.name.eq_ignore_ascii_case("content-length") {
             let text = std::str::from_utf8(header.value).map_err(|_| 400u16)?.trim();
             let len = text.parse().map_err(|_| 400u16)?;
-            // Two different lengths are a request smuggling attack.
-            if seen_len && len != head.body_len {
+            // Contradictory lengths are an attempt at request smuggling.
+            if length_seen && len != headers.body_len {
                 return Err(400);
             }
-            seen_len = true;
-            head.body_len = len;
+            length_seen = true;
+            headers.body_len = len;
         } else if header.name.eq_ignore_ascii_case("transfer-encoding") {
             return Err(501);
         } else if header.name.eq_ignore_ascii_case("connection") {
-            head.close = header.value.eq_ignore_ascii_case(b"close");
+            headers.close = header.value.eq_ignore_ascii_case(b"close");
         }
     }
-    Ok(head)
+    Ok(headers)
 }
 
-/// Parses a request with a body of at most `body_limit` bytes.
-pub fn parse_request(buf: &[u8], body_limit: usize) -> Parsed<Request> {
-    let mut slots = [httparse::EMPTY_HEADER; HEADERS_LIMIT];
-    let mut req = httparse::Request::new(&mut slots);
-    let start = match req.parse(buf) {
-        Ok(httparse::Status::Complete(n)) => n,
-        Ok(httparse::Status::Partial) if buf.len() > HEAD_LIMIT => return Parsed::Bad(431),
+/// Parses the request at the start of a buffer. Its body may have at most `body_limit` bytes.
+pub fn parse_request(buffer: &[u8], body_limit: usize) -> Parsed<Request> {
+    let mut header_slots = [httparse::EMPTY_HEADER; MAX_HEADERS];
+    let mut head = httparse::Request::new(&mut header_slots);
+    let body_start = match head.parse(buffer) {
+        Ok(httparse::Status::Complete(head_len)) => head_len,
+        Ok(httparse::Status::Partial) if buffer.len() > MAX_HEAD_BYTES => return Parsed::Bad(431),
         Ok(httparse::Status::Partial) => return Parsed::Partial,
         Err(_) => return Parsed::Bad(400),
     };
-    let head = match read_headers(req.headers, req.version.unwrap_or(0)) {
-        Ok(head) => head,
+    let headers = match read_headers(head.headers, head.version.unwrap_or(0)) {
+        Ok(headers) => headers,
         Err(status) => return Parsed::Bad(status),
     };
-    if head.body_len > body_limit {
+    if headers.body_len > body_limit {
         return Parsed::Bad(413);
     }
-    let end = start + head.body_len;
-    if buf.len() < end {
+    let body_end = body_start + headers.body_len;
+    if buffer.len() < body_end {
         return Parsed::Partial;
     }
     let request = Request {
-        method: req.method.unwrap_or("").to_string(),
-        path: req.path.unwrap_or("").to_string(),
-        body: buf[start..end].to_vec(),
-        close: head.close,
+        method: head.method.unwrap_or("").to_string(),
+        path: head.path.unwrap_or("").to_string(),
+        body: buffer[body_start..body_end].to_vec(),
+        close: headers.close,
     };
-    Parsed::Whole(request, end)
+    Parsed::Whole(request, body_end)
 }
 
-/// Parses a response with a body of at most `body_limit` bytes.
-pub fn parse_response(buf: &[u8], body_limit: usize) -> Parsed<Response> {
-    let mut slots = [httparse::EMPTY_HEADER; HEADERS_LIMIT];
-    let mut res = httparse::Response::new(&mut slots);
-    let start = match res.parse(buf) {
-        Ok(httparse::Status::Complete(n)) => n,
-        Ok(httparse::Status::Partial) if buf.len() > HEAD_LIMIT => return Parsed::Bad(502),
+/// Parses the response at the start of a buffer. Its body may have at most `body_limit` bytes.
+pub fn parse_response(buffer: &[u8], body_limit: usize) -> Parsed<Response> {
+    let mut header_slots = [httparse::EMPTY_HEADER; MAX_HEADERS];
+    let mut head = httparse::Response::new(&mut header_slots);
+    let body_start = match head.parse(buffer) {
+        Ok(httparse::Status::Complete(head_len)) => head_len,
+        Ok(httparse::Status::Partial) if buffer.len() > MAX_HEAD_BYTES => return Parsed::Bad(502),
         Ok(httparse::Status::Partial) => return Parsed::Partial,
         Err(_) => return Parsed::Bad(502),
     };
-    let head = match read_headers(res.headers, res.version.unwrap_or(0)) {
-        Ok(head) if head.body_len <= body_limit => head,
+    let headers = match read_headers(head.headers, head.version.unwrap_or(0)) {
+        Ok(headers) if headers.body_len <= body_limit => headers,
         _ => return Parsed::Bad(502),
     };
-    let end = start + head.body_len;
-    if buf.len() < end {
+    let body_end = body_start + headers.body_len;
+    if buffer.len() < body_end {
         return Parsed::Partial;
     }
-    let response = Response { status: res.code.unwrap_or(0), body: buf[start..end].to_vec(), close: head.close };
-    Parsed::Whole(response, end)
+    let response =
+        Response { status: head.code.unwrap_or(0), body: buffer[body_start..body_end].to_vec(), close: headers.close };
+    Parsed::Whole(response, body_end)
 }
 
-/// Appends a request.
+/// Appends a request to `out`.
 pub fn write_request(out: &mut Vec<u8>, method: &str, host: &str, path: &str, body: Option<&[u8]>) {
     let len = body.map_or(0, <[u8]>::len);
     let _ = write!(out, "{method} {path} HTTP/1.1\r\nHost: {host}\r\n");
@@ -134,9 +140,10 @@
     out.extend_from_slice(body.unwrap_or(&[]));
 }
 
-/// Appends a response; `retry_after` is in seconds.
+/// Appends a response to `out`. `retry_after` is the value of the `Retry-After` header, in
+/// seconds; `close` announces that the connection is closed after the response.
 pub fn write_response(out: &mut Vec<u8>, status: u16, body: &[u8], retry_after: Option<u32>, close: bool) {
-    let _ = write!(out, "HTTP/1.1 {status} {}\r\n", reason(status));
+    let _ = write!(out, "HTTP/1.1 {status} {}\r\n", reason_phrase(status));
     if !body.is_empty() {
         let _ = write!(out, "Content-Type: application/cbor\r\n");
     }
@@ -150,7 +157,8 @@
     out.extend_from_slice(body);
 }
 
-fn reason(status: u16) -> &'static str {
+/// Returns the reason phrase of a status code.
+fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         201 => "Created",
--- a/src/transport/listeners.rs
+++ b/src/transport/listeners.rs
@@ -1,4 +1,5 @@
-//! The two listeners, and the connections of users, workers and load balancers.
+//! The two listeners of a controller, and the server side of HTTP: the connections of users,
+//! workers and load balancers.
 
 use super::connection::{Connection, Role};
 use super::http::{self, Parsed};
@@ -14,17 +15,19 @@
 pub(super) const USER_LISTENER: Token = Token(0);
 /// Token of the listener for other controllers.
 pub(super) const PEER_LISTENER: Token = Token(1);
-/// The first token of a connection.
-pub(super) const FIRST_CONNECTION: usize = 2;
+/// Token of the first connection; the ones below belong to the listeners.
+pub(super) const FIRST_CONNECTION_TOKEN: usize = 2;
 
 /// The listening sockets of a controller.
 pub(super) struct Listeners {
+    /// Listens for users, workers and load balancers.
     pub(super) users: TcpListener,
+    /// Listens for other controllers.
     pub(super) peers: TcpListener,
 }
 
 impl Listeners {
-    /// Binds both sockets.
+    /// Binds both sockets and registers them for polling.
     pub(super) fn bind(settings: &Settings, registry: &Registry) -> io::Result<Listeners> {
         let mut users = TcpListener::bind(settings.public_addr)?;
         let mut peers = TcpListener::bind(settings.peer_bind)?;
@@ -34,7 +37,7 @@
     }
 }
 
-/// The next connection that waits to be accepted.
+/// Accepts the next pending connection, or returns `None` if there is none or accepting fails.
 fn accept_next(listener: &TcpListener) -> Option<TcpStream> {
     loop {
         match listener.accept() {
@@ -46,41 +49,42 @@
 }
 
 impl Network {
-    /// Accepts users, workers and load balancers, within the limits.
+    /// Accepts connections of users, workers and load balancers. At the limit on them, an idle
+    /// one is closed for each new one; if none is idle, the new one is dropped.
     pub(super) fn accept_users(&mut self, listener: &TcpListener) {
         while let Some(stream) = accept_next(listener) {
             let deadline = self.now() + self.idle_timeout;
-            if self.servers >= self.max_servers && !self.shed_idle_server() {
+            if self.server_connections >= self.max_server_connections && !self.close_idle_server_connection() {
                 continue;
             }
-            self.make_capacity();
-            self.servers += 1;
-            match self.add(stream, Role::Server { busy: false, close: false }, true, deadline) {
+            self.ensure_capacity();
+            self.server_connections += 1;
+            match self.register(stream, Role::Server { busy: false, close: false }, true, deadline) {
                 Some(token) => self.drive(token),
-                None => self.servers -= 1,
+                None => self.server_connections -= 1,
             }
         }
     }
 
-    /// Accepts other controllers, within the limit.
+    /// Accepts connections of other controllers. At the limit on them, new ones are dropped.
     pub(super) fn accept_peers(&mut self, listener: &TcpListener) {
         while let Some(stream) = accept_next(listener) {
-            // A peer sends its hello at once; anything else is closed soon.
+            // A peer sends its hello frame at once, so a connection without one is closed soon.
             let deadline = self.now() + self.request_timeout;
-            if self.peers_in >= self.max_peers_in {
+            if self.inbound_peers >= self.max_inbound_peers {
                 continue;
             }
-            self.peers_in += 1;
-            match self.add(stream, Role::PeerIn { member: None }, true, deadline) {
+            self.inbound_peers += 1;
+            match self.register(stream, Role::InboundPeer { member: None }, true, deadline) {
                 Some(token) => self.drive(token),
-                None => self.peers_in -= 1,
+                None => self.inbound_peers -= 1,
             }
         }
     }
 
-    /// Closes the idle connection of a user, worker or load balancer that is nearest its
-    /// deadline. False if none is idle.
-    pub(super) fn shed_idle_server(&mut self) -> bool {
+    /// Closes the idle connection of a user, worker or load balancer whose deadline is the
+    /// earliest. Returns `false` if there is no idle one.
+    pub(super) fn close_idle_server_connection(&mut self) -> bool {
         let is_idle = |connection: &Connection| matches!(connection.role, Role::Server { busy: false, .. });
         let idle = self.connections.iter().filter(|(_, connection)| is_idle(connection));
         let Some((_, token)) = idle.map(|(token, connection)| (connection.deadline, *token)).min() else {
@@ -90,15 +94,19 @@
         true
     }
 
-    /// Keeps one socket free for a new connection while the machine's limit is near: an
-    /// idle connection to a worker is closed, or else an idle one of a client. A large
-    /// shard has more workers than there are sockets, and each that was called would keep
-    /// one. False where all are in use.
-    pub(super) fn make_capacity(&mut self) -> bool {
-        self.connections.len() < self.max_connections || self.shed_idle_call() || self.shed_idle_server()
+    /// Makes sure that a new connection stays within [`Network::max_connections`]. At the limit
+    /// it closes an idle connection to a worker, or else an idle one of a user, worker or load
+    /// balancer. This is needed because a large shard has more workers than there are sockets,
+    /// and each worker that was called would keep one. Returns `false` if no connection is idle.
+    pub(super) fn ensure_capacity(&mut self) -> bool {
+        self.connections.len() < self.max_connections
+            || self.close_idle_worker_connection()
+            || self.close_idle_server_connection()
     }
 
-    /// Handles the next request, if it was received whole and none is being answered.
+    /// Passes the next request to the controller, if it has been received completely and no
+    /// earlier one on the connection is still being answered. An invalid request is answered at
+    /// once, and the connection is closed.
     pub(super) fn read_requests(&mut self, token: usize) {
         let now = self.now();
         let Some(connection) = self.connections.get_mut(&token) else {
@@ -107,20 +115,20 @@
         let Role::Server { busy, close } = &mut connection.role else {
             return;
         };
-        if *busy || *close || connection.read.is_empty() {
+        if *busy || *close || connection.read_buffer.is_empty() {
             return;
         }
-        match http::parse_request(&connection.read, BODY_LIMIT) {
-            // A request that has begun must be received whole soon.
+        match http::parse_request(&connection.read_buffer, BODY_LIMIT) {
+            // Once a request has begun, the rest of it must arrive within the request timeout.
             Parsed::Partial => connection.deadline = connection.deadline.min(now + self.request_timeout),
             Parsed::Bad(status) => {
                 *close = true;
-                http::write_response(&mut connection.write, status, &[], None, true);
+                http::write_response(&mut connection.write_buffer, status, &[], None, true);
             }
             Parsed::Whole(request, used) => {
-                connection.read.drain(..used);
-                if connection.read.is_empty() {
-                    connection.read = Vec::new();
+                connection.read_buffer.drain(..used);
+                if connection.read_buffer.is_empty() {
+                    connection.read_buffer = Vec::new();
                 }
                 (*busy, *close) = (true, request.close);
                 connection.deadline = now + self.idle_timeout;
@@ -130,7 +138,8 @@
         }
     }
 
-    /// Answers the request that was received on a connection.
+    /// Sends the response to the request that was received on a connection. Does nothing if
+    /// the connection has been closed in the meantime.
     pub(super) fn respond(&mut self, token: usize, status: u16, body: &[u8], retry_after: Option<u32>) {
         let Some(connection) = self.connections.get_mut(&token) else {
             return;
@@ -139,9 +148,9 @@
             return;
         };
         *busy = false;
-        http::write_response(&mut connection.write, status, body, retry_after, *close);
+        http::write_response(&mut connection.write_buffer, status, body, retry_after, *close);
         self.flush(token);
-        // The client may have sent its next request already.
+        // The next request may have been received already.
         self.read_requests(token);
     }
 }
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -1,6 +1,8 @@
-//! Sockets, the clock and the event loop. Nothing else in the program touches either:
-//! the controller's logic gets events and returns actions. Every connection has a
-//! deadline and a limit on what it may buffer.
+//! The event loop, the sockets and the clock of a controller process. No other module uses
+//! sockets or reads the clock: the controller's logic receives events and returns actions.
+//! Every connection has a deadline and a limit on the bytes that it buffers.
+
+#![warn(missing_docs)]
 
 mod calls;
 mod connection;
--- a/src/transport/network.rs
+++ b/src/transport/network.rs
@@ -1,8 +1,8 @@
-//! All connections of the process: opening, driving and closing them.
+//! All connections of the process: registering, reading, writing and closing them.
 
 use super::calls::QueuedCall;
-use super::connection::{Connection, Progress, Role, StreamState};
-use super::listeners::FIRST_CONNECTION;
+use super::connection::{ConnectProgress, Connection, Role, StreamState};
+use super::listeners::FIRST_CONNECTION_TOKEN;
 use super::peers::PeerConnection;
 use crate::config::Settings;
 use crate::effects::{Action, Event, Instant, NoAnswer, Target};
@@ -13,97 +13,110 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Largest response that is read from the store or the cloud, as a share of the machine's
-/// memory: 1 part in this many.
-const RESPONSE_SHARE: usize = 8;
-/// Of the sockets that the machine allows, 1 part in this many is left for listeners and
-/// for what is accepted before it is counted.
-const SPARE_SOCKETS: usize = 16;
-/// Of the sockets that the machine allows, 1 part in this many is for peers that connect.
-const PEER_SOCKETS: usize = 16;
+/// The machine's memory divided by this is the maximum size of a response that is read from
+/// the store, the cloud or a worker.
+const RESPONSE_LIMIT_DIVISOR: usize = 8;
+/// The machine's socket limit divided by this is the number of sockets that are reserved for
+/// the listeners and for connections that are accepted before they are counted.
+const RESERVED_SOCKETS_DIVISOR: usize = 16;
+/// The machine's socket limit divided by this is the maximum number of accepted connections
+/// of peers.
+const PEER_SOCKETS_DIVISOR: usize = 16;
+/// Bytes in one megabyte of the memory setting, `settings.machine_limits.ram_mb`.
 const BYTES_PER_MB: f64 = 1_048_576.0;
 
-/// All connections, and the events that they caused.
+/// All connections, and the events that they have caused.
 pub(super) struct Network {
+    /// The poll instance with which all sockets are registered.
     pub(super) poll: Poll,
-    start: std::time::Instant,
+    /// When the process started.
+    started_at: std::time::Instant,
+    /// All connections, by token.
     pub(super) connections: HashMap<usize, Connection>,
+    /// The token of the next connection; tokens are not reused.
     next_token: usize,
-    /// Connections of ours that no call uses.
-    pub(super) idle: HashMap<Target, Vec<usize>>,
-    /// How many connections of ours there are.
-    pub(super) open: HashMap<Target, usize>,
+    /// The idle client connections to each target, by token.
+    pub(super) idle_client_connections: HashMap<Target, Vec<usize>>,
+    /// The number of client connections to each target, idle or not.
+    pub(super) open_client_connections: HashMap<Target, usize>,
     /// Calls that wait for a connection.
-    pub(super) queue: VecDeque<QueuedCall>,
+    pub(super) queued_calls: VecDeque<QueuedCall>,
+    /// The connections to the other controllers, by their names.
     pub(super) peers: HashMap<String, PeerConnection>,
-    /// Name of this controller.
+    /// The name of this controller.
     pub(super) member: String,
-    pub(super) store: SocketAddr,
-    cloud: SocketAddr,
-    /// Connections of users, workers and load balancers: how many there are, and may be.
-    pub(super) servers: usize,
-    pub(super) max_servers: usize,
-    /// Connections of all kinds; above it idle ones are closed for new ones.
+    /// The address of the store.
+    pub(super) store_address: SocketAddr,
+    /// The address of the cloud provider's interface.
+    cloud_address: SocketAddr,
+    /// The number of accepted connections of users, workers and load balancers.
+    pub(super) server_connections: usize,
+    /// The limit on `server_connections`: three quarters of the machine's sockets.
+    pub(super) max_server_connections: usize,
+    /// The number of connections of all kinds at which idle ones are closed for new ones.
     pub(super) max_connections: usize,
-    /// Peer connections that were accepted; each peer needs one, and more while old ones
-    /// time out.
-    pub(super) peers_in: usize,
-    pub(super) max_peers_in: usize,
-    /// Largest response that is read, in bytes.
+    /// The number of accepted connections of other controllers.
+    pub(super) inbound_peers: usize,
+    /// The limit on `inbound_peers`. Each peer needs one connection, and more while its old
+    /// ones have not timed out.
+    pub(super) max_inbound_peers: usize,
+    /// The maximum size of a response, in bytes.
     pub(super) response_limit: usize,
-    /// How long a client may take to send one request, and a peer to connect.
+    /// How long a client may take to send one request, and how long a connection to or from a
+    /// peer may take to be established.
     pub(super) request_timeout: Duration,
     /// How long a connection may be idle.
     pub(super) idle_timeout: Duration,
+    /// Events for the controller, in the order of their occurrence.
     pub(super) events: VecDeque<Event>,
 }
 
 impl Network {
-    /// No connections yet; `poll` is where they are registered.
+    /// Returns a network without connections, which registers its sockets with `poll`.
     pub(super) fn new(settings: &Settings, poll: Poll) -> Network {
         let workers = &settings.settings.workers;
         let limits = &settings.settings.machine_limits;
         let peers = settings.others.iter().map(|other| (other.member.clone(), PeerConnection::new(other.peer_addr)));
         Network {
             poll,
-            start: std::time::Instant::now(),
+            started_at: std::time::Instant::now(),
             connections: HashMap::new(),
-            next_token: FIRST_CONNECTION,
-            idle: HashMap::new(),
-            open: HashMap::new(),
-            queue: VecDeque::new(),
+            next_token: FIRST_CONNECTION_TOKEN,
+            idle_client_connections: HashMap::new(),
+            open_client_connections: HashMap::new(),
+            queued_calls: VecDeque::new(),
             peers: peers.collect(),
             member: settings.member.clone(),
-            store: settings.outside.state,
-            cloud: settings.outside.cloud,
-            servers: 0,
-            max_servers: limits.max_connections * 3 / 4,
-            max_connections: limits.max_connections - limits.max_connections / SPARE_SOCKETS,
-            peers_in: 0,
-            max_peers_in: limits.max_connections / PEER_SOCKETS,
-            response_limit: (limits.ram_mb * BYTES_PER_MB) as usize / RESPONSE_SHARE,
+            store_address: settings.outside.state,
+            cloud_address: settings.outside.cloud,
+            server_connections: 0,
+            max_server_connections: limits.max_connections * 3 / 4,
+            max_connections: limits.max_connections - limits.max_connections / RESERVED_SOCKETS_DIVISOR,
+            inbound_peers: 0,
+            max_inbound_peers: limits.max_connections / PEER_SOCKETS_DIVISOR,
+            response_limit: (limits.ram_mb * BYTES_PER_MB) as usize / RESPONSE_LIMIT_DIVISOR,
             request_timeout: Duration::from_secs_f64(workers.heartbeat_interval_s * 2.0),
             idle_timeout: Duration::from_secs_f64(workers.lease_s * 2.0),
             events: VecDeque::new(),
         }
     }
 
-    /// Time since the process started.
+    /// Returns the time since the process started.
     pub(super) fn now(&self) -> Instant {
-        self.start.elapsed()
+        self.started_at.elapsed()
     }
 
-    /// The address of the store, the cloud or a worker.
+    /// Returns the address of the store, the cloud or a worker.
     pub(super) fn address(&self, target: Target) -> SocketAddr {
         match target {
-            Target::Store => self.store,
-            Target::Cloud => self.cloud,
+            Target::Store => self.store_address,
+            Target::Cloud => self.cloud_address,
             Target::Worker(address) => address,
         }
     }
 
-    /// Registers a connection; none if that fails.
-    pub(super) fn add(
+    /// Registers a connection and returns its token, or `None` if that fails.
+    pub(super) fn register(
         &mut self,
         mut stream: TcpStream,
         role: Role,
@@ -119,62 +132,66 @@
         Some(token)
     }
 
-    /// Removes a connection.
+    /// Removes a connection and deregisters its socket, which is closed when the returned value
+    /// is dropped. Unlike [`Network::close`], this updates neither the connection counts nor the
+    /// pool of idle connections.
     pub(super) fn remove(&mut self, token: usize) -> Option<Connection> {
         let mut connection = self.connections.remove(&token)?;
         let _ = self.poll.registry().deregister(&mut connection.stream);
         Some(connection)
     }
 
-    /// Closes a connection; a call that was waiting on it gets no answer.
+    /// Closes a connection. A call that awaits its response on it ends without an answer.
     pub(super) fn close(&mut self, token: usize) {
         let Some(connection) = self.remove(token) else {
             return;
         };
         match connection.role {
-            Role::Server { .. } => self.servers -= 1,
+            Role::Server { .. } => self.server_connections -= 1,
             Role::Client { target, call } => {
-                self.forget_call_connection(target, token);
+                self.forget_client_connection(target, token);
                 if let Some(id) = call {
                     self.events.push_back(Event::CallEnded { id, result: Err(NoAnswer) });
                 }
-                self.pump_queue();
+                self.start_queued_calls();
             }
-            Role::PeerIn { .. } => self.peers_in -= 1,
-            Role::PeerOut { member } => self.peer_closed(&member),
+            Role::InboundPeer { .. } => self.inbound_peers -= 1,
+            Role::OutboundPeer { member } => self.on_peer_closed(&member),
         }
     }
 
-    /// Reads and writes as far as the socket allows, then handles whole messages.
+    /// Reads from a connection as far as the socket allows, handles complete messages, and
+    /// writes as far as the socket allows. Closes the connection if it has ended.
     pub(super) fn drive(&mut self, token: usize) {
         let response_limit = self.response_limit;
         let Some(connection) = self.connections.get_mut(&token) else {
             return;
         };
-        match connection.progress() {
-            Progress::Established => {}
-            Progress::Pending => return,
-            Progress::Failed => return self.close(token),
+        match connection.connect_progress() {
+            ConnectProgress::Established => {}
+            ConnectProgress::Pending => return,
+            ConnectProgress::Failed => return self.close(token),
         }
         let limit = match connection.role {
             Role::Server { .. } => BODY_LIMIT * 2,
             Role::Client { .. } => response_limit,
-            Role::PeerIn { .. } | Role::PeerOut { .. } => peer::FRAME_LIMIT * 2,
+            Role::InboundPeer { .. } | Role::OutboundPeer { .. } => peer::FRAME_LIMIT * 2,
         };
-        let stream = connection.receive(limit);
+        let stream_state = connection.receive(limit);
         match connection.role {
             Role::Server { .. } => self.read_requests(token),
             Role::Client { .. } => self.read_response(token),
-            Role::PeerIn { .. } => self.read_frames(token),
-            Role::PeerOut { .. } => {}
+            Role::InboundPeer { .. } => self.read_frames(token),
+            Role::OutboundPeer { .. } => {}
         }
         self.flush(token);
-        if stream == StreamState::Ended {
+        if stream_state == StreamState::Ended {
             self.close(token);
         }
     }
 
-    /// Writes as much as the socket takes.
+    /// Writes as much of the write buffer as the socket accepts. Closes the connection if it
+    /// has ended or its last response has been sent.
     pub(super) fn flush(&mut self, token: usize) {
         let Some(connection) = self.connections.get_mut(&token) else {
             return;
@@ -184,22 +201,22 @@
         }
     }
 
-    /// Closes connections and ends calls whose deadline has passed.
-    pub(super) fn expire(&mut self) {
+    /// Closes the connections and ends the queued calls whose deadline has passed.
+    pub(super) fn close_expired(&mut self) {
         let now = self.now();
         let expired = self.connections.iter().filter(|(_, connection)| connection.deadline <= now);
         let expired: Vec<usize> = expired.map(|(token, _)| *token).collect();
         for token in expired {
             self.close(token);
         }
-        while let Some(index) = self.queue.iter().position(|call| call.deadline <= now) {
-            if let Some(call) = self.queue.remove(index) {
+        while let Some(index) = self.queued_calls.iter().position(|call| call.deadline <= now) {
+            if let Some(call) = self.queued_calls.remove(index) {
                 self.events.push_back(Event::CallEnded { id: call.id, result: Err(NoAnswer) });
             }
         }
     }
 
-    /// Carries out an action of the controller.
+    /// Performs an action of the controller.
     pub(super) fn perform(&mut self, action: Action) {
         match action {
             Action::Respond { conn, status, body, retry_after } => {
@@ -208,8 +225,9 @@
             Action::Call { id, target, method, path, body, timeout } => {
                 let address = self.address(target).to_string();
                 let deadline = self.now() + timeout;
-                self.queue.push_back(QueuedCall::new(id, target, method, &address, &path, body.as_deref(), deadline));
-                self.pump_queue();
+                let call = QueuedCall::new(id, target, method, &address, &path, body.as_deref(), deadline);
+                self.queued_calls.push_back(call);
+                self.start_queued_calls();
             }
             Action::Send { member, frame } => self.send_frame(&member, &frame),
         }
--- a/src/transport/tests.rs
+++ b/src/transport/tests.rs
@@ -1,4 +1,4 @@
-//! Watching the operator's file, and connections within the machine's limit.
+//! Detection of changes to the operator file, and the limits on connections.
 
 use super::listeners::USER_LISTENER;
 use super::network::Network;
@@ -11,32 +11,33 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// A typing error in the operator's file must end neither the campaign that it states
-/// nor the process.
+/// A typing error in the operator file must end neither the process nor the campaign that the
+/// file defines.
 #[test]
 fn an_invalid_operator_file_leaves_the_settings_in_force() {
     let dir = tempfile::tempdir().unwrap();
     let file = dir.path().join("o.hcl");
     std::fs::write(&file, "campaign \"a\" {}").unwrap();
-    let every = Duration::from_secs(2);
-    let mut watched = OperatorFile::new(file.clone(), Vec::new(), every);
-    let at = |n: u64| Duration::from_secs(2 * n);
-    assert!(watched.poll(at(1)).is_none(), "nothing has changed");
+    let check_interval = Duration::from_secs(2);
+    let mut operator_file = OperatorFile::new(file.clone(), Vec::new(), check_interval);
+    let check_time = |number: u64| Duration::from_secs(2 * number);
+    assert!(operator_file.poll(check_time(1)).is_none(), "the file has not changed");
     std::fs::write(&file, "campaign \"a\" { wawe = 3 }").unwrap();
-    assert!(watched.poll(at(2)).is_none(), "refused");
+    assert!(operator_file.poll(check_time(2)).is_none(), "an unknown field is rejected");
     std::fs::write(&file, "budget \"nobody\" {}").unwrap();
-    assert!(watched.poll(at(3)).is_none(), "no such team");
+    assert!(operator_file.poll(check_time(3)).is_none(), "an unknown team is rejected");
     std::fs::write(&file, "campaign \"b\" { wave = 3 }").unwrap();
-    assert!(watched.poll(at(3)).is_none(), "not looked at yet");
-    assert_eq!(watched.poll(at(4)).unwrap().campaign["b"].max_wave_size, 3);
+    assert!(operator_file.poll(check_time(3)).is_none(), "no check is due");
+    assert_eq!(operator_file.poll(check_time(4)).unwrap().campaign["b"].max_wave_size, 3);
     std::fs::remove_file(&file).unwrap();
-    assert!(watched.poll(at(5)).is_none());
+    assert!(operator_file.poll(check_time(5)).is_none());
 }
 
-/// Sockets that the test's machine allows; settings take no fewer.
+/// The socket limit of the machine in these tests; 16 is the minimum that the settings accept.
 const SOCKETS: usize = 16;
 
-fn network() -> Network {
+/// Returns a network without connections, with the limits of a small machine.
+fn test_network() -> Network {
     let text = format!(
         "member = \"perch-0\"\nzone = \"z\"\npublic_addr = \"127.0.0.1:0\"\npeer_bind = \"127.0.0.1:0\"\n\
          [outside]\ncloud = \"127.0.0.1:9\"\nstate = \"127.0.0.1:9\"\n[settings]\nzones = [\"z\"]\n\
@@ -49,30 +50,33 @@
     Network::new(&settings, Poll::new().unwrap())
 }
 
-/// Drives the sockets until `done`, for five seconds at most.
-fn turn(net: &mut Network, mut done: impl FnMut(&mut Network) -> bool) {
-    let mut ready = Events::with_capacity(256);
+/// Drives the sockets until `done` returns `true`, for at most five seconds.
+fn drive_until(network: &mut Network, mut done: impl FnMut(&mut Network) -> bool) {
+    let mut socket_events = Events::with_capacity(256);
     let started = std::time::Instant::now();
-    while !done(net) {
-        assert!(started.elapsed() < Duration::from_secs(5), "nothing came");
-        net.poll.poll(&mut ready, Some(Duration::from_millis(10))).unwrap();
-        let tokens: Vec<usize> = ready.iter().map(|e| e.token().0).collect();
-        tokens.into_iter().for_each(|token| net.drive(token));
+    while !done(network) {
+        assert!(started.elapsed() < Duration::from_secs(5), "the condition was not met in time");
+        network.poll.poll(&mut socket_events, Some(Duration::from_millis(10))).unwrap();
+        let tokens: Vec<usize> = socket_events.iter().map(|event| event.token().0).collect();
+        tokens.into_iter().for_each(|token| network.drive(token));
     }
 }
 
-/// Calls a worker.
-fn call(net: &mut Network, id: CallId, worker: &std::net::TcpListener) {
+/// Queues a call to a worker.
+fn call_worker(network: &mut Network, id: CallId, worker: &std::net::TcpListener) {
     let target = Target::Worker(worker.local_addr().unwrap());
     let timeout = Duration::from_secs(4);
-    net.perform(Action::Call { id, target, method: "GET", path: "/show".into(), body: None, timeout });
+    network.perform(Action::Call { id, target, method: "GET", path: "/show".into(), body: None, timeout });
 }
 
-/// The worker's side: takes a connection and answers the request on it.
-fn serve(net: &mut Network, worker: &std::net::TcpListener) -> std::net::TcpStream {
-    turn(net, |net| net.connections.values().all(|connection| connection.connected && connection.write.is_empty()));
+/// Plays the worker: accepts one connection and answers the request on it. Returns the stream,
+/// which closes the connection when it is dropped.
+fn accept_and_answer(network: &mut Network, worker: &std::net::TcpListener) -> std::net::TcpStream {
+    drive_until(network, |network| {
+        network.connections.values().all(|connection| connection.connected && connection.write_buffer.is_empty())
+    });
     worker.set_nonblocking(true).unwrap();
-    let (mut stream, _) = worker.accept().expect("nobody has dialled");
+    let (mut stream, _) = worker.accept().expect("no connection to the worker");
     stream.set_nonblocking(false).unwrap();
     stream.set_read_timeout(Some(Duration::from_secs(1))).unwrap();
     let mut request = [0; 1024];
@@ -81,96 +85,112 @@
     stream
 }
 
-/// Workers that listen and do not answer by themselves.
-fn workers(count: usize) -> Vec<std::net::TcpListener> {
+/// Returns listeners of workers; [`accept_and_answer`] answers their calls.
+fn listening_workers(count: usize) -> Vec<std::net::TcpListener> {
     (0..count).map(|_| std::net::TcpListener::bind("127.0.0.1:0").unwrap()).collect()
 }
 
-/// The calls that were answered since the last look.
-fn answered(net: &mut Network) -> Vec<CallId> {
-    let ok = |e: Event| match e {
+/// Removes all events and returns the ids of the calls among them that were answered.
+fn take_answered(network: &mut Network) -> Vec<CallId> {
+    let answered_id = |event: Event| match event {
         Event::CallEnded { id, result } => result.is_ok().then_some(id),
         _ => None,
     };
-    std::mem::take(&mut net.events).into_iter().filter_map(ok).collect()
+    std::mem::take(&mut network.events).into_iter().filter_map(answered_id).collect()
 }
 
-/// Each worker that was called kept a connection for two lease times: a controller with
-/// 1,333 machines had more of them than sockets, and refused users and the store.
+/// Guards against running out of sockets: each worker that was called kept an idle connection
+/// for two lease times. A controller with 1,333 machines had more of these than sockets, and
+/// neither accepted users nor reached the store.
 #[test]
-fn idle_connections_to_workers_stay_within_the_machines_limit() {
-    let mut net = network();
-    let workers = workers(4 * SOCKETS);
-    let mut kept = Vec::new();
+fn idle_connections_to_workers_stay_within_the_socket_limit() {
+    let mut network = test_network();
+    let workers = listening_workers(4 * SOCKETS);
+    let mut open_streams = Vec::new();
     for (id, worker) in workers.iter().enumerate() {
-        call(&mut net, id as CallId, worker);
-        kept.push(serve(&mut net, worker));
-        turn(&mut net, |net| !net.events.is_empty());
-        assert_eq!(answered(&mut net), [id as CallId], "the oldest idle one is closed for it, no call is lost");
-        assert!(net.connections.len() < SOCKETS, "{} connections", net.connections.len());
+        call_worker(&mut network, id as CallId, worker);
+        open_streams.push(accept_and_answer(&mut network, worker));
+        drive_until(&mut network, |network| !network.events.is_empty());
+        assert_eq!(
+            take_answered(&mut network),
+            [id as CallId],
+            "the oldest idle connection is closed for it, no call is lost"
+        );
+        assert!(network.connections.len() < SOCKETS, "{} connections", network.connections.len());
     }
-    // One that was closed for others is dialled again.
-    call(&mut net, 1000, &workers[0]);
-    kept.push(serve(&mut net, &workers[0]));
-    turn(&mut net, |net| !net.events.is_empty());
-    assert_eq!(answered(&mut net), [1000]);
+    // A worker whose connection was closed for others is dialled again.
+    call_worker(&mut network, 1000, &workers[0]);
+    open_streams.push(accept_and_answer(&mut network, &workers[0]));
+    drive_until(&mut network, |network| !network.events.is_empty());
+    assert_eq!(take_answered(&mut network), [1000]);
 }
 
-/// After its start a controller calls its whole shard at once. Calls beyond the limit wait
-/// for those before them, and leave sockets for the store and for users.
+/// A controller that has just started calls all workers of its shard at once. Calls beyond the
+/// connection limit must wait until earlier ones are done, and leave sockets for the store and
+/// for users.
 #[test]
 fn calls_beyond_the_limit_wait_in_the_queue() {
-    let mut net = network();
-    let workers = workers(3 * SOCKETS);
+    let mut network = test_network();
+    let workers = listening_workers(3 * SOCKETS);
     for (id, worker) in workers.iter().enumerate() {
-        call(&mut net, id as CallId, worker);
+        call_worker(&mut network, id as CallId, worker);
     }
-    assert_eq!(net.connections.len(), net.max_connections);
-    assert_eq!(net.queue.len(), workers.len() - net.max_connections);
-    net.store = workers[0].local_addr().unwrap();
+    assert_eq!(network.connections.len(), network.max_connections);
+    assert_eq!(network.queued_calls.len(), workers.len() - network.max_connections);
+    network.store_address = workers[0].local_addr().unwrap();
     let path = "/store/fq/none".into();
     let timeout = Duration::from_secs(4);
-    net.perform(Action::Call { id: 1000, target: Target::Store, method: "GET", path, body: None, timeout });
-    assert_eq!(net.connections.len(), net.max_connections + 1, "the store does not wait for workers");
-    let mut kept = Vec::new();
-    let mut done = Vec::new();
+    network.perform(Action::Call { id: 1000, target: Target::Store, method: "GET", path, body: None, timeout });
+    assert_eq!(
+        network.connections.len(),
+        network.max_connections + 1,
+        "the call to the store does not wait for workers"
+    );
+    let mut open_streams = Vec::new();
+    let mut answered_ids = Vec::new();
     for worker in &workers {
-        kept.push(serve(&mut net, worker));
-        turn(&mut net, |net| !net.events.is_empty());
-        done.extend(answered(&mut net));
+        open_streams.push(accept_and_answer(&mut network, worker));
+        drive_until(&mut network, |network| !network.events.is_empty());
+        answered_ids.extend(take_answered(&mut network));
     }
-    kept.push(serve(&mut net, &workers[0]));
-    turn(&mut net, |net| !net.events.is_empty());
-    done.extend(answered(&mut net));
-    done.sort_unstable();
-    let all: Vec<CallId> = (0..workers.len() as CallId).chain([1000]).collect();
-    assert_eq!(done, all);
+    open_streams.push(accept_and_answer(&mut network, &workers[0]));
+    drive_until(&mut network, |network| !network.events.is_empty());
+    answered_ids.extend(take_answered(&mut network));
+    answered_ids.sort_unstable();
+    let all_ids: Vec<CallId> = (0..workers.len() as CallId).chain([1000]).collect();
+    assert_eq!(answered_ids, all_ids);
 }
 
-/// Four thousand workers over three controllers of 800 sockets: the connections that were
-/// idle longest are closed, and those workers dial again.
+/// 4,000 workers share three controllers with 800 sockets each, so a controller must serve more
+/// workers than it has sockets. It closes the connections that have been idle longest, and
+/// those workers connect again.
 #[test]
 fn more_workers_than_sockets_are_all_served() {
-    let mut net = network();
+    let mut network = test_network();
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-    let addr = listener.local_addr().unwrap();
+    let address = listener.local_addr().unwrap();
     drop(listener);
-    let mut users = TcpListener::bind(addr).unwrap();
-    net.poll.registry().register(&mut users, USER_LISTENER, Interest::READABLE).unwrap();
-    let mut kept = Vec::new();
-    for n in 0..4 * SOCKETS {
-        let mut worker = std::net::TcpStream::connect(addr).unwrap();
+    let mut users = TcpListener::bind(address).unwrap();
+    network.poll.registry().register(&mut users, USER_LISTENER, Interest::READABLE).unwrap();
+    let mut open_streams = Vec::new();
+    for number in 0..4 * SOCKETS {
+        let mut worker = std::net::TcpStream::connect(address).unwrap();
         worker.write_all(b"GET /healthz HTTP/1.1\r\n\r\n").unwrap();
-        turn(&mut net, |net| {
-            net.accept_users(&users);
-            !net.events.is_empty()
+        drive_until(&mut network, |network| {
+            network.accept_users(&users);
+            !network.events.is_empty()
         });
-        let Some(Event::Request { conn, .. }) = net.events.pop_front() else { panic!("no request of {n}") };
-        net.perform(Action::Respond { conn, status: 200, body: Vec::new(), retry_after: None });
+        let Some(Event::Request { conn, .. }) = network.events.pop_front() else {
+            panic!("no request of worker {number}")
+        };
+        network.perform(Action::Respond { conn, status: 200, body: Vec::new(), retry_after: None });
         let mut answer = [0; 12];
         worker.read_exact(&mut answer).unwrap();
-        assert_eq!(&answer, b"HTTP/1.1 200", "worker {n}");
-        assert!(net.servers <= net.max_servers && net.connections.len() <= net.max_connections);
-        kept.push(worker);
+        assert_eq!(&answer, b"HTTP/1.1 200", "worker {number}");
+        assert!(
+            network.server_connections <= network.max_server_connections
+                && network.connections.len() <= network.max_connections
+        );
+        open_streams.push(worker);
     }
 }
