--- a/tests/forms/configuration.rs
+++ b/tests/forms/configuration.rs
@@ -1,16 +1,19 @@
-//! The settings file that the platform hands over: every field is read from its key.
+//! The settings file that the platform hands over. Every field is read from its key.
 
 use finchquay::config::Settings;
 use std::path::Path;
 
-const FILE: &str = include_str!("fixtures/settings.toml");
+/// A settings file with all fields.
+const SETTINGS_FILE: &str = include_str!("fixtures/settings.toml");
 
+/// Parses the text of a settings file, or returns the error message.
 fn parse(text: &str) -> Result<Settings, String> {
     Settings::parse(text, Path::new("settings.toml")).map_err(|e| e.to_string())
 }
 
+/// Returns the settings in the fixture.
 fn settings() -> Settings {
-    parse(FILE).unwrap()
+    parse(SETTINGS_FILE).unwrap()
 }
 
 #[test]
@@ -57,7 +60,7 @@
     assert_eq!((machine.core_share, machine.ram_mb, machine.max_connections), (0.08, 56.0, 800));
 }
 
-/// Lists may be left out; every other field is required by its name.
+/// Fields other than lists are required, and the error for an absent one names it.
 #[test]
 fn required_fields_are_named_when_absent() {
     for field in [
@@ -83,7 +86,7 @@
     ] {
         let key = format!("{field} =");
         let mut found = false;
-        let lines = FILE.lines().filter(|line| {
+        let lines = SETTINGS_FILE.lines().filter(|line| {
             let first = !found && line.starts_with(&key);
             found |= first;
             !first
@@ -97,10 +100,11 @@
 
 #[test]
 fn lists_may_be_left_out() {
-    let start = FILE.find("[[settings.teams]]").unwrap();
-    let end = FILE.find("[settings.workers]").unwrap();
-    let others = FILE.find("[[others]]").unwrap()..FILE.find("[outside]").unwrap();
-    let text = format!("{}{}{}", &FILE[..others.start], &FILE[others.end..start], &FILE[end..]);
+    let start = SETTINGS_FILE.find("[[settings.teams]]").unwrap();
+    let end = SETTINGS_FILE.find("[settings.workers]").unwrap();
+    let others = SETTINGS_FILE.find("[[others]]").unwrap()..SETTINGS_FILE.find("[outside]").unwrap();
+    let text =
+        format!("{}{}{}", &SETTINGS_FILE[..others.start], &SETTINGS_FILE[others.end..start], &SETTINGS_FILE[end..]);
     let settings = parse(&text).unwrap();
     assert_eq!((settings.others.len(), settings.settings.teams.len(), settings.settings.objectives.len()), (0, 0, 0));
 }
--- a/tests/forms/main.rs
+++ b/tests/forms/main.rs
@@ -1,6 +1,6 @@
-//! Golden tests of stored records, keys, configuration files and request paths. A
-//! controller of a later version reads what an earlier one stored, and operators keep
-//! their files: a renamed type or field must not change either.
+//! Golden tests of stored records, store keys, configuration files and HTTP heads. Controllers of
+//! a later version read what an earlier one stored, and operators keep their files, so renaming a
+//! type or field must not change these formats.
 
 #[path = "../../crates/protocol/tests/forms/fixture.rs"]
 mod fixture;
--- a/tests/forms/operator_file.rs
+++ b/tests/forms/operator_file.rs
@@ -1,19 +1,21 @@
-//! The operator's file: every attribute and block is read from its name, others are
-//! refused, and what is left out has its default.
+//! The operator's file. Every attribute and block is read by its name, unknown names are refused,
+//! and absent attributes have their defaults.
 
 use finchquay::config::{Operator, Settings, Team};
 use std::path::{Path, PathBuf};
 
+/// Returns the path of an operator's file with all attributes and blocks.
 fn fixture() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/forms/fixtures/operator.hcl")
 }
 
+/// Returns the teams in the settings of the platform.
 fn teams() -> Vec<Team> {
     let platform = Settings::parse(include_str!("fixtures/settings.toml"), Path::new("settings.toml"));
     platform.unwrap().settings.teams
 }
 
-/// Loads a file with this text, as an operator would write it.
+/// Loads an operator's file with this text, or returns the error message.
 fn load(text: &str) -> Result<Operator, String> {
     let dir = tempfile::tempdir().unwrap();
     let file = dir.path().join("operator.hcl");
@@ -54,7 +56,7 @@
 }
 
 #[test]
-fn what_is_left_out_has_its_default() {
+fn absent_attributes_have_their_defaults() {
     let operator = load("").unwrap();
     assert_eq!((operator.wait_limit_s, operator.window, operator.step_mb), (30.0, 500, 256.0));
     assert_eq!((operator.idle_boots, operator.late_boots), (1.5, 3.0));
--- a/tests/forms/stored_keys.rs
+++ b/tests/forms/stored_keys.rs
@@ -1,5 +1,5 @@
-//! Keys of the stored records: their text, how it is taken apart, and which keys are
-//! never deleted once they exist.
+//! Keys of the stored records: their text, how they are parsed, and which keys are never deleted
+//! once they exist.
 
 use finchquay::state::log_segment::LOG_SLOTS;
 use finchquay::state::records::{
@@ -8,7 +8,7 @@
 };
 
 #[test]
-fn constant_keys_stay() {
+fn constant_keys_are_unchanged() {
     assert_eq!(records::PREFIX, "fq/");
     assert_eq!(records::BARRIER_KEY, "fq/none");
     assert_eq!(records::TERM_KEY, "fq/term");
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn keys_of_named_records_stay() {
+fn keys_of_named_records_are_unchanged() {
     assert_eq!(member_key("perch-0"), "fq/m/perch-0");
     assert_eq!(shard_grant_key("perch-0"), "fq/b/perch-0");
     assert_eq!(job_key("run-000412"), "fq/j/run-000412");
@@ -30,9 +30,10 @@
     assert_eq!(machine_group_key("host-000231"), "fq/h/host-000231");
 }
 
-/// A log is a ring: a slot is the number of the segment modulo its length.
+/// A log is a ring buffer: the slot of a segment is its sequence number modulo the number of
+/// slots.
 #[test]
-fn keys_of_log_slots_stay() {
+fn keys_of_log_slots_are_unchanged() {
     assert_eq!(LOG_SLOTS, 256);
     assert_eq!(log_key("perch-0", 0), "fq/l/perch-0/0");
     assert_eq!(log_key("perch-0", 255), "fq/l/perch-0/255");
--- a/tests/forms/stored_records.rs
+++ b/tests/forms/stored_records.rs
@@ -1,5 +1,5 @@
-//! Records as they are kept in the state service: bytes of every record, and older
-//! forms that are still read.
+//! Records in the state service: the encoding of every record, and older encodings that are still
+//! read.
 
 use crate::fixture::{assert_cbor, bytes};
 use ciborium::{Value, cbor};
@@ -13,22 +13,24 @@
 };
 use serde::{Serialize, de::DeserializeOwned};
 
-/// Asserts that a record is stored as the fixture, and that the fixture is read as it.
-fn stored_form<T: Serialize + DeserializeOwned>(name: &str, record: &T) {
+/// Asserts that a record is stored as the fixture, and that the fixture is read back as the same
+/// record.
+fn assert_stored_form<T: Serialize + DeserializeOwned>(name: &str, record: &T) {
     assert_cbor(name, &encode(&to_value(record)));
     let stored: Value = decode(&bytes(name)).unwrap();
-    let read: T = from_value(&stored).unwrap_or_else(|| panic!("{name}: is not read"));
+    let read: T = from_value(&stored).unwrap_or_else(|| panic!("{name}: the record cannot be read"));
     assert_cbor(name, &encode(&to_value(&read)));
 }
 
-/// Asserts that a form that is no longer written is read as this record.
-fn older_form<T: DeserializeOwned + PartialEq + std::fmt::Debug>(
-    kind: Result<Value, ciborium::value::Error>,
+/// Asserts that an encoding that is no longer written is read as this record.
+fn assert_reads_older_form<T: DeserializeOwned + PartialEq + std::fmt::Debug>(
+    encoding: Result<Value, ciborium::value::Error>,
     record: T,
 ) {
-    assert_eq!(from_value(&kind.unwrap()), Some(record));
+    assert_eq!(from_value(&encoding.unwrap()), Some(record));
 }
 
+/// Returns a job with a value in each field.
 fn spec() -> JobSpec {
     JobSpec {
         uid: "run-000412".into(),
@@ -54,25 +56,29 @@
     }
 }
 
-fn share() -> TaskRange {
+/// Returns a range of tasks of a job.
+fn task_range() -> TaskRange {
     TaskRange { member: "perch-0".into(), from: 42, to: 83 }
 }
 
+/// Returns the record of a job that is done.
 fn ended_job() -> JobRecord {
     JobRecord { spec: None, end: Some(Status::Done), task_count: 70_000, at_ms: 0, task_ranges: Vec::new() }
 }
 
-fn full_chunk() -> TaskRangeCheckpoint {
-    let place = Placement { index: 9, machine: "host-000231".into(), attempt: 5_000_000_000 };
+/// Returns a checkpoint with a value in each field.
+fn full_checkpoint() -> TaskRangeCheckpoint {
+    let placement = Placement { index: 9, machine: "host-000231".into(), attempt: 5_000_000_000 };
     TaskRangeCheckpoint {
         done: vec![(0, 3), (7, 7)],
-        on: vec![place],
+        on: vec![placement],
         highest_attempt: 5_000_000_001,
         as_of_revision: 17,
     }
 }
 
-fn full_pack() -> MachineGroupRecord {
+/// Returns a machine group with a value in each field.
+fn full_machine_group() -> MachineGroupRecord {
     MachineGroupRecord {
         machine_type: "std".into(),
         zone: "zone-a".into(),
@@ -87,6 +93,7 @@
     }
 }
 
+/// Returns a maintenance record with a value in each field.
 fn full_maintenance() -> MaintenanceRecord {
     MaintenanceRecord {
         name: "2026-12-hall-a".into(),
@@ -105,65 +112,68 @@
 }
 
 #[test]
-fn records_of_controllers_stay() {
-    stored_form("record-member", &MemberRecord { incarnation: 7 });
-    stored_form("record-lead", &LeaderRecord { member: "perch-0".into(), incarnation: 7, term: 8 });
-    stored_form("record-term", &TermRecord { term: 8, format_version: FORMAT_VERSION });
+fn records_of_controllers_are_unchanged() {
+    assert_stored_form("record-member", &MemberRecord { incarnation: 7 });
+    assert_stored_form("record-lead", &LeaderRecord { member: "perch-0".into(), incarnation: 7, term: 8 });
+    assert_stored_form("record-term", &TermRecord { term: 8, format_version: FORMAT_VERSION });
     assert_eq!(FORMAT_VERSION, 1);
-    older_form(cbor!({"term" => 8}), TermRecord { term: 8, format_version: 0 });
+    assert_reads_older_form(cbor!({"term" => 8}), TermRecord { term: 8, format_version: 0 });
 }
 
 #[test]
-fn records_of_jobs_stay() {
+fn records_of_jobs_are_unchanged() {
     let living = JobRecord {
         spec: Some(spec()),
         end: None,
         task_count: 70_000,
         at_ms: 1_700_000_000_000,
-        task_ranges: vec![share()],
+        task_ranges: vec![task_range()],
     };
-    stored_form("record-job-living", &living);
+    assert_stored_form("record-job-living", &living);
     let cancelled = JobRecord { end: Some(Status::Cancelled), ..living.clone() };
-    stored_form("record-job-withdrawn", &cancelled);
-    stored_form("record-job-ended", &ended_job());
+    assert_stored_form("record-job-withdrawn", &cancelled);
+    assert_stored_form("record-job-ended", &ended_job());
     let sparse = JobSpec { machine_types: None, zone: None, deadline_s: None, ..spec() };
-    stored_form("record-job-without-options", &JobRecord { spec: Some(sparse), task_ranges: Vec::new(), ..living });
-    older_form(cbor!({"end" => "done", "parcels" => 70_000}), ended_job());
-    stored_form("record-share", &share());
+    assert_stored_form(
+        "record-job-without-options",
+        &JobRecord { spec: Some(sparse), task_ranges: Vec::new(), ..living },
+    );
+    assert_reads_older_form(cbor!({"end" => "done", "parcels" => 70_000}), ended_job());
+    assert_stored_form("record-share", &task_range());
 }
 
 #[test]
-fn records_of_chunks_stay() {
-    stored_form("record-chunk", &full_chunk());
-    stored_form("record-chunk-default", &TaskRangeCheckpoint::default());
-    older_form(cbor!({}), TaskRangeCheckpoint::default());
+fn records_of_checkpoints_are_unchanged() {
+    assert_stored_form("record-chunk", &full_checkpoint());
+    assert_stored_form("record-chunk-default", &TaskRangeCheckpoint::default());
+    assert_reads_older_form(cbor!({}), TaskRangeCheckpoint::default());
     let before_logs = cbor!({
         "done" => [[0, 3], [7, 7]],
         "on" => [{"i" => 9, "m" => "host-000231", "a" => 5_000_000_000_u64}],
         "tries" => 5_000_000_001_u64,
     });
-    older_form(before_logs, TaskRangeCheckpoint { as_of_revision: 0, ..full_chunk() });
+    assert_reads_older_form(before_logs, TaskRangeCheckpoint { as_of_revision: 0, ..full_checkpoint() });
 }
 
 #[test]
-fn records_of_machines_stay() {
-    stored_form("record-pack", &full_pack());
-    let plain = MachineGroupRecord { base: false, drain: Vec::new(), spot: false, ..full_pack() };
-    stored_form("record-pack-without-options", &plain);
+fn records_of_machines_are_unchanged() {
+    assert_stored_form("record-pack", &full_machine_group());
+    let plain = MachineGroupRecord { base: false, drain: Vec::new(), spot: false, ..full_machine_group() };
+    assert_stored_form("record-pack-without-options", &plain);
     let older = cbor!({
         "build" => "std", "site" => "zone-a", "spot" => false, "owner" => "perch-0", "incarnation" => 7,
         "term" => 8, "epoch" => 9, "machines" => ["host-000231", "host-000232"],
     });
-    older_form(older, plain);
-    stored_form("record-block", &ShardGrantRecord { incarnation: 7, term: 8, epoch: 9 });
-    // The record behind `fq/packs` is a bare number that only has to change.
-    stored_form("record-packs", &12_u64);
+    assert_reads_older_form(older, plain);
+    assert_stored_form("record-block", &ShardGrantRecord { incarnation: 7, term: 8, epoch: 9 });
+    // The record at `fq/packs` is a plain number, which only has to differ after each change.
+    assert_stored_form("record-packs", &12_u64);
 }
 
 #[test]
-fn records_of_teams_and_the_catalog_stay() {
-    stored_form("record-team", &TeamRecord { strict: true, count: 12 });
-    stored_form("record-team-default", &TeamRecord::default());
+fn records_of_teams_and_the_catalog_are_unchanged() {
+    assert_stored_form("record-team", &TeamRecord { strict: true, count: 12 });
+    assert_stored_form("record-team-default", &TeamRecord::default());
     let machine_type = MachineType {
         label: "std".into(),
         cores: 16.0,
@@ -176,16 +186,16 @@
         startup_s: 45.0,
         zones: vec!["zone-a".into(), "zone-b".into()],
     };
-    stored_form("record-catalog", &CatalogRecord { types: vec![machine_type] });
+    assert_stored_form("record-catalog", &CatalogRecord { types: vec![machine_type] });
 }
 
 #[test]
-fn records_of_maintenance_stay() {
-    stored_form("record-upkeep", &full_maintenance());
-    stored_form("record-upkeep-default", &MaintenanceRecord::default());
+fn records_of_maintenance_are_unchanged() {
+    assert_stored_form("record-upkeep", &full_maintenance());
+    assert_stored_form("record-upkeep-default", &MaintenanceRecord::default());
 }
 
-/// Fields without a default are required: a record without one is not read at all.
+/// Fields without a default are required. A record without one of them is not read.
 #[test]
 fn records_without_a_required_field_are_not_read() {
     assert_eq!(from_value::<MemberRecord>(&cbor!({}).unwrap()), None);
