--- a/benches/planning.rs
+++ b/benches/planning.rs
@@ -1,5 +1,5 @@
-//! One planning round and one knapsack at the size of a large block: 170 machines
-//! with four GPUs each, 500 waiting tasks, memory in steps of 256 MB.
+//! One planning round and one knapsack problem at the size of a large shard: 170 machines with four
+//! GPUs each, 500 waiting tasks, memory in steps of 256 MB.
 
 use criterion::{Criterion, criterion_group, criterion_main};
 use finchquay::placement::knapsack::{Knapsack, TaskGroup, task_value};
@@ -9,7 +9,8 @@
 use std::collections::BTreeMap;
 use std::hint::black_box;
 
-fn machine() -> MachineType {
+/// Returns a machine type with four GPUs.
+fn machine_type() -> MachineType {
     MachineType {
         label: "large".into(),
         cores: 32.0,
@@ -24,6 +25,7 @@
     }
 }
 
+/// Returns an array of 50 tasks, whose CPUs, memory and image vary with `n`.
 fn array(n: u32) -> JobSpec {
     JobSpec {
         uid: format!("run-{n}"),
@@ -49,9 +51,10 @@
     }
 }
 
-fn round(c: &mut Criterion) {
+/// Measures the planning of starts on empty machines.
+fn planning_round(c: &mut Criterion) {
     let jobs: Vec<JobSpec> = (0..10).map(array).collect();
-    let empty = MachineCapacity::empty("", &machine(), "a", true);
+    let empty = MachineCapacity::empty("", &machine_type(), "a", true);
     let capacities: Vec<MachineCapacity> =
         (0..170).map(|n| MachineCapacity { machine: format!("host-{n:06}"), ..empty.clone() }).collect();
     let settings = PlacementSettings { window: 500, step_gb: 0.25, wait_limit_s: 30.0, kept_for_gangs: 0 };
@@ -76,6 +79,7 @@
     });
 }
 
+/// Measures one knapsack with and without GPUs.
 fn knapsack(c: &mut Criterion) {
     let mut knapsack = Knapsack::default();
     let groups = |gpu: u32| -> Vec<TaskGroup> {
@@ -98,5 +102,5 @@
     }
 }
 
-criterion_group!(benches, round, knapsack);
+criterion_group!(benches, planning_round, knapsack);
 criterion_main!(benches);
