--- a/crates/emulator/src/bucket.rs
+++ b/crates/emulator/src/bucket.rs
@@ -6,7 +6,7 @@
 
 /// Token bucket: refills at a constant rate up to its capacity.
 #[derive(Debug, Clone)]
-pub struct Bucket {
+pub struct TokenBucket {
     /// Tokens added per second.
     rate: f64,
     capacity: f64,
@@ -14,17 +14,17 @@
     updated_at: Duration,
 }
 
-impl Bucket {
+impl TokenBucket {
     /// Creates a full bucket that refills with `rate` tokens per second and holds as many
     /// as it gains in `burst_s` seconds, but at least one.
-    pub fn new(rate: f64, burst_s: f64) -> Bucket {
+    pub fn new(rate: f64, burst_s: f64) -> TokenBucket {
         let capacity = (rate * burst_s).max(1.0);
-        Bucket { rate, capacity, tokens: capacity, updated_at: Duration::ZERO }
+        TokenBucket { rate, capacity, tokens: capacity, updated_at: Duration::ZERO }
     }
 
     /// Removes `count` tokens and returns true, or returns false and removes none where
     /// the bucket holds fewer.
-    pub fn take(&mut self, now: Duration, count: f64) -> bool {
+    pub fn try_take(&mut self, now: Duration, count: f64) -> bool {
         let elapsed_s = now.saturating_sub(self.updated_at).as_secs_f64();
         self.tokens = (self.tokens + elapsed_s * self.rate).min(self.capacity);
         self.updated_at = self.updated_at.max(now);
--- a/crates/emulator/src/cloud/mod.rs
+++ b/crates/emulator/src/cloud/mod.rs
@@ -1,8 +1,8 @@
 //! Emulated cloud: rents machines of several types, lists them with a delay, and preempts
-//! spot machines. [`machine`] holds the state and the decisions, [`service`] answers the
+//! spot machines. [`provider`] holds the state and the decisions, [`service`] answers the
 //! HTTP requests.
 
 #![warn(missing_docs)]
 
-pub mod machine;
+pub mod provider;
 pub mod service;
--- a/crates/emulator/src/cloud/machine.rs
+++ b/crates/emulator/src/cloud/provider.rs
@@ -2,7 +2,7 @@
 //! random numbers come from a seed. Invariants: a request id rents at most once; a machine
 //! name is never used twice; a machine that was listed stays listed until it is gone.
 
-use crate::bucket::Bucket;
+use crate::bucket::TokenBucket;
 use finchquay_protocol::cloud::{
     Catalog, ListedMachine, MachineType, Page, Phase, RELEASE_LIMIT, RENT_LIMIT, ReleaseRequest, RentRequest,
 };
@@ -21,16 +21,16 @@
 #[derive(Debug, Clone)]
 pub struct Offer {
     /// Machine type as the catalog lists it.
-    pub kind: MachineType,
+    pub machine_type: MachineType,
     /// Capacity in each zone: numbers of on-demand and of spot machines.
     pub capacity: BTreeMap<String, (u32, u32)>,
     /// Share of the machines that never come up.
-    pub cold: f64,
+    pub never_up_share: f64,
 }
 
 /// Configuration of the emulated cloud.
 #[derive(Debug, Clone)]
-pub struct Config {
+pub struct CloudConfig {
     /// Machine types on offer.
     pub offers: Vec<Offer>,
     /// Requests per second that are served.
@@ -38,41 +38,41 @@
     /// Shortest delay of the machine list; the longest is twice as long.
     pub list_lag: Duration,
     /// Average time between the preemption notice and the preemption of a spot machine.
-    pub notice: Duration,
+    pub preemption_notice: Duration,
     /// Share of preemptions that come without notice.
-    pub silent_share: f64,
+    pub no_notice_share: f64,
     /// Port at which the workers listen, each on the address of its machine.
     pub worker_port: u16,
 }
 
 /// Fault that can be injected into the cloud while it runs.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Fault {
+pub enum CloudFault {
     /// Begins or ends an outage, in which every request gets 503.
     Outage(bool),
     /// Machines take longer to boot.
-    Late {
+    SlowBoot {
         /// Affected machine type; all where absent.
         machine_type: Option<String>,
         /// Multiple of the usual boot time; 1 ends the fault.
         factor: f64,
     },
     /// Machines that are rented from now on never come up.
-    Cold {
+    FailedBoot {
         /// Affected machine type; all where absent.
         machine_type: Option<String>,
         /// Whether the fault begins.
         on: bool,
     },
     /// Only this share of the capacity is available.
-    Scarce(f64),
+    ReducedCapacity(f64),
     /// Spot machines are preempted.
-    Recall {
+    Preempt {
         /// Number of machines.
         count: u32,
     },
     /// Machines fail with everything on them.
-    Die {
+    Fail {
         /// Number of machines.
         count: u32,
     },
@@ -80,14 +80,14 @@
 
 /// Change of a machine that the rest of the emulator has to follow.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Happening {
+pub enum CloudEvent {
     /// The machine has booted.
     Up {
         /// Name of the machine.
         name: String,
     },
     /// The machine has been given notice of its preemption.
-    Notice {
+    PreemptionNotice {
         /// Name of the machine.
         name: String,
         /// When it will be preempted.
@@ -138,14 +138,14 @@
 
 /// State of the emulated cloud.
 pub struct Cloud {
-    config: Config,
+    config: CloudConfig,
     /// Every machine that was ever rented, by its name.
     rentals: BTreeMap<String, Rental>,
     /// Machines that each request id has rented.
     request_ids: HashMap<String, Vec<String>>,
     /// Number of machines that were ever rented; the next name is made from it.
     rented: u32,
-    bucket: Bucket,
+    bucket: TokenBucket,
     rng: StdRng,
     outage: bool,
     /// Boot time factors, each for a machine type or for all.
@@ -157,7 +157,7 @@
     /// Money spent on machines that are gone.
     spent: f64,
     /// Changes since the last call of [`Cloud::advance`].
-    happenings: Vec<Happening>,
+    events: Vec<CloudEvent>,
 }
 
 /// Why a request was refused.
@@ -172,9 +172,9 @@
 impl Cloud {
     /// Creates a cloud without machines. `rented` is the number of machines that earlier
     /// runs rented: their names are not used again.
-    pub fn new(config: Config, seed: u64, rented: u32) -> Cloud {
+    pub fn new(config: CloudConfig, seed: u64, rented: u32) -> Cloud {
         Cloud {
-            bucket: Bucket::new(config.rps, 2.0),
+            bucket: TokenBucket::new(config.rps, 2.0),
             config,
             rentals: BTreeMap::new(),
             request_ids: HashMap::new(),
@@ -185,7 +185,7 @@
             never_up: Vec::new(),
             capacity_share: 1.0,
             spent: 0.0,
-            happenings: Vec::new(),
+            events: Vec::new(),
         }
     }
 
@@ -194,12 +194,12 @@
         if self.outage {
             return Err(503);
         }
-        if self.bucket.take(now, 1.0) { Ok(()) } else { Err(429) }
+        if self.bucket.try_take(now, 1.0) { Ok(()) } else { Err(429) }
     }
 
     /// Lists the machine types; spot prices fluctuate from call to call.
     pub fn catalog(&mut self) -> Catalog {
-        let mut machine_types: Vec<MachineType> = self.config.offers.iter().map(|o| o.kind.clone()).collect();
+        let mut machine_types: Vec<MachineType> = self.config.offers.iter().map(|o| o.machine_type.clone()).collect();
         for machine_type in &mut machine_types {
             machine_type.spot_price *= self.rng.random_range(0.8..1.25);
         }
@@ -207,8 +207,8 @@
     }
 
     /// Returns the machine type with this label.
-    pub fn kind(&self, machine_type: &str) -> Option<&MachineType> {
-        self.config.offers.iter().map(|o| &o.kind).find(|kind| kind.label == machine_type)
+    pub fn machine_type(&self, label: &str) -> Option<&MachineType> {
+        self.config.offers.iter().map(|o| &o.machine_type).find(|machine_type| machine_type.label == label)
     }
 
     /// Returns a rented machine by its name.
@@ -227,8 +227,12 @@
         if let Some(names) = self.request_ids.get(request.request_id.as_ref()) {
             return Ok(names.clone());
         }
-        let offer =
-            self.config.offers.iter().find(|o| o.kind.label == request.machine_type).ok_or(Refusal::Malformed)?;
+        let offer = self
+            .config
+            .offers
+            .iter()
+            .find(|o| o.machine_type.label == request.machine_type)
+            .ok_or(Refusal::Malformed)?;
         let (on_demand, spot) = offer.capacity.get(request.zone.as_ref()).copied().ok_or(Refusal::Malformed)?;
         if request.request_id.is_empty() || !(1..=RENT_LIMIT).contains(&request.number) {
             return Err(Refusal::Malformed);
@@ -247,7 +251,7 @@
         }
         let (machine_type, zone) = (request.machine_type.to_string(), request.zone.to_string());
         let names: Vec<String> = (0..request.number.min(left))
-            .map(|_| self.create(now, &machine_type, &zone, request.spot, false))
+            .map(|_| self.add_machine(now, &machine_type, &zone, request.spot, false))
             .collect();
         self.request_ids.insert(request.request_id.to_string(), names.clone());
         Ok(names)
@@ -255,19 +259,19 @@
 
     /// Adds a machine and returns its name. With `up` it needs no time to boot, as for the
     /// machines that a scenario begins with.
-    pub fn create(&mut self, now: Duration, machine_type: &str, zone: &str, spot: bool, up: bool) -> String {
+    pub fn add_machine(&mut self, now: Duration, machine_type: &str, zone: &str, spot: bool, up: bool) -> String {
         let n = self.rented;
         self.rented += 1;
         let name = format!("host-{n:06}");
         // The last byte of the address takes the values 1 to 250.
         let [_, _, high, low] = (n / 250 * 256 + n % 250 + 1).to_be_bytes();
         let addr = SocketAddr::from((Ipv4Addr::new(127, 1, high, low), self.config.worker_port));
-        let offer = self.config.offers.iter().find(|o| o.kind.label == machine_type);
-        let (startup_s, cold_share) = offer.map_or((0.0, 0.0), |o| (o.kind.startup_s, o.cold));
+        let offer = self.config.offers.iter().find(|o| o.machine_type.label == machine_type);
+        let (startup_s, never_up_share) = offer.map_or((0.0, 0.0), |o| (o.machine_type.startup_s, o.never_up_share));
         let affected = |faulty_type: &Option<String>| faulty_type.as_deref().is_none_or(|t| t == machine_type);
         let factor: f64 = self.boot_factors.iter().filter(|(t, _)| affected(t)).map(|(_, factor)| factor).product();
         let boot_s = startup_s * self.rng.random_range(0.6..1.5) * factor;
-        let never = self.rng.random_bool(cold_share) || self.never_up.iter().any(affected);
+        let never = self.rng.random_bool(never_up_share) || self.never_up.iter().any(affected);
         let up_at = if up { Some(now) } else { (!never).then_some(now + Duration::from_secs_f64(boot_s)) };
         let rental = Rental {
             machine_type: machine_type.into(),
@@ -303,11 +307,13 @@
         let was_alive = rental.died_at.is_none();
         rental.gone_at = Some(now);
         let billed_s = rental.died_at.unwrap_or(now).saturating_sub(rental.rented_at).as_secs_f64().max(MIN_BILLED_S);
-        let kind = self.config.offers.iter().find(|o| o.kind.label == rental.machine_type).map(|o| &o.kind);
-        self.spent +=
-            kind.map_or(0.0, |k| if rental.spot { k.spot_price } else { k.on_demand_price }) * billed_s / 3600.0;
+        let machine_type =
+            self.config.offers.iter().find(|o| o.machine_type.label == rental.machine_type).map(|o| &o.machine_type);
+        self.spent += machine_type.map_or(0.0, |k| if rental.spot { k.spot_price } else { k.on_demand_price })
+            * billed_s
+            / 3600.0;
         if was_alive {
-            self.happenings.push(Happening::Gone { name: name.into(), why });
+            self.events.push(CloudEvent::Gone { name: name.into(), why });
         }
     }
 
@@ -315,7 +321,8 @@
     pub fn spent(&self, now: Duration) -> f64 {
         let running = self.rentals.values().filter(|r| r.gone_at.is_none()).map(|r| {
             let held_s = r.died_at.unwrap_or(now).saturating_sub(r.rented_at).as_secs_f64();
-            self.kind(&r.machine_type).map_or(0.0, |k| if r.spot { k.spot_price } else { k.on_demand_price }) * held_s
+            self.machine_type(&r.machine_type).map_or(0.0, |k| if r.spot { k.spot_price } else { k.on_demand_price })
+                * held_s
                 / 3600.0
         });
         self.spent + running.sum::<f64>()
@@ -357,36 +364,38 @@
     }
 
     /// Begins or ends a fault.
-    pub fn fault(&mut self, now: Duration, fault: &Fault) {
+    pub fn inject(&mut self, now: Duration, fault: &CloudFault) {
         match fault {
-            Fault::Outage(on) => self.outage = *on,
-            Fault::Late { machine_type, factor } => {
+            CloudFault::Outage(on) => self.outage = *on,
+            CloudFault::SlowBoot { machine_type, factor } => {
                 self.boot_factors.retain(|(affected, _)| affected != machine_type);
                 self.boot_factors.push((machine_type.clone(), *factor));
             }
-            Fault::Cold { machine_type, on: true } => self.never_up.push(machine_type.clone()),
-            Fault::Cold { machine_type, on: false } => self.never_up.retain(|affected| affected != machine_type),
-            Fault::Scarce(share) => self.capacity_share = *share,
-            Fault::Recall { count } => {
+            CloudFault::FailedBoot { machine_type, on: true } => self.never_up.push(machine_type.clone()),
+            CloudFault::FailedBoot { machine_type, on: false } => {
+                self.never_up.retain(|affected| affected != machine_type)
+            }
+            CloudFault::ReducedCapacity(share) => self.capacity_share = *share,
+            CloudFault::Preempt { count } => {
                 for name in self.choose(*count, |rental| rental.spot) {
-                    let silent = self.rng.random_bool(self.config.silent_share);
-                    if silent {
+                    let no_notice = self.rng.random_bool(self.config.no_notice_share);
+                    if no_notice {
                         self.end(now, &name, "recalled");
                         continue;
                     }
-                    let at = now + self.config.notice.mul_f64(self.rng.random_range(0.5..1.5));
+                    let at = now + self.config.preemption_notice.mul_f64(self.rng.random_range(0.5..1.5));
                     if let Some(rental) = self.rentals.get_mut(&name) {
                         rental.preempt_at = Some(at);
                     }
-                    self.happenings.push(Happening::Notice { name, at });
+                    self.events.push(CloudEvent::PreemptionNotice { name, at });
                 }
             }
-            Fault::Die { count } => {
+            CloudFault::Fail { count } => {
                 for name in self.choose(*count, |_| true) {
                     if let Some(rental) = self.rentals.get_mut(&name) {
                         rental.died_at = Some(now);
                     }
-                    self.happenings.push(Happening::Gone { name, why: "died" });
+                    self.events.push(CloudEvent::Gone { name, why: "died" });
                 }
             }
         }
@@ -406,19 +415,19 @@
     }
 
     /// Advances the clock, and returns the changes since the last call.
-    pub fn advance(&mut self, now: Duration) -> Vec<Happening> {
+    pub fn advance(&mut self, now: Duration) -> Vec<CloudEvent> {
         let mut preempted = Vec::new();
         for (name, rental) in self.rentals.iter_mut().filter(|(_, rental)| rental.alive()) {
             if !rental.up && rental.up_at.is_some_and(|at| at <= now) {
                 rental.up = true;
-                self.happenings.push(Happening::Up { name: name.clone() });
+                self.events.push(CloudEvent::Up { name: name.clone() });
             }
             if rental.preempt_at.is_some_and(|at| at <= now) {
                 preempted.push(name.clone());
             }
         }
         preempted.iter().for_each(|name| self.end(now, name, "recalled"));
-        std::mem::take(&mut self.happenings)
+        std::mem::take(&mut self.events)
     }
 }
 
--- a/crates/emulator/src/cloud/machine/tests.rs
+++ b/crates/emulator/src/cloud/provider/tests.rs
@@ -8,7 +8,7 @@
 
 /// A cloud that offers one machine type in one zone: 3 on-demand and 5 spot machines.
 fn cloud() -> Cloud {
-    let kind = MachineType {
+    let machine_type = MachineType {
         label: "std".into(),
         cores: 8.0,
         gpus: 0.0,
@@ -21,9 +21,16 @@
         zones: vec!["a".into()],
     };
     let capacity = BTreeMap::from([("a".to_string(), (3, 5))]);
-    let offers = vec![Offer { kind, capacity, cold: 0.0 }];
+    let offers = vec![Offer { machine_type, capacity, never_up_share: 0.0 }];
     Cloud::new(
-        Config { offers, rps: 5.0, list_lag: s(4.0), notice: s(10.0), silent_share: 0.0, worker_port: 9000 },
+        CloudConfig {
+            offers,
+            rps: 5.0,
+            list_lag: s(4.0),
+            preemption_notice: s(10.0),
+            no_notice_share: 0.0,
+            worker_port: 9000,
+        },
         7,
         0,
     )
@@ -48,7 +55,7 @@
     c.release(s(2.0), &ReleaseRequest { machines: vec![first[0].clone(), "nobody".into()].into() }).unwrap();
     let next = c.rent(s(2.0), &request("r-3", 1, false)).unwrap();
     assert!(!first.contains(&next[0]), "machine names are never used again");
-    c.fault(s(2.0), &Fault::Scarce(0.2));
+    c.inject(s(2.0), &CloudFault::ReducedCapacity(0.2));
     assert_eq!(c.rent(s(2.0), &request("r-6", 5, true)).unwrap().len(), 1);
 }
 
@@ -57,11 +64,11 @@
     let mut c = cloud();
     let name = c.rent(s(0.0), &request("r-1", 1, true)).unwrap().remove(0);
     assert!(c.advance(s(5.9)).is_empty());
-    assert_eq!(c.advance(s(15.1)), [Happening::Up { name: name.clone() }]);
-    c.fault(s(16.0), &Fault::Recall { count: 3 });
-    assert!(matches!(&c.advance(s(16.0))[..], [Happening::Notice { .. }]));
-    assert_eq!(c.advance(s(31.1)), [Happening::Gone { name, why: "recalled" }]);
-    c.fault(s(32.0), &Fault::Cold { machine_type: None, on: true });
+    assert_eq!(c.advance(s(15.1)), [CloudEvent::Up { name: name.clone() }]);
+    c.inject(s(16.0), &CloudFault::Preempt { count: 3 });
+    assert!(matches!(&c.advance(s(16.0))[..], [CloudEvent::PreemptionNotice { .. }]));
+    assert_eq!(c.advance(s(31.1)), [CloudEvent::Gone { name, why: "recalled" }]);
+    c.inject(s(32.0), &CloudFault::FailedBoot { machine_type: None, on: true });
     c.rent(s(32.0), &request("r-2", 1, true)).unwrap();
     assert!(c.advance(s(3600.0)).is_empty());
 }
--- a/crates/emulator/src/cluster.rs
+++ b/crates/emulator/src/cluster.rs
@@ -26,7 +26,7 @@
 pub enum ClusterError {
     /// The controller program does not exist.
     #[error("{}: no controller program there; build it with `cargo build --release` or name one with --controller", .0.display())]
-    NoBinary(PathBuf),
+    MissingProgram(PathBuf),
     /// A listener cannot be bound.
     #[error("{address}: {cause}")]
     Address {
@@ -52,7 +52,7 @@
 #[derive(Debug, Clone)]
 pub struct ControllerAddresses {
     /// Name of the controller.
-    pub member: String,
+    pub name: String,
     /// Zone of the controller.
     pub zone: String,
     /// Address for users and workers.
@@ -85,7 +85,7 @@
 /// All controllers of a run.
 pub struct Cluster {
     /// Addresses of the controllers, by their number.
-    pub places: Vec<ControllerAddresses>,
+    pub addresses: Vec<ControllerAddresses>,
     controllers: Vec<Controller>,
     /// Whether the relay of each controller refuses connections.
     refused: Vec<Arc<AtomicBool>>,
@@ -107,7 +107,7 @@
 
 /// Returns an address with a port that is free: `requested`, or any port where that is 0.
 /// Fails if the requested port is in use.
-pub fn port(ip: Ipv4Addr, requested: u16) -> Result<SocketAddr, ClusterError> {
+pub fn free_address(ip: Ipv4Addr, requested: u16) -> Result<SocketAddr, ClusterError> {
     let address = SocketAddr::from((ip, requested));
     let bound = StdListener::bind(address).and_then(|listener| listener.local_addr());
     bound.map_err(|cause| ClusterError::Address { address, cause })
@@ -124,21 +124,21 @@
         recorder: &Recorder,
     ) -> Result<(Cluster, ServiceListeners), ClusterError> {
         if !binary.is_file() {
-            return Err(ClusterError::NoBinary(binary.into()));
+            return Err(ClusterError::MissingProgram(binary.into()));
         }
         let ip = |subnet: u8, i: usize| Ipv4Addr::new(127, 0, subnet, i as u8 + 1);
         let local_address = |listener: &TcpListener, address| {
             listener.local_addr().map_err(|cause| ClusterError::Address { address, cause })
         };
-        let (mut places, mut state, mut relays) = (Vec::new(), Vec::new(), Vec::new());
+        let (mut addresses, mut state, mut relays) = (Vec::new(), Vec::new(), Vec::new());
         for i in 0..scenario.controllers.count {
             let any_port = SocketAddr::from((ip(2, i), 0));
             let (state_listener, relay) = (bind(any_port).await?, bind(SocketAddr::from((ip(4, i), 0))).await?);
-            places.push(ControllerAddresses {
-                member: format!("perch-{i}"),
+            addresses.push(ControllerAddresses {
+                name: format!("perch-{i}"),
                 zone: scenario.zones[i % scenario.zones.len()].clone(),
-                public: port(ip(1, i), public_port)?,
-                peers: port(ip(1, i), 0)?,
+                public: free_address(ip(1, i), public_port)?,
+                peers: free_address(ip(1, i), 0)?,
                 relay: local_address(&relay, any_port)?,
                 state: local_address(&state_listener, any_port)?,
             });
@@ -149,21 +149,21 @@
         let cloud = bind(any_port).await?;
         let cloud_address = local_address(&cloud, any_port)?;
         let (mut relay_tasks, mut refused) = (JoinSet::new(), Vec::new());
-        for (addresses, relay) in places.iter().zip(relays) {
+        for (own, relay) in addresses.iter().zip(relays) {
             let refuse = Arc::new(AtomicBool::new(false));
-            relay_tasks.spawn(relay_loop(relay, addresses.peers, refuse.clone()));
+            relay_tasks.spawn(relay_loop(relay, own.peers, refuse.clone()));
             refused.push(refuse);
         }
         let mut controllers = Vec::new();
-        for (i, addresses) in places.iter().enumerate() {
-            let file = dir.join(format!("{}.toml", addresses.member));
-            let text = settings(scenario, &places, i, cloud_address).map_err(ClusterError::Settings)?;
+        for (i, own) in addresses.iter().enumerate() {
+            let file = dir.join(format!("{}.toml", own.name));
+            let text = settings(scenario, &addresses, i, cloud_address).map_err(ClusterError::Settings)?;
             std::fs::write(&file, text).map_err(|cause| ClusterError::File { file: file.clone(), cause })?;
-            let log = dir.join(format!("{}.log", addresses.member));
+            let log = dir.join(format!("{}.log", own.name));
             let (commands, inbox) = mpsc::unbounded_channel();
             let pid = Arc::new(AtomicI32::new(0));
             let supervisor = Supervisor {
-                member: addresses.member.clone(),
+                member: own.name.clone(),
                 binary: binary.into(),
                 settings: file,
                 log,
@@ -174,7 +174,7 @@
             let supervisor = tokio::spawn(supervisor.run(inbox));
             controllers.push(Controller { commands, pid, supervisor });
         }
-        Ok((Cluster { places, controllers, refused, _relays: relay_tasks }, ServiceListeners { state, cloud }))
+        Ok((Cluster { addresses, controllers, refused, _relays: relay_tasks }, ServiceListeners { state, cloud }))
     }
 
     /// Kills controller `i` with SIGKILL. It is started again after `restart`, or after the
@@ -205,13 +205,13 @@
     /// Memory in MB and CPU time in seconds of each controller that runs.
     pub fn usage(&self) -> BTreeMap<String, (f64, f64)> {
         let mut usage = BTreeMap::new();
-        for (addresses, controller) in self.places.iter().zip(&self.controllers) {
+        for (addresses, controller) in self.addresses.iter().zip(&self.controllers) {
             let pid = controller.pid.load(Ordering::SeqCst);
             let stat = (pid > 0).then(|| procfs::process::Process::new(pid).and_then(|p| p.stat()).ok()).flatten();
             if let Some(stat) = stat {
                 let memory_mb = stat.rss as f64 * procfs::page_size() as f64 / 1_048_576.0;
                 let cpu_s = (stat.utime + stat.stime) as f64 / procfs::ticks_per_second() as f64;
-                usage.insert(addresses.member.clone(), (memory_mb, cpu_s));
+                usage.insert(addresses.name.clone(), (memory_mb, cpu_s));
             }
         }
         usage
@@ -342,8 +342,8 @@
     let own = &controllers[i];
     let others: Vec<_> = controllers
         .iter()
-        .filter(|other| other.member != own.member)
-        .map(|other| json!({"member": other.member, "zone": other.zone, "peer_addr": other.relay}))
+        .filter(|other| other.name != own.name)
+        .map(|other| json!({"member": other.name, "zone": other.zone, "peer_addr": other.relay}))
         .collect();
     let teams: Vec<_> = scenario
         .team
@@ -366,7 +366,7 @@
     }
     let workers = &scenario.workers;
     toml::to_string(&json!({
-        "member": own.member,
+        "member": own.name,
         "zone": own.zone,
         "public_addr": own.public,
         "peer_bind": own.peers,
--- a/crates/emulator/src/cluster/tests.rs
+++ b/crates/emulator/src/cluster/tests.rs
@@ -9,7 +9,7 @@
     let scenario = Scenario::parse("s", include_str!("../../scenarios/filing-eve.hcl")).unwrap();
     let address = |i: u16, port| SocketAddr::from(([127, 0, 1, i as u8 + 1], port));
     let addresses = |i| ControllerAddresses {
-        member: format!("perch-{i}"),
+        name: format!("perch-{i}"),
         zone: "hall".into(),
         public: address(i, 1),
         peers: address(i, 2),
--- a/crates/emulator/src/front.rs
+++ b/crates/emulator/src/front.rs
@@ -5,7 +5,7 @@
 #![warn(missing_docs)]
 
 use crate::history::{Asked, Event, Recorder};
-use crate::http::{self, Connection, Reply, Request};
+use crate::http::{self, Connection, Request, Response};
 use crate::lock;
 use crate::machine::driver::Driver;
 use crate::machine::worker::Description;
@@ -22,7 +22,7 @@
 
 /// Front end that forwards requests to the controllers.
 #[derive(Clone)]
-pub struct Front {
+pub struct FrontEnd {
     /// Names and addresses of the controllers.
     controllers: Arc<Vec<(String, SocketAddr)>>,
     driver: Driver,
@@ -31,10 +31,10 @@
     submitted: Arc<Mutex<HashSet<String>>>,
 }
 
-impl Front {
+impl FrontEnd {
     /// Creates a front end for controllers with these names and addresses.
-    pub fn new(controllers: Vec<(String, SocketAddr)>, driver: Driver, recorder: Recorder) -> Front {
-        Front { controllers: Arc::new(controllers), driver, recorder, submitted: Arc::default() }
+    pub fn new(controllers: Vec<(String, SocketAddr)>, driver: Driver, recorder: Recorder) -> FrontEnd {
+        FrontEnd { controllers: Arc::new(controllers), driver, recorder, submitted: Arc::default() }
     }
 
     /// Serves a listener until the returned future is dropped.
@@ -43,7 +43,7 @@
     }
 
     /// Forwards one request and records it, if it is about a job that was submitted here.
-    async fn forward(self, request: Request) -> Reply {
+    async fn forward(self, request: Request) -> Response {
         let operation = match route(&request.method, &request.path) {
             Route::Submit => decode::<JobSpec>(&request.body).ok().filter(JobSpec::well_formed).map(|spec| {
                 let uid = spec.uid.clone();
@@ -62,25 +62,25 @@
             let mut connection = Connection::default();
             let response =
                 connection.send(*address, &request.method, &request.path, request.body.clone(), RESPONSE_TIMEOUT).await;
-            if let Some(reply) = response {
-                answer = Some((member.clone(), reply));
+            if let Some(response) = response {
+                answer = Some((member.clone(), response));
                 break;
             }
         }
         if let Some((asked, uid)) = operation.filter(|(_, uid)| self.submitted().contains(uid)) {
-            let reply = answer.as_ref().map(|(_, reply)| reply);
-            let state = reply.and_then(|reply| decode::<JobState>(&reply.body).ok());
+            let response = answer.as_ref().map(|(_, response)| response);
+            let state = response.and_then(|response| decode::<JobState>(&response.body).ok());
             self.recorder.record(Event::Call {
                 asked,
                 uid,
                 controller: answer.as_ref().map_or_else(String::new, |(member, _)| member.clone()),
                 began_s,
-                status: reply.map(|reply| reply.status),
+                status: response.map(|response| response.status),
                 state: state.as_ref().map(|state| state.status),
                 done: state.map_or(0, |state| state.done),
             });
         }
-        answer.map_or_else(|| Reply::empty(503), |(_, reply)| reply)
+        answer.map_or_else(|| Response::empty(503), |(_, response)| response)
     }
 
     fn submitted(&self) -> std::sync::MutexGuard<'_, HashSet<String>> {
--- a/crates/emulator/src/http.rs
+++ b/crates/emulator/src/http.rs
@@ -16,22 +16,22 @@
 
 /// Response to a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Reply {
+pub struct Response {
     /// HTTP status code.
     pub status: u16,
     /// Body in CBOR, or empty.
     pub body: Vec<u8>,
 }
 
-impl Reply {
-    /// Creates a reply with a body.
-    pub fn new(status: u16, body: Vec<u8>) -> Reply {
-        Reply { status, body }
+impl Response {
+    /// Creates a response with a body.
+    pub fn new(status: u16, body: Vec<u8>) -> Response {
+        Response { status, body }
     }
 
-    /// Creates a reply without a body.
-    pub fn empty(status: u16) -> Reply {
-        Reply { status, body: Vec::new() }
+    /// Creates a response without a body.
+    pub fn empty(status: u16) -> Response {
+        Response { status, body: Vec::new() }
     }
 }
 
@@ -54,7 +54,7 @@
 pub async fn serve<H, F>(listener: TcpListener, body_limit: usize, handler: H)
 where
     H: Fn(Request) -> F + Clone + Send + Sync + 'static,
-    F: Future<Output = Reply> + Send + 'static,
+    F: Future<Output = Response> + Send + 'static,
 {
     let mut connections = JoinSet::new();
     loop {
@@ -73,18 +73,18 @@
             let handler = handler.clone();
             async move {
                 let (head, body) = request.into_parts();
-                let reply = match Limited::new(body, body_limit).collect().await {
+                let response = match Limited::new(body, body_limit).collect().await {
                     Ok(body) => {
                         let path = head.uri.path_and_query().map_or("/", |p| p.as_str()).to_string();
                         let method = head.method.as_str().to_string();
                         handler(Request { method, path, body: body.to_bytes().to_vec() }).await
                     }
-                    Err(_) => Reply::empty(400),
+                    Err(_) => Response::empty(400),
                 };
-                let mut response = hyper::Response::new(Full::new(Bytes::from(reply.body)));
-                *response.status_mut() =
-                    hyper::StatusCode::from_u16(reply.status).unwrap_or(hyper::StatusCode::INTERNAL_SERVER_ERROR);
-                Ok::<_, Infallible>(response)
+                let mut http_response = hyper::Response::new(Full::new(Bytes::from(response.body)));
+                *http_response.status_mut() =
+                    hyper::StatusCode::from_u16(response.status).unwrap_or(hyper::StatusCode::INTERNAL_SERVER_ERROR);
+                Ok::<_, Infallible>(http_response)
             }
         });
         connections.spawn(async move {
@@ -106,7 +106,7 @@
 impl Connection {
     /// Sends a POST request and reads the response. Returns `None` and closes the
     /// connection on any failure, or when the response takes longer than `timeout`.
-    pub async fn post(&mut self, to: SocketAddr, path: &str, body: Vec<u8>, timeout: Duration) -> Option<Reply> {
+    pub async fn post(&mut self, to: SocketAddr, path: &str, body: Vec<u8>, timeout: Duration) -> Option<Response> {
         self.send(to, "POST", path, body, timeout).await
     }
 
@@ -118,10 +118,10 @@
         path: &str,
         body: Vec<u8>,
         timeout: Duration,
-    ) -> Option<Reply> {
+    ) -> Option<Response> {
         let result = tokio::time::timeout(timeout, self.exchange(to, method, path, body)).await;
         match result {
-            Ok(Some(reply)) => Some(reply),
+            Ok(Some(response)) => Some(response),
             _ => {
                 self.open = None;
                 None
@@ -134,7 +134,7 @@
         self.open = None;
     }
 
-    async fn exchange(&mut self, to: SocketAddr, method: &str, path: &str, body: Vec<u8>) -> Option<Reply> {
+    async fn exchange(&mut self, to: SocketAddr, method: &str, path: &str, body: Vec<u8>) -> Option<Response> {
         if self.open.as_ref().is_none_or(|(at, sender)| *at != to || sender.is_closed()) {
             let stream = TcpStream::connect(to).await.ok()?;
             let _ = stream.set_nodelay(true);
@@ -154,6 +154,6 @@
         let response = sender.send_request(request).await.ok()?;
         let status = response.status().as_u16();
         let body = Limited::new(response.into_body(), finchquay_protocol::BODY_LIMIT).collect().await.ok()?;
-        Some(Reply { status, body: body.to_bytes().to_vec() })
+        Some(Response { status, body: body.to_bytes().to_vec() })
     }
 }
--- a/crates/emulator/src/machine/driver.rs
+++ b/crates/emulator/src/machine/driver.rs
@@ -5,7 +5,7 @@
 use super::fleet::Fleet;
 use super::worker::{TaskEvent, Traits};
 use crate::history::{Event, Recorder};
-use crate::http::{self, Connection, Reply, Request};
+use crate::http::{self, Connection, Request, Response};
 use crate::lock;
 use finchquay_protocol::worker::{CommandRequest, HeartbeatResponse, Redirect};
 use finchquay_protocol::{BODY_LIMIT, decode, encode};
@@ -139,7 +139,7 @@
             let (driver, machine, zone) = (driver.clone(), machine.clone(), zone.clone());
             // A task of its own: the request is handled even if the sender gives up meanwhile.
             let handled = tokio::spawn(async move { driver.handle_request(&machine, &zone, request).await });
-            async move { handled.await.unwrap_or_else(|_| Reply::empty(500)) }
+            async move { handled.await.unwrap_or_else(|_| Response::empty(500)) }
         }));
         self.machines().insert(name, ConnectedMachine { report_now, tasks: vec![heartbeats, commands] });
         Ok(())
@@ -196,30 +196,30 @@
     }
 
     /// Handles a request to a worker.
-    async fn handle_request(&self, machine: &str, zone: &str, request: Request) -> Reply {
+    async fn handle_request(&self, machine: &str, zone: &str, request: Request) -> Response {
         let mut partitions = self.shared.partitions.subscribe();
         let _ = partitions.wait_for(|partitions| !partitions.holds_commands(machine, zone)).await;
         if !self.wait_while_hung(machine).await {
-            return Reply::empty(503);
+            return Response::empty(503);
         }
         let now = self.now();
-        let reply = match (request.method.as_str(), request.path.as_str()) {
+        let response = match (request.method.as_str(), request.path.as_str()) {
             ("GET", "/show") => match self.fleet().heartbeat(machine, now) {
-                Some(heartbeat) => Reply::new(200, encode(&heartbeat)),
-                None => Reply::empty(503),
+                Some(heartbeat) => Response::new(200, encode(&heartbeat)),
+                None => Response::empty(503),
             },
             ("POST", "/commands") => match decode::<CommandRequest>(&request.body) {
-                Err(_) => Reply::empty(400),
+                Err(_) => Response::empty(400),
                 Ok(commands) => match self.fleet().handle_commands(machine, now, &commands) {
-                    Some((status, heartbeat)) => Reply::new(status, encode(&heartbeat)),
-                    None => Reply::empty(503),
+                    Some((status, heartbeat)) => Response::new(status, encode(&heartbeat)),
+                    None => Response::empty(503),
                 },
             },
-            (_, "/show" | "/commands") => Reply::empty(405),
-            _ => Reply::empty(404),
+            (_, "/show" | "/commands") => Response::empty(405),
+            _ => Response::empty(404),
         };
         self.publish_changes();
-        reply
+        response
     }
 
     /// Sends heartbeats of a machine until it is gone. A controller that does not answer, or
@@ -238,12 +238,12 @@
             self.publish_changes();
             let Some(heartbeat) = heartbeat else { return };
             let reachable = || self.shared.partitions.borrow().reachable(&name, &zone, controller);
-            let mut reply = None;
+            let mut response = None;
             if reachable() {
-                reply = connection.post(controller.address, "/checkin", encode(&heartbeat), RESPONSE_TIMEOUT).await;
+                response = connection.post(controller.address, "/checkin", encode(&heartbeat), RESPONSE_TIMEOUT).await;
                 // A response that arrives during a partition is lost.
                 if !reachable() || !self.wait_while_hung(&name).await {
-                    reply = None;
+                    response = None;
                     connection.close();
                 }
             } else {
@@ -252,19 +252,19 @@
             }
             // Controller to switch to, and the pause before its first heartbeat.
             let mut switch = None;
-            match reply {
-                Some(reply) if reply.status == 200 => {
-                    let response = decode::<HeartbeatResponse>(&reply.body).ok();
-                    let (fencing_token, commands) = response.map_or((None, Vec::new()), |response| {
-                        (Some(response.fencing_token), response.commands.into_owned())
+            match response {
+                Some(response) if response.status == 200 => {
+                    let decoded = decode::<HeartbeatResponse>(&response.body).ok();
+                    let (fencing_token, commands) = decoded.map_or((None, Vec::new()), |decoded| {
+                        (Some(decoded.fencing_token), decoded.commands.into_owned())
                     });
                     let now = self.now();
                     let agent_epoch = heartbeat.agent_epoch;
                     self.fleet().handle_response(&name, now, sent, agent_epoch, fencing_token, &commands);
                     self.publish_changes();
                 }
-                Some(reply) if reply.status == 421 => {
-                    let owner = decode::<Redirect>(&reply.body).ok().and_then(|redirect| redirect.controller);
+                Some(response) if response.status == 421 => {
+                    let owner = decode::<Redirect>(&response.body).ok().and_then(|redirect| redirect.controller);
                     let owner_index = owner
                         .and_then(|owner| controllers.iter().position(|c| c.member == owner))
                         .filter(|index| *index != current);
--- a/crates/emulator/src/main.rs
+++ b/crates/emulator/src/main.rs
@@ -279,7 +279,7 @@
             .with_file_name("finchquay"),
     };
     if !controller.is_file() {
-        return Err(MainError::Run(RunError::Cluster(ClusterError::NoBinary(controller))));
+        return Err(MainError::Run(RunError::Cluster(ClusterError::MissingProgram(controller))));
     }
     let seed = common.seed.unwrap_or(scenario.seed);
     let public_port = front.map_or(0, |address| address.port());
--- a/crates/emulator/src/run.rs
+++ b/crates/emulator/src/run.rs
@@ -4,10 +4,10 @@
 #![warn(missing_docs)]
 
 use crate::checker::{self, Verdict};
-use crate::cloud::machine::{Cloud, Config as CloudConfig, Fault as CloudFault, Happening, Offer};
+use crate::cloud::provider::{Cloud, CloudConfig, CloudEvent, CloudFault, Offer};
 use crate::cloud::service;
-use crate::cluster::{Cluster, ClusterError, bind, port};
-use crate::front::Front;
+use crate::cluster::{Cluster, ClusterError, bind, free_address};
+use crate::front::FrontEnd;
 use crate::history::{self, Event, Facts, HistoryError, Line, Recorder, Watcher};
 use crate::http;
 use crate::load;
@@ -143,7 +143,7 @@
     };
     let (cluster, sockets) =
         Cluster::start(&scenario, &options.controller, dir, options.public_port, &recorder).await?;
-    let endpoints: Vec<(String, SocketAddr)> = cluster.places.iter().map(|p| (p.member.clone(), p.public)).collect();
+    let endpoints: Vec<(String, SocketAddr)> = cluster.addresses.iter().map(|p| (p.name.clone(), p.public)).collect();
     recorder.record(Event::Began {
         scenario: scenario.name.clone(),
         seed: options.seed,
@@ -155,10 +155,10 @@
     let mut fleet = Fleet::new(Scenario::seconds(scenario.workers.gang_peer_s));
     previous.restore(&mut fleet);
     let nodes =
-        cluster.places.iter().map(|p| Node { member: p.member.clone(), zone: p.zone.clone(), address: p.public });
+        cluster.addresses.iter().map(|p| Node { member: p.name.clone(), zone: p.zone.clone(), address: p.public });
     let heartbeat_interval = Scenario::seconds(scenario.workers.heartbeat_interval_s);
     let driver = Driver::new(fleet, nodes.collect(), heartbeat_interval, recorder.clone());
-    let worker_port = port(Ipv4Addr::new(127, 1, 0, 1), 0)?.port();
+    let worker_port = free_address(Ipv4Addr::new(127, 1, 0, 1), 0)?.port();
     let cloud = Cloud::new(cloud_config(&scenario, worker_port), rng.random(), previous.machines);
     let jobs = load::plan(&scenario, previous.run_number, &mut rng);
     let faults = scenario.faults(&mut rng);
@@ -181,7 +181,7 @@
         background.spawn(emulation.clone().play_fault(name, fault));
     }
     if let Some(listener) = front {
-        background.spawn(Front::new(endpoints.clone(), driver.clone(), recorder.clone()).serve(listener));
+        background.spawn(FrontEnd::new(endpoints.clone(), driver.clone(), recorder.clone()).serve(listener));
     }
     let client = load::client(&endpoints, &recorder)?;
     let ended_jobs = load::Over::default();
@@ -251,7 +251,7 @@
         fault_listener,
         handle: None,
         servers: Vec::new(),
-        endpoints: cluster.places.iter().map(|p| (p.member.clone(), p.state)).collect(),
+        endpoints: cluster.addresses.iter().map(|p| (p.name.clone(), p.state)).collect(),
     }
 }
 
@@ -272,7 +272,7 @@
 /// The settings of the emulated cloud.
 fn cloud_config(scenario: &Scenario, worker_port: u16) -> CloudConfig {
     let offer = |(label, m): (&String, &crate::scenario::MachineType)| Offer {
-        kind: MachineType {
+        machine_type: MachineType {
             label: label.clone(),
             cores: m.cpus,
             gpus: m.gpus,
@@ -285,14 +285,14 @@
             zones: scenario.zones.clone(),
         },
         capacity: scenario.zones.iter().map(|zone| (zone.clone(), (m.on_demand, m.spot))).collect(),
-        cold: m.cold_share,
+        never_up_share: m.cold_share,
     };
     CloudConfig {
         offers: scenario.machine_type.iter().map(offer).collect(),
         rps: scenario.cloud.rps,
         list_lag: Scenario::seconds(scenario.cloud.list_lag_s),
-        notice: Scenario::seconds(scenario.cloud.notice_s),
-        silent_share: scenario.cloud.silent_share,
+        preemption_notice: Scenario::seconds(scenario.cloud.notice_s),
+        no_notice_share: scenario.cloud.silent_share,
         worker_port,
     }
 }
@@ -384,7 +384,7 @@
         for (label, machine_type) in &self.scenario.machine_type {
             for zone in &self.scenario.zones {
                 for _ in 0..machine_type.up {
-                    lock(&self.cloud).create(self.now(), label, zone, false, true);
+                    lock(&self.cloud).add_machine(self.now(), label, zone, false, true);
                 }
             }
         }
@@ -396,16 +396,16 @@
         let events = lock(&self.cloud).advance(self.now());
         for event in events {
             match event {
-                Happening::Up { name } => {
+                CloudEvent::Up { name } => {
                     let Some((traits, addr)) = self.machine_traits(&name) else { continue };
                     if let Err(e) = self.driver.boot(traits, addr).await {
                         eprintln!("finchquay-emulator: {addr}: {e}; machine {name} cannot listen and stays silent");
                     }
                 }
-                Happening::Notice { name, at } => {
+                CloudEvent::PreemptionNotice { name, at } => {
                     self.driver.fleet().with(&name, self.now(), |worker, _| worker.preempted_at = Some(at));
                 }
-                Happening::Gone { name, why } => self.driver.vanish(&name, why),
+                CloudEvent::Gone { name, why } => self.driver.vanish(&name, why),
             }
         }
     }
@@ -415,18 +415,18 @@
         let cloud = lock(&self.cloud);
         let mut rng = lock(&self.rng);
         let rental = cloud.rental(name)?;
-        let kind = cloud.kind(&rental.machine_type)?;
+        let machine_type = cloud.machine_type(&rental.machine_type)?;
         let traits = Traits {
             name: name.into(),
             addr: rental.addr.to_string(),
             machine_type: rental.machine_type.clone(),
             zone: rental.zone.clone(),
             spot: rental.spot,
-            cores: kind.cores,
-            gpus: kind.gpus,
-            mem_gb: kind.mem_gb,
-            cache_gb: kind.disk_gb,
-            gb_per_s: kind.pull_gb_per_s * rng.random_range(0.7..1.3),
+            cores: machine_type.cores,
+            gpus: machine_type.gpus,
+            mem_gb: machine_type.mem_gb,
+            cache_gb: machine_type.disk_gb,
+            gb_per_s: machine_type.pull_gb_per_s * rng.random_range(0.7..1.3),
             speed: rng.random_range(0.95..1.05),
             lease: Scenario::seconds(self.scenario.workers.lease_s),
             gang_wait: Scenario::seconds(self.scenario.workers.gang_wait_s),
@@ -440,10 +440,10 @@
         http::serve(listener, BODY_LIMIT, move |request| {
             let emulation = emulation.clone();
             async move {
-                let reply = service::answer(&mut lock(&emulation.cloud), emulation.now(), &request);
+                let response = service::answer(&mut lock(&emulation.cloud), emulation.now(), &request);
                 // Machines that this request released must be gone before the answer arrives.
                 emulation.apply_cloud_events().await;
-                reply
+                response
             }
         })
         .await;
@@ -507,12 +507,12 @@
 
     /// Name of a controller by its number; empty without a number.
     fn controller_name(&self, number: Option<usize>) -> String {
-        number.and_then(|number| self.cluster.places.get(number)).map_or_else(String::new, |p| p.member.clone())
+        number.and_then(|number| self.cluster.addresses.get(number)).map_or_else(String::new, |p| p.name.clone())
     }
 
     /// Numbers of the controllers that a fault hits: the one it names, or all.
     fn affected_controllers(&self, fault: &Fault) -> Vec<usize> {
-        fault.controller.map_or_else(|| (0..self.cluster.places.len()).collect(), |i| vec![i])
+        fault.controller.map_or_else(|| (0..self.cluster.addresses.len()).collect(), |i| vec![i])
     }
 
     /// Picks machines at random among those that are up.
@@ -533,7 +533,7 @@
         let (now, count, factor) = (self.now(), fault.count.unwrap_or(1), fault.factor.unwrap_or(1.0));
         let late = Scenario::seconds(fault.late_s.unwrap_or(0.0));
         let restart = fault.restart_s.map(Scenario::seconds);
-        let inject_cloud_fault = |cloud_fault| lock(&self.cloud).fault(now, &cloud_fault);
+        let inject_cloud_fault = |cloud_fault| lock(&self.cloud).inject(now, &cloud_fault);
         let machine_type = fault.machine_type.clone();
         let inject_write_fault = |write_fault| {
             let prefix = fault.prefix.clone().unwrap_or_default();
@@ -552,11 +552,11 @@
             K::WriteLate => inject_write_fault(WriteFault::Late(late)),
             K::TailLost => self.inject_store_fault(StoreFault::LoseTail(u64::from(count))),
             K::CloudOutage => inject_cloud_fault(CloudFault::Outage(true)),
-            K::BootsLate => inject_cloud_fault(CloudFault::Late { machine_type, factor }),
-            K::BootsCold => inject_cloud_fault(CloudFault::Cold { machine_type, on: true }),
-            K::Scarce => inject_cloud_fault(CloudFault::Scarce(factor)),
-            K::Recall => inject_cloud_fault(CloudFault::Recall { count }),
-            K::Die => inject_cloud_fault(CloudFault::Die { count }),
+            K::BootsLate => inject_cloud_fault(CloudFault::SlowBoot { machine_type, factor }),
+            K::BootsCold => inject_cloud_fault(CloudFault::FailedBoot { machine_type, on: true }),
+            K::Scarce => inject_cloud_fault(CloudFault::ReducedCapacity(factor)),
+            K::Recall => inject_cloud_fault(CloudFault::Preempt { count }),
+            K::Die => inject_cloud_fault(CloudFault::Fail { count }),
             K::MachinesCut | K::MachinesHang | K::MachinesSick | K::MachinesSlow => {
                 let names = self.random_machines(count);
                 self.set_machine_fault(fault, &names, true);
@@ -588,7 +588,7 @@
             K::Rolling => {
                 let restart_time = restart.unwrap_or(Scenario::seconds(self.scenario.controllers.restart_s));
                 let pause = late.max(restart_time * 2);
-                for i in 0..self.cluster.places.len() {
+                for i in 0..self.cluster.addresses.len() {
                     self.cluster.kill(i, restart);
                     tokio::time::sleep(pause).await;
                 }
@@ -602,7 +602,7 @@
     async fn end_fault(&self, fault: &Fault, machines: Vec<String>) {
         use FaultKind as K;
         let now = self.now();
-        let inject_cloud_fault = |cloud_fault| lock(&self.cloud).fault(now, &cloud_fault);
+        let inject_cloud_fault = |cloud_fault| lock(&self.cloud).inject(now, &cloud_fault);
         let machine_type = fault.machine_type.clone();
         match fault.kind {
             K::StoreOutage => self.inject_store_fault(StoreFault::Outage(false)),
@@ -614,9 +614,9 @@
             K::StoreSlow => self.inject_store_fault(StoreFault::Slow(None)),
             K::StoreRestart => self.restart_state_service().await,
             K::CloudOutage => inject_cloud_fault(CloudFault::Outage(false)),
-            K::BootsLate => inject_cloud_fault(CloudFault::Late { machine_type, factor: 1.0 }),
-            K::BootsCold => inject_cloud_fault(CloudFault::Cold { machine_type, on: false }),
-            K::Scarce => inject_cloud_fault(CloudFault::Scarce(1.0)),
+            K::BootsLate => inject_cloud_fault(CloudFault::SlowBoot { machine_type, factor: 1.0 }),
+            K::BootsCold => inject_cloud_fault(CloudFault::FailedBoot { machine_type, on: false }),
+            K::Scarce => inject_cloud_fault(CloudFault::ReducedCapacity(1.0)),
             K::MachinesCut | K::MachinesHang | K::MachinesSick | K::MachinesSlow => {
                 self.set_machine_fault(fault, &machines, false)
             }
--- a/crates/emulator/src/state/machine.rs
+++ b/crates/emulator/src/state/machine.rs
@@ -7,7 +7,7 @@
 
 #![warn(missing_docs)]
 
-use crate::bucket::Bucket;
+use crate::bucket::TokenBucket;
 use ciborium::Value;
 use finchquay_protocol::store::{
     CONDITIONS_PER_OP, Op, PAGE_BYTES, PAGE_LIMIT, Row, Rows, TTL_MS, Txn, WATCH_WINDOW, WatchEvent, valid_key,
@@ -113,8 +113,8 @@
     window: VecDeque<Change>,
     /// Revision before the oldest change in the window: watches from earlier get 410.
     window_start: u64,
-    requests: Bucket,
-    writes: Bucket,
+    requests: TokenBucket,
+    writes: TokenBucket,
     /// Changes that are not in the log yet.
     unwritten: Vec<Change>,
 }
@@ -143,8 +143,8 @@
             }
         }
         Store {
-            requests: Bucket::new(limits.rps, 1.0),
-            writes: Bucket::new(limits.write_rps, 1.0),
+            requests: TokenBucket::new(limits.rps, 1.0),
+            writes: TokenBucket::new(limits.write_rps, 1.0),
             limits,
             keys,
             revision,
@@ -184,7 +184,7 @@
 
     /// Counts one request against the limit; false if it is above it.
     pub fn admit_request(&mut self, now: Duration) -> bool {
-        self.requests.take(now, 1.0)
+        self.requests.try_take(now, 1.0)
     }
 
     /// Reads one key.
@@ -239,7 +239,7 @@
         if !self.well_formed(txn) {
             return Outcome::Malformed;
         }
-        if !self.writes.take(now, txn.ops.len() as f64) {
+        if !self.writes.try_take(now, txn.ops.len() as f64) {
             return Outcome::RateLimited;
         }
         let lease_is_gone = |op: &Op| matches!(op, Op::Put { lease: Some(id), .. } if !self.leases.contains_key(id));
--- a/crates/emulator/src/state/service.rs
+++ b/crates/emulator/src/state/service.rs
@@ -6,7 +6,7 @@
 
 use super::log::{Batch, Log, LogError};
 use super::machine::{Change, Limits, Outcome, Store};
-use crate::http::{self, Reply, Request};
+use crate::http::{self, Request, Response};
 use ciborium::cbor;
 use finchquay_protocol::store::{Lease, LeaseRequest, Op, Route, Txn, TxnResponse, WatchEvent, WatchResponse, route};
 use finchquay_protocol::{BODY_LIMIT, decode, encode};
@@ -117,7 +117,7 @@
     Request {
         controller: String,
         request: Request,
-        reply: oneshot::Sender<(Reply, Duration)>,
+        reply: oneshot::Sender<(Response, Duration)>,
     },
     Fault(Fault),
     Counts(oneshot::Sender<Counts>),
@@ -181,11 +181,11 @@
         http::serve(listener, BODY_LIMIT, handler).await;
     }
 
-    async fn request(&self, controller: String, request: Request) -> Reply {
+    async fn request(&self, controller: String, request: Request) -> Response {
         let (reply, answer) = oneshot::channel();
         let sent = self.commands.send(Command::Request { controller, request, reply });
         if sent.is_err() {
-            return Reply::empty(503);
+            return Response::empty(503);
         }
         match answer.await {
             Ok((reply, delay)) => {
@@ -226,7 +226,7 @@
     after: u64,
     /// When it is answered even without changes.
     deadline: Duration,
-    reply: oneshot::Sender<(Reply, Duration)>,
+    reply: oneshot::Sender<(Response, Duration)>,
 }
 
 /// The service's thread: it owns the store, the log and all faults in effect.
@@ -252,7 +252,7 @@
     /// Transactions that are carried out at a later time and never answered.
     late: Vec<(Duration, Txn)>,
     /// Answers to send once the batch is in the log.
-    answers: Vec<(oneshot::Sender<(Reply, Duration)>, Reply)>,
+    answers: Vec<(oneshot::Sender<(Response, Duration)>, Response)>,
     counts: Counts,
 }
 
@@ -318,7 +318,7 @@
         now: Duration,
         controller: String,
         request: &Request,
-        reply: oneshot::Sender<(Reply, Duration)>,
+        reply: oneshot::Sender<(Response, Duration)>,
         leases: &mut Vec<(u64, Option<Duration>)>,
     ) {
         if self.cut.contains(&controller) {
@@ -331,19 +331,19 @@
         self.counts.requests += 1;
         let muted = self.muted.contains(&controller);
         let answer = if self.outage || self.refused.contains(&controller) {
-            Reply::empty(503)
+            Response::empty(503)
         } else if !self.store.admit_request(now) {
-            Reply::empty(429)
+            Response::empty(429)
         } else {
             match route(&request.method, &request.path) {
-                None => Reply::empty(400),
+                None => Response::empty(400),
                 Some(Route::Watch { prefix, after, hold_ms }) => {
                     let deadline = now + Duration::from_millis(hold_ms);
                     self.watches.push(Watch { controller, prefix: prefix.into(), after, deadline, reply });
                     return;
                 }
                 Some(Route::Multi) => match decode::<Txn>(&request.body) {
-                    Err(_) => Reply::empty(400),
+                    Err(_) => Response::empty(400),
                     Ok(txn) => match self.take_write_fault(&txn) {
                         Some(WriteFault::Late(delay)) => {
                             self.late.push((now + delay, txn));
@@ -374,54 +374,54 @@
         route: &Route,
         body: &[u8],
         leases: &mut Vec<(u64, Option<Duration>)>,
-    ) -> Reply {
+    ) -> Response {
         let revision = || encode(&TxnResponse { revision: self.store.revision(), failed: Vec::new() });
         match *route {
             Route::Get(key) => match self.store.get(key) {
-                Some(row) => Reply::new(200, encode(&row)),
-                None => Reply::new(404, revision()),
+                Some(row) => Response::new(200, encode(&row)),
+                None => Response::new(404, revision()),
             },
-            Route::Scan { prefix, after, page } => Reply::new(200, encode(&self.store.scan(prefix, after, page))),
+            Route::Scan { prefix, after, page } => Response::new(200, encode(&self.store.scan(prefix, after, page))),
             Route::Grant => {
                 let request = decode::<LeaseRequest>(body).ok();
                 let ttl_ms = request.map(|r| r.ttl_ms);
                 match ttl_ms.and_then(|ms| self.store.grant(now, ms).map(|id| (id, ms))) {
                     Some((id, ttl_ms)) => {
                         leases.push((id, Some(Duration::from_millis(ttl_ms))));
-                        Reply::new(200, encode(&Lease { id }))
+                        Response::new(200, encode(&Lease { id }))
                     }
-                    None => Reply::empty(400),
+                    None => Response::empty(400),
                 }
             }
-            Route::Extend(id) if self.store.extend(now, id) => Reply::empty(200),
+            Route::Extend(id) if self.store.extend(now, id) => Response::empty(200),
             Route::Revoke(id) if self.store.revoke(id) => {
                 leases.push((id, None));
-                Reply::empty(200)
+                Response::empty(200)
             }
-            Route::Extend(_) | Route::Revoke(_) => Reply::empty(404),
-            Route::Multi | Route::Watch { .. } => Reply::empty(400),
+            Route::Extend(_) | Route::Revoke(_) => Response::empty(404),
+            Route::Multi | Route::Watch { .. } => Response::empty(400),
         }
     }
 
     /// Carries out a transaction, or only acknowledges it where `apply` is false.
-    fn transact(&mut self, now: Duration, txn: &Txn, apply: bool) -> Reply {
+    fn transact(&mut self, now: Duration, txn: &Txn, apply: bool) -> Response {
         let outcome = if apply { self.store.transact(now, txn) } else { self.store.acknowledge_and_lose(now, txn) };
         let answer = |revision, failed| encode(&TxnResponse { revision, failed });
         match outcome {
             Outcome::Committed { revision } => {
                 self.counts.transactions += 1;
                 self.counts.changes += txn.ops.len() as u64;
-                Reply::new(200, answer(revision, Vec::new()))
+                Response::new(200, answer(revision, Vec::new()))
             }
             Outcome::Conflict { keys, revision } => {
                 self.counts.conflicts += 1;
-                Reply::new(409, answer(revision, keys))
+                Response::new(409, answer(revision, keys))
             }
             Outcome::NoSuchLease => {
-                Reply::new(400, cbor!({"error" => "no such lease"}).map_or_else(|_| Vec::new(), |v| encode(&v)))
+                Response::new(400, cbor!({"error" => "no such lease"}).map_or_else(|_| Vec::new(), |v| encode(&v)))
             }
-            Outcome::Malformed => Reply::empty(400),
-            Outcome::RateLimited => Reply::empty(429),
+            Outcome::Malformed => Response::empty(400),
+            Outcome::RateLimited => Response::empty(429),
         }
     }
 
@@ -528,12 +528,14 @@
             }
             let revision = self.store.revision();
             let answer = match self.store.changes_since(&watch.prefix, watch.after) {
-                None => Reply::empty(410),
+                None => Response::empty(410),
                 Some(events) if events.is_empty() && now < watch.deadline => {
                     open.push(watch);
                     continue;
                 }
-                Some(events) => Reply::new(200, encode(&WatchResponse { revision, events: events as Vec<WatchEvent> })),
+                Some(events) => {
+                    Response::new(200, encode(&WatchResponse { revision, events: events as Vec<WatchEvent> }))
+                }
             };
             let _ = watch.reply.send((answer, random_delay(self.answer_delay)));
         }
