--- a/crates/emulator/src/checker.rs
+++ b/crates/emulator/src/checker.rs
@@ -3,7 +3,7 @@
 
 #![warn(missing_docs)]
 
-use crate::history::{Asked, Event, Facts, Line};
+use crate::history::{ClusterFacts, Event, HistoryLine, UserOperation};
 use finchquay_protocol::user::{JobKind, JobSpec, Status};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
@@ -49,12 +49,14 @@
 /// One violation of a rule.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Violation {
-    /// When the rule was broken.
-    pub t: f64,
+    /// When the rule was broken, in seconds of the history; `t` in the file.
+    #[serde(rename = "t")]
+    pub at_s: f64,
     /// Rule that was broken.
     pub rule: Rule,
-    /// What happened, for people.
-    pub what: String,
+    /// Description of what happened, for people; `what` in the file.
+    #[serde(rename = "what")]
+    pub description: String,
 }
 
 /// Numbers of jobs of one class or team.
@@ -83,8 +85,9 @@
     pub submitted: u64,
     /// Jobs that were accepted.
     pub accepted: u64,
-    /// Accepted jobs that are not services.
-    pub finite: u64,
+    /// Accepted jobs that are not services; `finite` in the file.
+    #[serde(rename = "finite")]
+    pub accepted_finite: u64,
     /// Jobs that were reported as done; `told_done` in the file.
     #[serde(rename = "told_done")]
     pub confirmed_done: u64,
@@ -98,8 +101,9 @@
     /// Completions of tasks that had completed before. Work done twice, one after the
     /// other, breaks no rule.
     pub done_again: u64,
-    /// Writes that the state service lost, by kind of record.
-    pub lost: BTreeMap<String, u64>,
+    /// Writes that the state service lost, by kind of record; `lost` in the file.
+    #[serde(rename = "lost")]
+    pub lost_writes: BTreeMap<String, u64>,
     /// Counts by class and by team, under keys such as `class portal` and `team intake`.
     pub served: BTreeMap<String, JobCounts>,
     /// Whether the run lasted long enough for every job to end.
@@ -108,7 +112,7 @@
 
 impl Verdict {
     /// Whether no rule was broken.
-    pub fn holds(&self) -> bool {
+    pub fn passed(&self) -> bool {
         self.violations.is_empty()
     }
 }
@@ -138,7 +142,7 @@
 
 #[derive(Default)]
 struct Checker {
-    facts: Facts,
+    facts: ClusterFacts,
     jobs: HashMap<String, Job>,
     machines: HashMap<String, Machine>,
     /// CPUs and GPUs in use by team.
@@ -150,34 +154,34 @@
 }
 
 /// Checks a whole history.
-pub fn check(lines: &[Line]) -> Verdict {
+pub fn check(lines: &[HistoryLine]) -> Verdict {
     let mut checker = Checker::default();
     for line in lines {
         checker.apply(line);
     }
     if checker.verdict.starts == 0 {
-        let end = lines.last().map_or(0.0, |line| line.t);
+        let end = lines.last().map_or(0.0, |line| line.at_s);
         checker.add_violation(end, Rule::NothingRan, "no task was started".into());
     }
     checker.verdict
 }
 
 impl Checker {
-    fn add_violation(&mut self, t: f64, rule: Rule, what: String) {
-        self.verdict.violations.push(Violation { t, rule, what });
+    fn add_violation(&mut self, at_s: f64, rule: Rule, description: String) {
+        self.verdict.violations.push(Violation { at_s, rule, description });
     }
 
-    fn apply(&mut self, line: &Line) {
-        let t = line.t;
+    fn apply(&mut self, line: &HistoryLine) {
+        let t = line.at_s;
         match &line.event {
-            Event::Began { facts, .. } => self.facts = facts.clone(),
+            Event::RunStarted { facts, .. } => self.facts = facts.clone(),
             Event::Job { spec } => {
                 self.verdict.submitted += 1;
                 let job = self.jobs.entry(spec.uid.clone()).or_default();
                 (job.spec, job.submitted_at) = (Some(spec.clone()), t);
             }
-            Event::Call { asked, uid, began_s, status, state, .. } => {
-                self.apply_call(t, *asked, uid, *began_s, *status, *state);
+            Event::UserRequest { operation, uid, began_s, status, state, .. } => {
+                self.apply_request(t, *operation, uid, *began_s, *status, *state);
             }
             Event::MachineUp { machine, machine_type, zone, spot } => {
                 let added = Machine { machine_type: machine_type.clone(), zone: zone.clone(), spot: *spot };
@@ -185,30 +189,30 @@
             }
             Event::Start { machine, job, index, .. } => self.apply_start(t, machine, job, *index),
             Event::Stop { machine, job, index, cause, .. } => self.apply_stop(t, machine, job, *index, cause),
-            Event::Store { what, keys } if what == "lost" || what == "tail" => {
+            Event::StoreFault { what, keys } if what == "lost" || what == "tail" => {
                 for key in keys {
-                    *self.verdict.lost.entry(record_kind(key)).or_default() += 1;
+                    *self.verdict.lost_writes.entry(record_kind(key)).or_default() += 1;
                 }
             }
-            Event::Over { settled } => self.apply_end(t, *settled),
+            Event::RunEnded { settled } => self.apply_end(t, *settled),
             Event::MachineGone { .. }
             | Event::Controller { .. }
             | Event::Fault { .. }
-            | Event::Store { .. }
+            | Event::StoreFault { .. }
             | Event::Sample { .. } => {}
         }
     }
 
-    fn apply_call(
+    fn apply_request(
         &mut self,
         t: f64,
-        asked: Asked,
+        operation: UserOperation,
         uid: &str,
         began: f64,
         http_status: Option<u16>,
         job_status: Option<Status>,
     ) {
-        if asked == Asked::Poll {
+        if operation == UserOperation::Poll {
             self.apply_poll(t, uid, matches!(http_status, Some(200 | 404)));
         }
         let known = self.jobs.get(uid).is_some_and(|job| job.spec.is_some());
@@ -221,21 +225,21 @@
         let job = self.jobs.entry(uid.to_string()).or_default();
         let accepted_before = job.accepted_at.is_some_and(|at| at <= began);
         let reported_end = job.reported_end.filter(|(_, at)| *at <= began);
-        if asked == Asked::Cancel {
+        if operation == UserOperation::Cancel {
             job.cancel_requested = true;
         }
-        match (asked, http_status) {
-            (Asked::Submit, Some(200 | 201)) if job.accepted_at.is_none() => {
+        match (operation, http_status) {
+            (UserOperation::Submit, Some(200 | 201)) if job.accepted_at.is_none() => {
                 job.accepted_at = Some(t);
                 self.verdict.accepted += 1;
                 let is_service = job.spec.as_ref().is_some_and(|spec| spec.kind == JobKind::Service);
-                self.verdict.finite += u64::from(!is_service);
+                self.verdict.accepted_finite += u64::from(!is_service);
             }
-            (Asked::Submit, Some(code @ (400 | 422))) if accepted_before => {
-                let what = format!("{uid}: accepted, but a repeated submission got {code}");
-                self.add_violation(t, Rule::Forgotten, what);
+            (UserOperation::Submit, Some(code @ (400 | 422))) if accepted_before => {
+                let description = format!("{uid}: accepted, but a repeated submission got {code}");
+                self.add_violation(t, Rule::Forgotten, description);
             }
-            (Asked::Poll | Asked::Cancel, Some(404)) if accepted_before => {
+            (UserOperation::Poll | UserOperation::Cancel, Some(404)) if accepted_before => {
                 self.add_violation(t, Rule::Forgotten, format!("{uid}: accepted, but later answered with 404"));
             }
             _ => {}
@@ -252,8 +256,8 @@
         if let Some((end, at)) = reported_end
             && end != status
         {
-            let what = format!("{uid}: reported as {end:?} at {at:.2} s, then as {status:?}");
-            return self.add_violation(t, Rule::WentBack, what);
+            let description = format!("{uid}: reported as {end:?} at {at:.2} s, then as {status:?}");
+            return self.add_violation(t, Rule::WentBack, description);
         }
         if !matches!(status, Status::Done | Status::Cancelled) {
             return;
@@ -265,8 +269,8 @@
         let spec = job.spec.as_ref();
         let tasks = spec.map_or(0, |spec| spec.task_count as usize);
         if let Some((end, at)) = conflicting {
-            let what = format!("{uid}: reported as {end:?} at {at:.2} s, and also as {status:?}");
-            self.add_violation(t, Rule::WentBack, what);
+            let description = format!("{uid}: reported as {end:?} at {at:.2} s, and also as {status:?}");
+            self.add_violation(t, Rule::WentBack, description);
         }
         if !first {
             return;
@@ -275,15 +279,15 @@
             Status::Done => {
                 self.verdict.confirmed_done += 1;
                 if finished < tasks {
-                    let what = format!("{uid}: reported as done with {finished} of {tasks} tasks done");
-                    self.add_violation(t, Rule::NotDone, what);
+                    let description = format!("{uid}: reported as done with {finished} of {tasks} tasks done");
+                    self.add_violation(t, Rule::NotDone, description);
                 }
             }
             _ => {
                 self.verdict.confirmed_cancelled += 1;
                 if !cancel_requested {
-                    let what = format!("{uid}: reported as withdrawn, but its user did not cancel it");
-                    self.add_violation(t, Rule::WentBack, what);
+                    let description = format!("{uid}: reported as withdrawn, but its user did not cancel it");
+                    self.add_violation(t, Rule::WentBack, description);
                 }
             }
         }
@@ -326,15 +330,15 @@
             self.add_violation(t, Rule::RanTwice, format!("{uid}/{index}: starts on {machine} while it is on {other}"));
         }
         if let Some((_, at)) = overdue {
-            let what = format!("{uid}/{index}: starts on {machine}, reported as withdrawn at {at:.2} s");
-            self.add_violation(t, Rule::RanCancelled, what);
+            let description = format!("{uid}/{index}: starts on {machine}, reported as withdrawn at {at:.2} s");
+            self.add_violation(t, Rule::RanCancelled, description);
         }
         let Some(spec) = spec else {
-            let what = format!("{uid}/{index}: starts on {machine}, but nobody submitted its job");
-            return self.add_violation(t, Rule::WrongPlace, what);
+            let description = format!("{uid}/{index}: starts on {machine}, but nobody submitted its job");
+            return self.add_violation(t, Rule::WrongPlace, description);
         };
-        if let Some(what) = self.placement_error(&spec, machine, &others) {
-            self.add_violation(t, Rule::WrongPlace, format!("{uid}/{index}: {what}"));
+        if let Some(description) = self.placement_error(&spec, machine, &others) {
+            self.add_violation(t, Rule::WrongPlace, format!("{uid}/{index}: {description}"));
         }
         let used = self.used.entry(spec.team.clone()).or_default();
         *used = (used.0 + spec.cores, used.1 + spec.gpus);
@@ -342,8 +346,9 @@
         let (cpus_max, gpus_max) = self.facts.limits.get(&spec.team).copied().unwrap_or_default();
         let exceeds = |used: f64, limit: f64| limit > 0.0 && used > limit + 1e-6;
         if exceeds(cpus, cpus_max) || exceeds(gpus, gpus_max) {
-            let what = format!("{}: uses {cpus} CPUs and {gpus} GPUs, limits are {cpus_max} and {gpus_max}", spec.team);
-            self.add_violation(t, Rule::Quota, what);
+            let description =
+                format!("{}: uses {cpus} CPUs and {gpus} GPUs, limits are {cpus_max} and {gpus_max}", spec.team);
+            self.add_violation(t, Rule::Quota, description);
         }
     }
 
@@ -389,8 +394,8 @@
             *used = (used.0 - spec.cores, used.1 - spec.gpus);
         }
         if let Some((_, at)) = overdue {
-            let what = format!("{uid}/{index}: still on {machine}, reported as withdrawn at {at:.2} s");
-            self.add_violation(t, Rule::RanCancelled, what);
+            let description = format!("{uid}/{index}: still on {machine}, reported as withdrawn at {at:.2} s");
+            self.add_violation(t, Rule::RanCancelled, description);
         }
     }
 
@@ -414,17 +419,17 @@
             }
             let must_end = spec.kind != JobKind::Service || job.cancel_requested;
             if settled && must_end && job.reported_end.is_none() {
-                let what = format!(
+                let description = format!(
                     "{uid}: accepted, {} of {} tasks done, no final status reported",
                     job.done.len(),
                     spec.task_count
                 );
-                found.push((Rule::NoFinalAnswer, what));
+                found.push((Rule::NoFinalAnswer, description));
             }
         }
         found.sort_by(|a, b| a.1.cmp(&b.1));
-        for (rule, what) in found {
-            self.add_violation(t, rule, what);
+        for (rule, description) in found {
+            self.add_violation(t, rule, description);
         }
     }
 }
--- a/crates/emulator/src/front.rs
+++ b/crates/emulator/src/front.rs
@@ -4,7 +4,7 @@
 
 #![warn(missing_docs)]
 
-use crate::history::{Asked, Event, Recorder};
+use crate::history::{Event, Recorder, UserOperation};
 use crate::http::{self, Connection, Request, Response};
 use crate::lock;
 use crate::machine::driver::Driver;
@@ -48,10 +48,10 @@
             Route::Submit => decode::<JobSpec>(&request.body).ok().filter(JobSpec::well_formed).map(|spec| {
                 let uid = spec.uid.clone();
                 self.upload(spec);
-                (Asked::Submit, uid)
+                (UserOperation::Submit, uid)
             }),
-            Route::Poll(uid) => Some((Asked::Poll, uid.to_string())),
-            Route::Cancel(uid) => Some((Asked::Cancel, uid.to_string())),
+            Route::Poll(uid) => Some((UserOperation::Poll, uid.to_string())),
+            Route::Cancel(uid) => Some((UserOperation::Cancel, uid.to_string())),
             Route::Health | Route::Heartbeat | Route::WrongMethod | Route::Unknown => None,
         };
         let began_s = self.recorder.now().as_secs_f64();
@@ -67,11 +67,11 @@
                 break;
             }
         }
-        if let Some((asked, uid)) = operation.filter(|(_, uid)| self.submitted().contains(uid)) {
+        if let Some((operation, uid)) = operation.filter(|(_, uid)| self.submitted().contains(uid)) {
             let response = answer.as_ref().map(|(_, response)| response);
             let state = response.and_then(|response| decode::<JobState>(&response.body).ok());
-            self.recorder.record(Event::Call {
-                asked,
+            self.recorder.record(Event::UserRequest {
+                operation,
                 uid,
                 controller: answer.as_ref().map_or_else(String::new, |(member, _)| member.clone()),
                 began_s,
--- a/crates/emulator/src/history.rs
+++ b/crates/emulator/src/history.rs
@@ -17,7 +17,7 @@
 
 /// Facts about the cluster that the checker needs.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct Facts {
+pub struct ClusterFacts {
     /// Most CPUs and GPUs that each team may use; 0 means no limit.
     pub limits: BTreeMap<String, (f64, f64)>,
     /// Seconds that the tasks of a job may run on after its cancellation was reported.
@@ -29,7 +29,7 @@
 /// Operation that a user requested.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Asked {
+pub enum UserOperation {
     /// Submission of a job.
     Submit,
     /// Query of a job's status.
@@ -44,13 +44,14 @@
 #[serde(tag = "event", rename_all = "snake_case")]
 pub enum Event {
     /// The run began. The first start of the controllers may precede this line.
-    Began {
+    #[serde(rename = "began")]
+    RunStarted {
         /// Name of the scenario.
         scenario: String,
         /// Seed of load and faults.
         seed: u64,
         /// Facts for the checker.
-        facts: Facts,
+        facts: ClusterFacts,
     },
     /// A user is about to submit a job. Written before the first attempt.
     Job {
@@ -58,9 +59,11 @@
         spec: JobSpec,
     },
     /// An attempt of a user's request has ended.
-    Call {
-        /// Requested operation.
-        asked: Asked,
+    #[serde(rename = "call")]
+    UserRequest {
+        /// Requested operation; `asked` in the file.
+        #[serde(rename = "asked")]
+        operation: UserOperation,
         /// Id of the job.
         uid: String,
         /// Controller that was called; empty where it is not known.
@@ -135,7 +138,8 @@
         on: bool,
     },
     /// An injected fault made the state service lose or mishandle a write.
-    Store {
+    #[serde(rename = "store")]
+    StoreFault {
         /// Kind of the fault, such as `lost`; `tail` for a lost tail of the log.
         what: String,
         /// Keys that the write changes.
@@ -159,7 +163,8 @@
         controllers: BTreeMap<String, (f64, f64)>,
     },
     /// The run is over. Only events of the shutdown follow.
-    Over {
+    #[serde(rename = "over")]
+    RunEnded {
         /// Whether the run lasted long enough for every job to end.
         settled: bool,
     },
@@ -167,9 +172,10 @@
 
 /// One line of a history.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Line {
-    /// Seconds since the run began.
-    pub t: f64,
+pub struct HistoryLine {
+    /// Seconds since the run began; `t` in the file.
+    #[serde(rename = "t")]
+    pub at_s: f64,
     /// What happened.
     #[serde(flatten)]
     pub event: Event,
@@ -199,18 +205,18 @@
 }
 
 /// Callback that gets every line as it is recorded.
-pub type Watcher = Box<dyn Fn(&Line) + Send + Sync>;
+pub type LineCallback = Box<dyn Fn(&HistoryLine) + Send + Sync>;
 
 struct Output {
     writer: BufWriter<File>,
     /// Time of the last line, in seconds.
-    last_t: f64,
+    last_at_s: f64,
 }
 
 struct Shared {
     output: Mutex<Output>,
     began: Instant,
-    watcher: Option<Watcher>,
+    callback: Option<LineCallback>,
 }
 
 /// Writes a history. Clones write to the same file.
@@ -221,10 +227,10 @@
 
 impl Recorder {
     /// Creates the file of a history, whose clock starts now.
-    pub fn create(path: &Path, watcher: Option<Watcher>) -> Result<Recorder, HistoryError> {
+    pub fn create(path: &Path, callback: Option<LineCallback>) -> Result<Recorder, HistoryError> {
         let file = File::create(path).map_err(|cause| HistoryError::Io { file: path.into(), cause })?;
-        let output = Mutex::new(Output { writer: BufWriter::new(file), last_t: 0.0 });
-        Ok(Recorder { shared: Arc::new(Shared { output, began: Instant::now(), watcher }) })
+        let output = Mutex::new(Output { writer: BufWriter::new(file), last_at_s: 0.0 });
+        Ok(Recorder { shared: Arc::new(Shared { output, began: Instant::now(), callback }) })
     }
 
     /// Time since the history was created.
@@ -237,15 +243,15 @@
         at.saturating_duration_since(self.shared.began).as_secs_f64()
     }
 
-    /// Appends an event with the current time and passes it to the watcher.
+    /// Appends an event with the current time and passes it to the callback.
     pub fn record(&self, event: Event) {
         let mut output = lock(&self.shared.output);
         // The time is read under the lock, so that it never decreases from line to line.
-        let t = self.now().as_secs_f64().max(output.last_t);
-        output.last_t = t;
-        let line = Line { t, event };
-        if let Some(watcher) = &self.shared.watcher {
-            watcher(&line);
+        let at_s = self.now().as_secs_f64().max(output.last_at_s);
+        output.last_at_s = at_s;
+        let line = HistoryLine { at_s, event };
+        if let Some(callback) = &self.shared.callback {
+            callback(&line);
         }
         if serde_json::to_writer(&mut output.writer, &line).is_ok() {
             let _ = output.writer.write_all(b"\n");
@@ -259,7 +265,7 @@
 }
 
 /// Reads a whole history.
-pub fn read(path: &Path) -> Result<Vec<Line>, HistoryError> {
+pub fn read(path: &Path) -> Result<Vec<HistoryLine>, HistoryError> {
     let io_error = |cause| HistoryError::Io { file: path.into(), cause };
     let file = BufReader::new(File::open(path).map_err(io_error)?);
     let mut lines = Vec::new();
@@ -282,9 +288,9 @@
 /// Joins the history of a later run on the same state to that of earlier ones, whose
 /// times are shifted below 0. Checking them together finds rules that are broken across
 /// runs.
-pub fn join(mut earlier: Vec<Line>, later: Vec<Line>) -> Vec<Line> {
-    let shift_s = earlier.last().map_or(0.0, |line| line.t + RUN_GAP_S);
-    earlier.iter_mut().for_each(|line| line.t -= shift_s);
+pub fn join_runs(mut earlier: Vec<HistoryLine>, later: Vec<HistoryLine>) -> Vec<HistoryLine> {
+    let shift_s = earlier.last().map_or(0.0, |line| line.at_s + RUN_GAP_S);
+    earlier.iter_mut().for_each(|line| line.at_s -= shift_s);
     earlier.extend(later);
     earlier
 }
--- a/crates/emulator/src/load.rs
+++ b/crates/emulator/src/load.rs
@@ -5,7 +5,7 @@
 
 #![warn(missing_docs)]
 
-use crate::history::{Asked, Event, Recorder};
+use crate::history::{Event, Recorder, UserOperation};
 use crate::lock;
 use crate::machine::driver::Driver;
 use crate::machine::worker::Description;
@@ -122,11 +122,11 @@
 
 impl Observer for AttemptRecorder {
     fn attempt(&self, attempt: &Attempt) {
-        self.recorder.record(Event::Call {
-            asked: match attempt.operation {
-                Operation::Submit => Asked::Submit,
-                Operation::Poll => Asked::Poll,
-                Operation::Cancel => Asked::Cancel,
+        self.recorder.record(Event::UserRequest {
+            operation: match attempt.operation {
+                Operation::Submit => UserOperation::Submit,
+                Operation::Poll => UserOperation::Poll,
+                Operation::Cancel => UserOperation::Cancel,
             },
             uid: attempt.uid.clone(),
             controller: self.names.get(&attempt.address).cloned().unwrap_or_default(),
--- a/crates/emulator/src/main.rs
+++ b/crates/emulator/src/main.rs
@@ -3,7 +3,7 @@
 
 use clap::{Args as ClapArgs, Parser, Subcommand};
 use finchquay_emulator::cluster::ClusterError;
-use finchquay_emulator::history::{self, HistoryError, Line, Watcher};
+use finchquay_emulator::history::{self, HistoryError, HistoryLine, LineCallback};
 use finchquay_emulator::report::{self, Report};
 use finchquay_emulator::run::{self, Options, Outcome, RunError};
 use finchquay_emulator::scenario::Scenario;
@@ -194,30 +194,30 @@
             let scenario = Scenario::read(&scenario)?;
             let dir = unused_directory(out, &scenario.name)?;
             let model = Arc::new(Mutex::new(Model::default()));
-            let watcher = plain_watcher(model);
-            let options = run_options(scenario, &common, dir.clone(), None, Some(watcher))?;
+            let line_callback = plain_line_callback(model);
+            let options = run_options(scenario, &common, dir.clone(), None, Some(line_callback))?;
             let outcome = run::play(options, termination_signal()).await?;
             let report = save_report(&dir, &outcome)?;
             print!("{}", report::text(&report));
             println!("{}, {}", outcome.history.display(), dir.join("report.html").display());
-            Ok(exit_code(outcome.verdict.holds()))
+            Ok(exit_code(outcome.verdict.passed()))
         }
         Command::Suite { common, names, jobs, out } => play_suite(common, names, jobs.max(1), &out).await,
         Command::Check { history } => {
             let mut lines = Vec::new();
             for file in &history {
-                lines = history::join(lines, history::read(file)?);
+                lines = history::join_runs(lines, history::read(file)?);
             }
             let verdict = checker::check(&lines);
             print!("{}", report::verdict_text(&verdict));
-            Ok(exit_code(verdict.holds()))
+            Ok(exit_code(verdict.passed()))
         }
         Command::Report { history, out } => {
             let lines = history::read(&history)?;
             let report = report::report(&lines);
             write_report(&out, &report)?;
             print!("{}", report::text(&report));
-            Ok(exit_code(report.verdict.holds()))
+            Ok(exit_code(report.verdict.passed()))
         }
         Command::Compare { a, b } => {
             print!("{}", report::compare(&read_report(&a)?, &read_report(&b)?));
@@ -248,8 +248,8 @@
 }
 
 /// The exit code of a check: success if no rule was broken.
-fn exit_code(holds: bool) -> ExitCode {
-    if holds { ExitCode::SUCCESS } else { ExitCode::FAILURE }
+fn exit_code(passed: bool) -> ExitCode {
+    if passed { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
 /// Completes when a signal asks the process to end. Signals are caught from this call on,
@@ -270,7 +270,7 @@
     common: &CommonArgs,
     dir: PathBuf,
     front: Option<SocketAddr>,
-    watcher: Option<Watcher>,
+    line_callback: Option<LineCallback>,
 ) -> Result<Options, MainError> {
     let controller = match &common.controller {
         Some(program) => program.clone(),
@@ -283,7 +283,7 @@
     }
     let seed = common.seed.unwrap_or(scenario.seed);
     let public_port = front.map_or(0, |address| address.port());
-    Ok(Options { scenario, seed, dir, controller, public_port, front, watcher })
+    Ok(Options { scenario, seed, dir, controller, public_port, front, line_callback })
 }
 
 /// The directory that a run writes to: the given one, or the first unused one that is
@@ -306,16 +306,16 @@
 }
 
 /// Prints news as it arrives, and a summary at regular intervals.
-fn plain_watcher(model: Arc<Mutex<Model>>) -> Watcher {
+fn plain_line_callback(model: Arc<Mutex<Model>>) -> LineCallback {
     let last_summary_s = Mutex::new(0.0f64);
-    Box::new(move |line: &Line| {
+    Box::new(move |line: &HistoryLine| {
         let mut model = lock(&model);
         if let Some(news) = model.update(line) {
             println!("{news}");
         }
         let mut last_summary_s = lock(&last_summary_s);
-        if line.t >= *last_summary_s + SUMMARY_INTERVAL_S {
-            *last_summary_s = line.t;
+        if line.at_s >= *last_summary_s + SUMMARY_INTERVAL_S {
+            *last_summary_s = line.at_s;
             println!("{}", model.summary());
         }
     })
@@ -343,16 +343,16 @@
     };
     let model = Arc::new(Mutex::new(Model::default()));
     let use_screen = !plain && std::io::stdout().is_terminal();
-    let watcher: Watcher = if use_screen {
+    let line_callback: LineCallback = if use_screen {
         let model = model.clone();
         Box::new(move |line| {
             lock(&model).update(line);
         })
     } else {
-        plain_watcher(model.clone())
+        plain_line_callback(model.clone())
     };
     let front = SocketAddr::from(([127, 0, 0, 1], port));
-    let options = run_options(scenario, &common, dir.clone(), Some(front), Some(watcher))?;
+    let options = run_options(scenario, &common, dir.clone(), Some(front), Some(line_callback))?;
     let quit = Arc::new(Notify::new());
     let run_ended = Arc::new(AtomicBool::new(false));
     let screen_thread = use_screen.then(|| {
@@ -377,7 +377,7 @@
     if temporary.is_none() {
         println!("state kept in {0}; `up --keep {0}` continues from it", dir.display());
     }
-    Ok(exit_code(outcome.verdict.holds()))
+    Ok(exit_code(outcome.verdict.passed()))
 }
 
 /// Draws the terminal view until the run has ended; q and Ctrl-C ask the run to end.
@@ -462,12 +462,12 @@
             verdict.violations.iter().map(|violation| format!("{:?}", violation.rule)).collect();
         rules.sort();
         rules.dedup();
-        let broken = match (verdict.holds(), expect) {
+        let broken = match (verdict.passed(), expect) {
             (true, _) => "none".to_string(),
             (false, Expectation::Holds) => format!("**{}: {}**", verdict.violations.len(), rules.join(", ")),
             (false, Expectation::Recorded) => format!("{} (recorded): {}", verdict.violations.len(), rules.join(", ")),
         };
-        failed += u32::from(!verdict.holds() && *expect == Expectation::Holds);
+        failed += u32::from(!verdict.passed() && *expect == Expectation::Holds);
         println!(
             "| {name} | {} | {} | {} | {} | {} | {broken} |",
             verdict.accepted,
--- a/crates/emulator/src/report.rs
+++ b/crates/emulator/src/report.rs
@@ -13,7 +13,7 @@
 pub use text::{compare, text, verdict_text};
 
 use crate::checker::{Verdict, check};
-use crate::history::{Asked, Event, Line};
+use crate::history::{Event, HistoryLine, UserOperation};
 use cold_start::cold_starts;
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
@@ -142,13 +142,13 @@
 }
 
 /// Checks a history and computes its report.
-pub fn report(lines: &[Line]) -> Report {
+pub fn report(lines: &[HistoryLine]) -> Report {
     report_with_verdict(lines, check(lines))
 }
 
 /// Computes the report on a history whose verdict is known; the verdict may also cover
 /// earlier histories.
-pub fn report_with_verdict(lines: &[Line], verdict: Verdict) -> Report {
+pub fn report_with_verdict(lines: &[HistoryLine], verdict: Verdict) -> Report {
     let mut report = Report { verdict, ..Report::default() };
     // Time of the first attempt to submit each job, and the job's class.
     let mut submitted: HashMap<&str, (f64, &str)> = HashMap::new();
@@ -159,23 +159,26 @@
     // CPU time of each controller's ended processes, and of its current process.
     let mut cpu: BTreeMap<String, (f64, f64)> = BTreeMap::new();
     for line in lines {
-        let t = line.t;
+        let t = line.at_s;
         report.seconds = t;
         let ms = |since: f64| ((t - since) * 1000.0).max(1.0) as u64;
         match &line.event {
-            Event::Began { scenario, seed, .. } => (report.scenario, report.seed) = (scenario.clone(), *seed),
+            Event::RunStarted { scenario, seed, .. } => (report.scenario, report.seed) = (scenario.clone(), *seed),
             Event::Job { spec } => {
                 submitted.insert(&spec.uid, (t, &spec.class));
                 let class = report.classes.entry(spec.class.clone()).or_default();
                 class.jobs += 1;
                 class.tasks += u64::from(spec.task_count);
             }
-            Event::Call { asked, uid, status, state, .. } => {
+            Event::UserRequest { operation, uid, status, state, .. } => {
                 let status_name = status.map_or("none".to_string(), |s| s.to_string());
                 *report.answers.entry(status_name).or_default() += 1;
                 let Some((since, class)) = submitted.get(uid.as_str()) else { continue };
                 let latencies = latencies.entry(class).or_insert_with(ClassLatencies::new);
-                if *asked == Asked::Submit && matches!(status, Some(200 | 201)) && accepted.insert(uid.as_str()) {
+                if *operation == UserOperation::Submit
+                    && matches!(status, Some(200 | 201))
+                    && accepted.insert(uid.as_str())
+                {
                     latencies.accept.saturating_record(ms(*since));
                 }
                 if *state == Some(finchquay_protocol::user::Status::Done) && done.insert(uid.as_str()) {
@@ -224,7 +227,8 @@
                     cpu.entry(name.clone()).or_default().1 = *used;
                 }
             }
-            Event::MachineUp { .. } | Event::MachineGone { .. } | Event::Store { .. } | Event::Over { .. } => {}
+            Event::MachineUp { .. } | Event::MachineGone { .. } | Event::StoreFault { .. } | Event::RunEnded { .. } => {
+            }
         }
     }
     for (name, latencies) in latencies {
--- a/crates/emulator/src/report/cold_start.rs
+++ b/crates/emulator/src/report/cold_start.rs
@@ -3,7 +3,7 @@
 #![warn(missing_docs)]
 
 use super::Point;
-use crate::history::{Event, Line};
+use crate::history::{Event, HistoryLine};
 use serde::{Deserialize, Serialize};
 use std::collections::HashSet;
 
@@ -38,12 +38,12 @@
 const OBSERVATION_S: f64 = 30.0;
 
 /// The starts of the whole control plane after the first one.
-pub(super) fn cold_starts(lines: &[Line], curve: &[Point]) -> Vec<ColdStart> {
+pub(super) fn cold_starts(lines: &[HistoryLine], curve: &[Point]) -> Vec<ColdStart> {
     let mut running: HashSet<&str> = HashSet::new();
     let (mut ended, mut tasks_lapsed) = (None, 0);
     let mut cold_starts: Vec<ColdStart> = Vec::new();
     for line in lines {
-        let t = line.t;
+        let t = line.at_s;
         match &line.event {
             Event::Controller { controller, what } if what == "started" => {
                 if running.is_empty()
@@ -65,7 +65,7 @@
                     continue;
                 };
                 match event {
-                    Event::Call { status: Some(200 | 201), .. } if start.first_answer_s.is_none() => {
+                    Event::UserRequest { status: Some(200 | 201), .. } if start.first_answer_s.is_none() => {
                         start.first_answer_s = Some(t - start.at_s);
                     }
                     Event::MachineGone { why, .. } => start.machines_released += u64::from(why == "released"),
--- a/crates/emulator/src/report/tests.rs
+++ b/crates/emulator/src/report/tests.rs
@@ -4,9 +4,9 @@
 use finchquay_protocol::user::{JobSpec, Status};
 
 /// The history of one job with two tasks.
-fn lines() -> Vec<Line> {
-    let call = |asked, status, state| Event::Call {
-        asked,
+fn lines() -> Vec<HistoryLine> {
+    let call = |operation, status, state| Event::UserRequest {
+        operation,
         uid: "run-1".into(),
         controller: "c".into(),
         began_s: 0.0,
@@ -32,8 +32,8 @@
         (0.0, controller("started")),
         (0.5, up),
         (1.0, Event::Job { spec: JobSpec::example("run-1") }),
-        (1.5, call(Asked::Submit, None, None)),
-        (3.0, call(Asked::Submit, Some(201), Some(Status::Queued))),
+        (1.5, call(UserOperation::Submit, None, None)),
+        (3.0, call(UserOperation::Submit, Some(201), Some(Status::Queued))),
         (4.0, start(0)),
         (5.0, sample(10, 1.0)),
         (5.5, controller("killed")),
@@ -41,10 +41,10 @@
         (7.0, sample(50, 0.5)),
         (8.0, stop(0)),
         (8.0, stop(1)),
-        (9.0, call(Asked::Poll, Some(200), Some(Status::Done))),
-        (10.0, Event::Over { settled: true }),
+        (9.0, call(UserOperation::Poll, Some(200), Some(Status::Done))),
+        (10.0, Event::RunEnded { settled: true }),
     ]
-    .map(|(t, event)| Line { t, event })
+    .map(|(t, event)| HistoryLine { at_s: t, event })
     .into()
 }
 
@@ -58,7 +58,7 @@
     assert!((report.curve[1].changes_per_s - 20.0).abs() < 0.01);
     let usage = &report.controllers["c"];
     assert!((usage.cpu - 0.15).abs() < 1e-9 && usage.starts == 1, "{usage:?}");
-    assert!(report.verdict.holds());
+    assert!(report.verdict.passed());
     let html = page(&report);
     assert!(html.contains("<svg") && html.contains("tasks running"));
     let back: Report = serde_json::from_str(&serde_json::to_string(&report).unwrap()).unwrap();
--- a/crates/emulator/src/report/text.rs
+++ b/crates/emulator/src/report/text.rs
@@ -50,8 +50,8 @@
     }
     let peak = report.curve.iter().map(|p| p.changes_per_s).fold(0.0, f64::max);
     out += &format!("state service: {peak:.0} changes in its busiest second; answers to users {:?}\n", report.answers);
-    if !verdict.lost.is_empty() {
-        out += &format!("writes lost on purpose, by kind of record: {:?}\n", verdict.lost);
+    if !verdict.lost_writes.is_empty() {
+        out += &format!("writes lost on purpose, by kind of record: {:?}\n", verdict.lost_writes);
     }
     for start in &report.cold_starts {
         out += &format!(
@@ -79,7 +79,7 @@
 
 /// Writes a verdict as lines of text, with at most `MAX_VIOLATIONS` violations.
 pub fn verdict_text(verdict: &Verdict) -> String {
-    if verdict.holds() {
+    if verdict.passed() {
         let settled =
             if verdict.settled { "every accepted job got one final answer" } else { "the history was cut short" };
         return format!("verdict: no rule broken; {settled}\n");
@@ -88,7 +88,7 @@
     verdict.violations.iter().for_each(|violation| *by_rule.entry(format!("{:?}", violation.rule)).or_default() += 1);
     let mut out = format!("verdict: RULES BROKEN: {by_rule:?}\n");
     for violation in verdict.violations.iter().take(MAX_VIOLATIONS) {
-        out += &format!("  {:.2} s {:?}: {}\n", violation.t, violation.rule, violation.what);
+        out += &format!("  {:.2} s {:?}: {}\n", violation.at_s, violation.rule, violation.description);
     }
     out
 }
--- a/crates/emulator/src/run.rs
+++ b/crates/emulator/src/run.rs
@@ -8,7 +8,7 @@
 use crate::cloud::service;
 use crate::cluster::{Cluster, ClusterError, bind, free_address};
 use crate::front::FrontEnd;
-use crate::history::{self, Event, Facts, HistoryError, Line, Recorder, Watcher};
+use crate::history::{self, ClusterFacts, Event, HistoryError, HistoryLine, LineCallback, Recorder};
 use crate::http;
 use crate::load;
 use crate::lock;
@@ -87,7 +87,7 @@
     /// Address of the entry point for users besides the load, if there is to be one.
     pub front: Option<SocketAddr>,
     /// Called with every line of the history.
-    pub watcher: Option<Watcher>,
+    pub line_callback: Option<LineCallback>,
 }
 
 /// The result of a run.
@@ -95,7 +95,7 @@
     /// Path of the history.
     pub history: PathBuf,
     /// Lines of the history.
-    pub lines: Vec<Line>,
+    pub lines: Vec<HistoryLine>,
     /// Verdict on this run and the earlier ones in the same directory.
     pub verdict: Verdict,
 }
@@ -135,7 +135,7 @@
     let mut previous = PreviousRuns::read(dir)?;
     let previous_lines = std::mem::take(&mut previous.lines);
     let history = dir.join(format!("history-{}.jsonl", previous.run_number));
-    let recorder = Recorder::create(&history, options.watcher)?;
+    let recorder = Recorder::create(&history, options.line_callback)?;
     let scenario = options.scenario;
     let front = match options.front {
         Some(address) => Some(bind(address).await?),
@@ -144,7 +144,7 @@
     let (cluster, sockets) =
         Cluster::start(&scenario, &options.controller, dir, options.public_port, &recorder).await?;
     let endpoints: Vec<(String, SocketAddr)> = cluster.addresses.iter().map(|p| (p.name.clone(), p.public)).collect();
-    recorder.record(Event::Began {
+    recorder.record(Event::RunStarted {
         scenario: scenario.name.clone(),
         seed: options.seed,
         facts: site_facts(&scenario, &endpoints),
@@ -203,7 +203,7 @@
         () = stop => false,
     };
     users.shutdown().await;
-    recorder.record(Event::Over { settled });
+    recorder.record(Event::RunEnded { settled });
     background.shutdown().await;
     let machines: Vec<String> = lock(&emulation.cloud).alive().map(|(name, _)| name.clone()).collect();
     machines.iter().for_each(|name| emulation.driver.vanish(name, "the run is over"));
@@ -217,13 +217,13 @@
     }
     recorder.flush().map_err(|cause| RunError::File { file: history.clone(), cause })?;
     let lines = history::read(&history)?;
-    let verdict = checker::check(&history::join(previous_lines, lines.clone()));
+    let verdict = checker::check(&history::join_runs(previous_lines, lines.clone()));
     Ok(Outcome { history, lines, verdict })
 }
 
 /// What the checker must know about the site.
-fn site_facts(scenario: &Scenario, endpoints: &[(String, SocketAddr)]) -> Facts {
-    Facts {
+fn site_facts(scenario: &Scenario, endpoints: &[(String, SocketAddr)]) -> ClusterFacts {
+    ClusterFacts {
         limits: scenario.team.iter().map(|(name, team)| (name.clone(), (team.cpus_max, team.gpus_max))).collect(),
         cancel_s: scenario.workers.cancel_s,
         controllers: endpoints.iter().map(|(name, address)| (name.clone(), address.to_string())).collect(),
@@ -242,8 +242,8 @@
     let recorder = recorder.clone();
     let fault_listener: FaultListener = Arc::new(move |event| {
         recorder.record(match event {
-            FaultEvent::WriteHit { fault, keys } => Event::Store { what: fault.into(), keys },
-            FaultEvent::TailLost { keys, .. } => Event::Store { what: "tail".into(), keys },
+            FaultEvent::WriteHit { fault, keys } => Event::StoreFault { what: fault.into(), keys },
+            FaultEvent::TailLost { keys, .. } => Event::StoreFault { what: "tail".into(), keys },
         });
     });
     StateService {
@@ -311,7 +311,7 @@
     /// them, as is the case for services.
     open_jobs: Vec<(String, bool)>,
     /// Their histories, at times before 0: a rule may be broken across runs.
-    lines: Vec<Line>,
+    lines: Vec<HistoryLine>,
 }
 
 impl PreviousRuns {
@@ -335,7 +335,7 @@
             }
             previous.run_number += 1;
             let lines = history::read(&file)?;
-            previous.lines = history::join(std::mem::take(&mut previous.lines), lines.clone());
+            previous.lines = history::join_runs(std::mem::take(&mut previous.lines), lines.clone());
             for line in lines {
                 match line.event {
                     Event::Job { spec } => {
@@ -345,7 +345,7 @@
                         let run_s = vec![run; spec.task_count as usize];
                         previous.descriptions.push(Description { spec, run_s, broken: false });
                     }
-                    Event::Call { uid, status: Some(200 | 201), state, .. } => {
+                    Event::UserRequest { uid, status: Some(200 | 201), state, .. } => {
                         if let Some((accepted, _)) = jobs.get_mut(&uid) {
                             *accepted = true;
                         }
--- a/crates/emulator/src/view.rs
+++ b/crates/emulator/src/view.rs
@@ -3,12 +3,12 @@
 
 #![warn(missing_docs)]
 
-use crate::history::{Asked, Event, Line};
+use crate::history::{Event, HistoryLine, UserOperation};
 use finchquay_protocol::user::Status;
 use ratatui::Frame;
 use ratatui::layout::{Constraint, Layout};
 use ratatui::style::{Color, Style, Stylize};
-use ratatui::text::Line as TextLine;
+use ratatui::text::Line;
 use ratatui::widgets::{Block, Paragraph, Row, Sparkline, Table};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
@@ -64,11 +64,11 @@
 impl Model {
     /// Updates the state with one line of the history. Returns a line of text if the event
     /// is to be reported as news.
-    pub fn update(&mut self, line: &Line) -> Option<String> {
+    pub fn update(&mut self, line: &HistoryLine) -> Option<String> {
         let before_s = self.now_s;
-        self.now_s = line.t;
+        self.now_s = line.at_s;
         let news = match &line.event {
-            Event::Began { scenario, facts, .. } => {
+            Event::RunStarted { scenario, facts, .. } => {
                 self.scenario = scenario.clone();
                 for (name, address) in &facts.controllers {
                     self.controllers.entry(name.clone()).or_default().0 = address.clone();
@@ -87,7 +87,7 @@
                 }
                 Some(format!("fault {name} {}", if *on { "begins" } else { "ends" }))
             }
-            Event::Store { what, keys } => {
+            Event::StoreFault { what, keys } => {
                 let (first, more) = (keys.first().cloned().unwrap_or_default(), keys.len().saturating_sub(1));
                 Some(format!("state service: write {what}: {first} and {more} more keys"))
             }
@@ -95,8 +95,8 @@
                 self.jobs.insert(spec.uid.clone(), (spec.class.clone(), Stage::Submitted));
                 None
             }
-            Event::Call { asked, uid, status, state, .. } => {
-                self.record_call(*asked, uid, *status, *state);
+            Event::UserRequest { operation, uid, status, state, .. } => {
+                self.record_request(*operation, uid, *status, *state);
                 None
             }
             Event::Start { .. } => {
@@ -113,7 +113,7 @@
                 self.machines = (*machines_up, *machines_booting);
                 self.tasks_running = *tasks_running;
                 self.spent = *spent;
-                let passed_s = (line.t - before_s).max(0.5);
+                let passed_s = (line.at_s - before_s).max(0.5);
                 self.changes =
                     (*store_changes, store_changes.saturating_sub(self.changes.0) as f64 / passed_s.max(1.0));
                 for (name, (mb, cpu)) in controllers {
@@ -130,9 +130,9 @@
                 Some(format!("{machine} {why}"))
             }
             Event::MachineUp { .. } | Event::MachineGone { .. } => None,
-            Event::Over { settled } => Some(if *settled { "over".into() } else { "stopped".into() }),
+            Event::RunEnded { settled } => Some(if *settled { "over".into() } else { "stopped".into() }),
         };
-        let news = news.map(|text| format!("{:7.1} s  {text}", line.t));
+        let news = news.map(|text| format!("{:7.1} s  {text}", line.at_s));
         if let Some(text) = &news {
             self.news.push_front(text.clone());
             self.news.truncate(MAX_NEWS);
@@ -141,13 +141,13 @@
     }
 
     /// Advances the stage of a job after a request of its user.
-    fn record_call(&mut self, asked: Asked, uid: &str, status: Option<u16>, state: Option<Status>) {
+    fn record_request(&mut self, operation: UserOperation, uid: &str, status: Option<u16>, state: Option<Status>) {
         let Some((_, stage)) = self.jobs.get_mut(uid) else { return };
-        let new_stage = match (state, asked, status) {
+        let new_stage = match (state, operation, status) {
             (Some(Status::Done), ..) => Stage::Done,
             (Some(Status::Cancelled), ..) => Stage::Cancelled,
             (Some(Status::Running), ..) => Stage::Running,
-            (_, Asked::Submit, Some(200 | 201)) | (Some(Status::Queued), ..) => Stage::Accepted,
+            (_, UserOperation::Submit, Some(200 | 201)) | (Some(Status::Queued), ..) => Stage::Accepted,
             _ => return,
         };
         // A job may wait again after it ran, but an end is final.
@@ -187,7 +187,7 @@
         ])
         .areas(frame.area());
         let title = format!("finchquay emulator: {}  {:.0} s  (Ctrl-C or q to quit)", self.scenario, self.now_s);
-        frame.render_widget(TextLine::from(title).bold(), head);
+        frame.render_widget(Line::from(title).bold(), head);
         let [left, right] = Layout::horizontal([Constraint::Percentage(60), Constraint::Percentage(40)]).areas(middle);
         let rows = self.controllers.iter().map(|(name, (address, state, mb, cpu))| {
             let style = if state == "started" { Style::new() } else { Style::new().fg(Color::Red) };
@@ -200,13 +200,13 @@
             .render_widget(Table::new(rows, widths).header(header).block(Block::bordered().title("controllers")), left);
         let faults: Vec<&str> = self.faults.iter().map(String::as_str).collect();
         let environment = vec![
-            TextLine::from(format!("machines {} up, {} booting", self.machines.0, self.machines.1)),
-            TextLine::from(format!(
+            Line::from(format!("machines {} up, {} booting", self.machines.0, self.machines.1)),
+            Line::from(format!(
                 "tasks {} running, {} done, {} starts",
                 self.tasks_running, self.tasks_done, self.task_starts
             )),
-            TextLine::from(format!("state {:.0} changes/s   spent {:.3}", self.changes.1, self.spent)),
-            TextLine::from(format!("faults {}", if faults.is_empty() { "none".into() } else { faults.join(", ") }))
+            Line::from(format!("state {:.0} changes/s   spent {:.3}", self.changes.1, self.spent)),
+            Line::from(format!("faults {}", if faults.is_empty() { "none".into() } else { faults.join(", ") }))
                 .style(if faults.is_empty() { Style::new() } else { Style::new().fg(Color::Red) }),
         ];
         frame.render_widget(Paragraph::new(environment).block(Block::bordered().title("environment")), right);
@@ -220,7 +220,7 @@
         let data: Vec<u64> = self.curve.iter().copied().collect();
         let sparkline = Sparkline::default().data(&data).block(Block::bordered().title("tasks running"));
         frame.render_widget(sparkline, curve);
-        let lines: Vec<TextLine> = self.news.iter().map(|text| TextLine::from(text.as_str())).collect();
+        let lines: Vec<Line> = self.news.iter().map(|text| Line::from(text.as_str())).collect();
         frame.render_widget(Paragraph::new(lines).block(Block::bordered().title("news")), news);
     }
 }
@@ -235,8 +235,8 @@
     #[test]
     fn screen_shows_the_events_of_the_history() {
         let mut model = Model::default();
-        let call = |state| Event::Call {
-            asked: Asked::Poll,
+        let call = |state| Event::UserRequest {
+            operation: UserOperation::Poll,
             uid: "run-1".into(),
             controller: "perch-0".into(),
             began_s: 0.0,
@@ -251,7 +251,8 @@
             call(Status::Done),
             call(Status::Running),
         ];
-        let news: Vec<String> = events.into_iter().filter_map(|event| model.update(&Line { t: 12.0, event })).collect();
+        let news: Vec<String> =
+            events.into_iter().filter_map(|event| model.update(&HistoryLine { at_s: 12.0, event })).collect();
         assert_eq!(news.len(), 2);
         assert!(model.summary().contains("1 done") && model.summary().contains("0 running"));
         let mut terminal = Terminal::new(TestBackend::new(100, 30)).unwrap();
--- a/tests/emulator.rs
+++ b/tests/emulator.rs
@@ -92,13 +92,13 @@
         controller: Path::new(env!("CARGO_BIN_EXE_finchquay")).into(),
         public_port: 0,
         front: Some(front),
-        watcher: None,
+        line_callback: None,
     };
     let user = tokio::spawn(user_beside_the_load(front));
     let outcome = play(options, std::future::pending()).await.unwrap();
     assert_eq!(user.await.unwrap(), Status::Done, "a job submitted through the entry point, beside the load");
     let verdict = &outcome.verdict;
-    assert!(verdict.holds() && verdict.settled, "{:#?}", verdict.violations);
+    assert!(verdict.passed() && verdict.settled, "{:#?}", verdict.violations);
     assert!(
         verdict.accepted >= 10 && verdict.accepted == verdict.confirmed_done + verdict.confirmed_cancelled,
         "{verdict:?}"
