--- a/crates/emulator/src/bucket.rs
+++ b/crates/emulator/src/bucket.rs
@@ -1,7 +1,5 @@
 //! Token bucket that limits the request and write rates of the emulated services.
 
-#![warn(missing_docs)]
-
 use std::time::Duration;
 
 /// Token bucket: refills at a constant rate up to its capacity.
--- a/crates/emulator/src/checker.rs
+++ b/crates/emulator/src/checker.rs
@@ -1,8 +1,6 @@
 //! Checks a history against the published rules, and that every accepted job got exactly
 //! one final answer. The history is its only input. All times are seconds of the history.
 
-#![warn(missing_docs)]
-
 use crate::history::{ClusterFacts, Event, HistoryLine, UserOperation};
 use finchquay_protocol::user::{JobKind, JobSpec, Status};
 use serde::{Deserialize, Serialize};
--- a/crates/emulator/src/cloud/mod.rs
+++ b/crates/emulator/src/cloud/mod.rs
@@ -2,7 +2,5 @@
 //! spot machines. [`provider`] holds the state and the decisions, [`service`] answers the
 //! HTTP requests.
 
-#![warn(missing_docs)]
-
 pub mod provider;
 pub mod service;
--- a/crates/emulator/src/cluster.rs
+++ b/crates/emulator/src/cluster.rs
@@ -2,8 +2,6 @@
 //! supervised, killed and frozen. Connections between them pass through relays that can
 //! refuse them.
 
-#![warn(missing_docs)]
-
 use crate::history::{Event, Recorder};
 use crate::scenario::Scenario;
 use rustix::process::{Pid, Signal, kill_process};
--- a/crates/emulator/src/front.rs
+++ b/crates/emulator/src/front.rs
@@ -2,13 +2,11 @@
 //! their requests to a controller, uploads the descriptions of their jobs for the simulated
 //! machines, and records the requests in the history.
 
-#![warn(missing_docs)]
-
 use crate::history::{Event, Recorder, UserOperation};
 use crate::http::{self, Connection, Request, Response};
 use crate::lock;
 use crate::machine::driver::Driver;
-use crate::machine::worker::Description;
+use crate::machine::worker::JobDescription;
 use finchquay_protocol::user::{JobKind, JobSpec, JobState, Route, route};
 use finchquay_protocol::{BODY_LIMIT, decode};
 use std::collections::HashSet;
@@ -97,6 +95,6 @@
         let task_run_s =
             if spec.kind == JobKind::Service { f32::INFINITY } else { spec.estimated_run_s.max(0.05) as f32 };
         let run_s = vec![task_run_s; spec.task_count as usize];
-        self.driver.fleet().upload(Description { spec, run_s, broken: false });
+        self.driver.fleet().upload(JobDescription { spec, run_s, always_fails: false });
     }
 }
--- a/crates/emulator/src/history.rs
+++ b/crates/emulator/src/history.rs
@@ -2,8 +2,6 @@
 //! in the order they happened, one JSON line each. It is the only input of the checker
 //! and of the reports.
 
-#![warn(missing_docs)]
-
 use crate::lock;
 use finchquay_protocol::user::{JobSpec, Status};
 use serde::{Deserialize, Serialize};
--- a/crates/emulator/src/http.rs
+++ b/crates/emulator/src/http.rs
@@ -1,8 +1,6 @@
 //! HTTP/1.1 server and client of the emulated services: CBOR bodies of bounded size on
 //! keep-alive connections. A request that cannot be read gets 400 or a closed connection.
 
-#![warn(missing_docs)]
-
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::{Bytes, Incoming};
 use hyper::client::conn::http1::SendRequest;
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -2,6 +2,7 @@
 //! (state service, cloud, machines), starts real controllers as child processes, submits
 //! load, injects faults, and checks the recorded history.
 
+#![warn(missing_docs)]
 #![cfg_attr(not(test), warn(clippy::unwrap_used))]
 
 pub mod bucket;
--- a/crates/emulator/src/load.rs
+++ b/crates/emulator/src/load.rs
@@ -3,13 +3,11 @@
 //! some users submit a finished job again, and one more client asks for the status of
 //! finished jobs and of jobs that nobody submitted.
 
-#![warn(missing_docs)]
-
 use crate::history::{Event, Recorder, UserOperation};
 use crate::lock;
 use crate::machine::driver::Driver;
-use crate::machine::worker::Description;
-use crate::scenario::{Kind, Load, Scenario};
+use crate::machine::worker::JobDescription;
+use crate::scenario::{JobClass, LoadKind, Scenario};
 use finchquay_client::{Attempt, Client, ClientError, Observer, Operation, Times};
 use finchquay_protocol::user::{JobKind, JobSpec};
 use rand::rngs::StdRng;
@@ -27,7 +25,7 @@
 const RESUBMITTED_SHARE: f64 = 0.1;
 
 /// Ids of the jobs whose final status was reported to their users.
-pub type Over = Arc<Mutex<Vec<String>>>;
+pub type FinishedJobs = Arc<Mutex<Vec<String>>>;
 
 /// A job to be submitted, and what its user will do with it.
 #[derive(Debug, Clone)]
@@ -35,7 +33,7 @@
     /// When it is submitted, in seconds after the start of the load.
     pub at_s: f64,
     /// Specification and true behaviour of the job.
-    pub description: Description,
+    pub description: JobDescription,
     /// Time between the acceptance of the job and its cancellation; `None` if its user does
     /// not cancel it.
     pub cancel_after_s: Option<f64>,
@@ -68,26 +66,27 @@
     planned
 }
 
-fn plan_job(uid: String, class: &str, load: &Load, at_s: f64, rng: &mut StdRng) -> PlannedJob {
+fn plan_job(uid: String, class: &str, load: &JobClass, at_s: f64, rng: &mut StdRng) -> PlannedJob {
     let tasks = (load.tasks.draw(rng).round() as u32).clamp(1, finchquay_protocol::user::TASKS_LIMIT);
-    let is_service = load.kind == Kind::Service;
+    let is_service = load.kind == LoadKind::Service;
     let run_s: Vec<f32> = match load.kind {
-        Kind::Service => vec![f32::INFINITY; tasks as usize],
+        LoadKind::Service => vec![f32::INFINITY; tasks as usize],
         _ => (0..tasks).map(|_| load.run_s.draw(rng).max(0.05) as f32).collect(),
     };
     let mean_s = run_s.iter().map(|s| f64::from(*s)).sum::<f64>() / f64::from(tasks);
     // Estimates by users are often wrong by about half.
     let estimated_run_s = if is_service { 0.0 } else { mean_s * rng.random_range(0.6..1.6) };
     let lifetime_s = is_service.then(|| load.run_s.draw(rng));
-    let early_cancel_s = rng.random_bool(load.cancelled).then(|| rng.random_range(0.0..estimated_run_s.max(4.0) * 2.0));
+    let early_cancel_s =
+        rng.random_bool(load.cancelled_share).then(|| rng.random_range(0.0..estimated_run_s.max(4.0) * 2.0));
     let spec = JobSpec {
         uid,
         class: class.into(),
         team: load.team.clone(),
         kind: match load.kind {
-            Kind::Array => JobKind::Array,
-            Kind::Gang => JobKind::Gang,
-            Kind::Service => JobKind::Service,
+            LoadKind::Array => JobKind::Array,
+            LoadKind::Gang => JobKind::Gang,
+            LoadKind::Service => JobKind::Service,
         },
         priority: load.priority,
         task_count: tasks,
@@ -98,17 +97,17 @@
         image_gb: load.image_gb,
         machine_types: None,
         zone: None,
-        zone_affinity: load.one_zone,
-        zone_anti_affinity: load.spread,
+        zone_affinity: load.zone_affinity,
+        zone_anti_affinity: load.zone_anti_affinity,
         spot_allowed: load.spot,
         estimated_run_s,
-        checkpoint_interval_s: load.checkpoint_s,
-        checkpoint_duration_s: load.save_s,
+        checkpoint_interval_s: load.checkpoint_interval_s,
+        checkpoint_duration_s: load.checkpoint_duration_s,
         deadline_s: load.deadline_factor.map(|factor| factor * estimated_run_s + 10.0),
     };
     PlannedJob {
         at_s,
-        description: Description { spec, run_s, broken: false },
+        description: JobDescription { spec, run_s, always_fails: false },
         cancel_after_s: early_cancel_s.or(lifetime_s),
     }
 }
@@ -148,26 +147,26 @@
 }
 
 /// Spawns a task for the user of each job. The set is empty once every user has followed
-/// its job to the end. Ids of finished jobs are added to `over`.
-pub fn play(
+/// its job to the end. Ids of finished jobs are added to `finished`.
+pub fn spawn_users(
     jobs: Vec<PlannedJob>,
     client: &Client,
     driver: &Driver,
     recorder: &Recorder,
     seed: u64,
-    over: &Over,
+    finished: &FinishedJobs,
 ) -> JoinSet<()> {
     let mut users = JoinSet::new();
     let began = recorder.now();
     for (i, job) in jobs.into_iter().enumerate() {
-        let (client, driver, recorder, over) = (client.clone(), driver.clone(), recorder.clone(), over.clone());
+        let (client, driver, recorder, finished) = (client.clone(), driver.clone(), recorder.clone(), finished.clone());
         let rng = StdRng::seed_from_u64(seed.wrapping_add(i as u64));
         users.spawn(async move {
             let submit_at = began + Duration::from_secs_f64(job.at_s);
             tokio::time::sleep(submit_at.saturating_sub(recorder.now())).await;
             recorder.record(Event::Job { spec: job.description.spec.clone() });
             driver.fleet().upload(job.description.clone());
-            follow_job(&client, &job, rng, &over).await;
+            follow_job(&client, &job, rng, &finished).await;
         });
     }
     users
@@ -175,7 +174,7 @@
 
 /// Queries the status of jobs until the future is dropped: finished jobs, whose final status must not
 /// change, and every sixteenth time an id that nobody uses, which must get 404.
-pub async fn curious(client: Client, over: Over) {
+pub async fn query_jobs(client: Client, finished: FinishedJobs) {
     let mut count = 0;
     loop {
         tokio::time::sleep(POLL_INTERVAL / 8).await;
@@ -185,8 +184,8 @@
             continue;
         }
         let uid = {
-            let over = lock(&over);
-            (!over.is_empty()).then(|| over[rand::random_range(0..over.len())].clone())
+            let finished = lock(&finished);
+            (!finished.is_empty()).then(|| finished[rand::random_range(0..finished.len())].clone())
         };
         if let Some(uid) = uid {
             let _ = client.status(&uid).await;
@@ -195,7 +194,7 @@
 }
 
 /// Follows a job of an earlier run on the same state to its end, or cancels it.
-pub async fn resume(client: Client, uid: String, cancel: bool) {
+pub async fn follow_earlier_job(client: Client, uid: String, cancel: bool) {
     if cancel {
         let _ = client.cancel(&uid).await;
     } else {
@@ -204,7 +203,7 @@
 }
 
 /// Acts as the user of one job, from its submission until after its end.
-async fn follow_job(client: &Client, job: &PlannedJob, mut rng: impl Rng, over: &Over) {
+async fn follow_job(client: &Client, job: &PlannedJob, mut rng: impl Rng, finished: &FinishedJobs) {
     let spec = &job.description.spec;
     if client.submit(spec).await.is_err() {
         return;
@@ -225,7 +224,7 @@
     if end.is_err() {
         return;
     }
-    lock(over).push(spec.uid.clone());
+    lock(finished).push(spec.uid.clone());
     tokio::time::sleep(Duration::from_secs_f64(rng.random_range(0.5..4.0))).await;
     if rng.random_bool(RESUBMITTED_SHARE) {
         let _ = client.submit(spec).await;
--- a/crates/emulator/src/machine/driver.rs
+++ b/crates/emulator/src/machine/driver.rs
@@ -3,7 +3,7 @@
 //! own. Network partitions between machines and controllers are simulated here.
 
 use super::fleet::Fleet;
-use super::worker::{TaskEvent, Traits};
+use super::worker::{MachineTraits, TaskEvent};
 use crate::history::{Event, Recorder};
 use crate::http::{self, Connection, Request, Response};
 use crate::lock;
@@ -26,9 +26,9 @@
 
 /// A controller to which workers report.
 #[derive(Debug, Clone)]
-pub struct Node {
+pub struct ReportTarget {
     /// Name of the controller.
-    pub member: String,
+    pub name: String,
     /// Zone of the controller.
     pub zone: String,
     /// Address for users and workers.
@@ -51,10 +51,10 @@
 
 impl Partitions {
     /// Whether a machine in `zone` reaches a controller.
-    fn reachable(&self, machine: &str, zone: &str, controller: &Node) -> bool {
+    fn reachable(&self, machine: &str, zone: &str, controller: &ReportTarget) -> bool {
         let zone_cut = zone != controller.zone && (self.zones.contains(zone) || self.zones.contains(&controller.zone));
-        let link_cut = self.links.iter().any(|(cut_zone, member)| cut_zone == zone && *member == controller.member);
-        !(self.machines.contains(machine) || self.controllers.contains(&controller.member) || zone_cut || link_cut)
+        let link_cut = self.links.iter().any(|(cut_zone, name)| cut_zone == zone && *name == controller.name);
+        !(self.machines.contains(machine) || self.controllers.contains(&controller.name) || zone_cut || link_cut)
     }
 
     /// Whether commands to a machine are held back. Their sender is not known, so only a cut of
@@ -74,7 +74,7 @@
 struct Shared {
     fleet: Mutex<Fleet>,
     machines: Mutex<HashMap<String, ConnectedMachine>>,
-    controllers: Vec<Node>,
+    controllers: Vec<ReportTarget>,
     partitions: watch::Sender<Partitions>,
     heartbeat_interval: Duration,
     recorder: Recorder,
@@ -88,7 +88,12 @@
 
 impl Driver {
     /// Creates a driver whose machines report to one of `controllers` at the given interval.
-    pub fn new(fleet: Fleet, controllers: Vec<Node>, heartbeat_interval: Duration, recorder: Recorder) -> Driver {
+    pub fn new(
+        fleet: Fleet,
+        controllers: Vec<ReportTarget>,
+        heartbeat_interval: Duration,
+        recorder: Recorder,
+    ) -> Driver {
         Driver {
             shared: Arc::new(Shared {
                 fleet: Mutex::new(fleet),
@@ -111,7 +116,7 @@
     }
 
     /// Changes which network partitions are in effect.
-    pub fn cut(&self, change: impl FnOnce(&mut Partitions)) {
+    pub fn change_partitions(&self, change: impl FnOnce(&mut Partitions)) {
         self.shared.partitions.send_modify(change);
     }
 
@@ -121,7 +126,7 @@
 
     /// Adds a machine that has booted. From now on it sends heartbeats and accepts commands
     /// at `listen`.
-    pub async fn boot(&self, traits: Traits, listen: SocketAddr) -> std::io::Result<()> {
+    pub async fn boot(&self, traits: MachineTraits, listen: SocketAddr) -> std::io::Result<()> {
         let listener = TcpListener::bind(listen).await?;
         let name = traits.name.clone();
         self.shared.recorder.record(Event::MachineUp {
@@ -146,10 +151,10 @@
     }
 
     /// Removes a machine with everything on it. `why` goes into the history.
-    pub fn vanish(&self, name: &str, why: &str) {
+    pub fn remove(&self, name: &str, why: &str) {
         let Some(machine) = self.machines().remove(name) else { return };
         machine.tasks.iter().for_each(JoinHandle::abort);
-        self.fleet().vanish(name, self.now());
+        self.fleet().remove(name, self.now());
         self.publish_changes();
         self.shared.recorder.record(Event::MachineGone { machine: name.into(), why: why.into() });
     }
@@ -266,7 +271,7 @@
                 Some(response) if response.status == 421 => {
                     let owner = decode::<Redirect>(&response.body).ok().and_then(|redirect| redirect.controller);
                     let owner_index = owner
-                        .and_then(|owner| controllers.iter().position(|c| c.member == owner))
+                        .and_then(|owner| controllers.iter().position(|c| c.name == owner))
                         .filter(|index| *index != current);
                     switch = Some(match owner_index {
                         Some(index) => (index, Duration::from_secs_f64(rand::random_range(0.0..0.5))),
--- a/crates/emulator/src/machine/fleet.rs
+++ b/crates/emulator/src/machine/fleet.rs
@@ -2,7 +2,7 @@
 //! on several machines: they start together, end together, and end at most `gang_peer`
 //! after one of them is lost. Without I/O: the caller passes the time.
 
-use super::worker::{Description, JobData, TaskEvent, Traits, Worker};
+use super::worker::{JobData, JobDescription, MachineTraits, TaskEvent, Worker};
 use finchquay_protocol::worker::{Cause, Command, CommandRequest, Heartbeat, TaskId};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
@@ -74,25 +74,25 @@
     }
 
     /// Stores the description of a job for all machines.
-    pub fn upload(&mut self, description: Description) {
+    pub fn upload(&mut self, description: JobDescription) {
         self.job_data.descriptions.insert(description.spec.uid.clone(), Arc::new(description));
     }
 
     /// Records that a task completed in an earlier run, so that its result is available.
-    pub fn finished(&mut self, job: &str, index: u32) {
+    pub fn mark_finished(&mut self, job: &str, index: u32) {
         self.job_data.finished.insert(TaskId { job: job.into(), index });
     }
 
     /// Adds a machine that has just booted.
-    pub fn boot(&mut self, traits: Traits, now: Duration) {
+    pub fn boot(&mut self, traits: MachineTraits, now: Duration) {
         let name = traits.name.clone();
         self.workers.insert(name.clone(), Worker::new(traits, now));
         self.follow_up(&name, now);
     }
 
     /// Removes a machine with everything on it.
-    pub fn vanish(&mut self, name: &str, now: Duration) {
-        self.with(name, now, |worker, job_data| worker.drop_all_tasks(now, "vanished", job_data));
+    pub fn remove(&mut self, name: &str, now: Duration) {
+        self.update(name, now, |worker, job_data| worker.drop_all_tasks(now, "vanished", job_data));
         self.workers.remove(name);
         if let Some(at) = self.scheduled_at.remove(name) {
             self.schedule.remove(&(at, name.to_string()));
@@ -111,7 +111,7 @@
 
     /// Changes one machine with `change`, and applies what follows for gangs. Returns `None`
     /// if there is no such machine.
-    pub fn with<T>(
+    pub fn update<T>(
         &mut self,
         name: &str,
         now: Duration,
@@ -125,7 +125,7 @@
 
     /// Builds the next heartbeat of a machine.
     pub fn heartbeat(&mut self, name: &str, now: Duration) -> Option<Heartbeat> {
-        self.with(name, now, |worker, job_data| {
+        self.update(name, now, |worker, job_data| {
             worker.advance(now, job_data);
             worker.heartbeat(now)
         })
@@ -142,7 +142,7 @@
         fencing_token: Option<u64>,
         commands: &[Command],
     ) {
-        self.with(name, now, |worker, job_data| {
+        self.update(name, now, |worker, job_data| {
             worker.advance(now, job_data);
             worker.handle_response(now, sent, agent_epoch, fencing_token, commands, job_data)
         });
@@ -151,7 +151,9 @@
     /// Handles commands that a controller sent to a worker. Returns HTTP status and heartbeat
     /// for the response.
     pub fn handle_commands(&mut self, name: &str, now: Duration, request: &CommandRequest) -> Option<(u16, Heartbeat)> {
-        self.with(name, now, |worker, job_data| (worker.handle_commands(now, request, job_data), worker.heartbeat(now)))
+        self.update(name, now, |worker, job_data| {
+            (worker.handle_commands(now, request, job_data), worker.heartbeat(now))
+        })
     }
 
     /// Advances the clock of every machine and gang.
@@ -160,7 +162,7 @@
             self.schedule.remove(&(at, name.clone()));
             self.scheduled_at.remove(&name);
             // Every change takes place at its scheduled time, however late this is called.
-            self.with(&name, at, |worker, job_data| worker.advance(at, job_data));
+            self.update(&name, at, |worker, job_data| worker.advance(at, job_data));
         }
         self.end_gangs(now);
     }
@@ -304,7 +306,7 @@
                 let was_stopped = gang.stopped.contains(&index);
                 let cause = if was_stopped { stopped_cause } else { other_cause };
                 let task = (TaskId { job: key.0.clone(), index }, key.1);
-                self.with(&machine, now, |worker, job_data| {
+                self.update(&machine, now, |worker, job_data| {
                     worker.exit(now, &task, cause, kept.filter(|_| was_stopped), job_data)
                 });
             }
--- a/crates/emulator/src/machine/fleet/tests.rs
+++ b/crates/emulator/src/machine/fleet/tests.rs
@@ -14,7 +14,7 @@
 fn fleet(machines: u32) -> Fleet {
     let mut f = Fleet::new(s(4.0));
     for i in 0..machines {
-        let traits = Traits {
+        let traits = MachineTraits {
             name: format!("host-{i}"),
             addr: "127.0.0.1:1".into(),
             machine_type: "std".into(),
@@ -37,7 +37,7 @@
 fn upload_job(f: &mut Fleet, uid: &str, kind: JobKind, tasks: u32, run_s: f32, checkpoint_interval_s: f64) {
     let spec =
         JobSpec { kind, task_count: tasks, checkpoint_interval_s, checkpoint_duration_s: 1.0, ..JobSpec::example(uid) };
-    f.upload(Description { spec, run_s: vec![run_s; tasks as usize], broken: false });
+    f.upload(JobDescription { spec, run_s: vec![run_s; tasks as usize], always_fails: false });
 }
 
 fn run(task: &str, attempt: u64) -> Command {
@@ -111,14 +111,14 @@
         upload_job(&mut f, "run-1", JobKind::Array, 1, 5.0, 0.0);
         commands(&mut f, "host-0", 0.0, 1, &[run("run-1/0", 1)]);
         f.advance(s(3.0));
-        f.with("host-0", s(3.0), |worker, job_data| worker.hang(s(3.0), true, job_data));
+        f.update("host-0", s(3.0), |worker, job_data| worker.set_hung(s(3.0), true, job_data));
         f.advance(s(resumed_at));
         // The tasks end when the lease lapses, not when the machine resumes: from then on
         // they may start elsewhere.
         let lapsed =
             f.take_changes().0.iter().any(|(_, event)| matches!(event, TaskEvent::Stop { cause: "lapsed", .. }));
         assert_eq!(lapsed, !survives, "{resumed_at}");
-        f.with("host-0", s(resumed_at), |worker, job_data| worker.hang(s(resumed_at), false, job_data));
+        f.update("host-0", s(resumed_at), |worker, job_data| worker.set_hung(s(resumed_at), false, job_data));
         assert_eq!(state(&mut f, "host-0", resumed_at + 1.0, "run-1/0").is_some(), survives, "{resumed_at}");
         if survives {
             assert_eq!(state(&mut f, "host-0", resumed_at + 3.1, "run-1/0").unwrap().1, Some(Cause::Done));
@@ -135,8 +135,8 @@
     assert_eq!(state(&mut f, "host-0", 3.5, "run-1/0").unwrap().0, TaskState::WaitingForGang);
     assert_eq!(state(&mut f, "host-0", 4.1, "run-1/0").unwrap().0, TaskState::Running);
     ["host-0", "host-1", "host-2"].iter().for_each(|m| f.handle_response(m, s(10.0), s(10.0), 1, Some(1), &[]));
-    // The other machine vanishes at 14 s, after 10 s of progress: the checkpoint at 8 s counts.
-    f.vanish("host-1", s(14.0));
+    // The other machine is removed at 14 s, after 10 s of progress: the checkpoint at 8 s counts.
+    f.remove("host-1", s(14.0));
     assert_eq!(state(&mut f, "host-0", 17.9, "run-1/0").unwrap().0, TaskState::Running);
     assert_eq!(state(&mut f, "host-0", 18.1, "run-1/0").unwrap().1, Some(Cause::GangMemberLost));
     // 12 s of work are left. The last image is fetched at 19.2 s.
--- a/crates/emulator/src/machine/mod.rs
+++ b/crates/emulator/src/machine/mod.rs
@@ -3,8 +3,6 @@
 //! what they share (results, checkpoints, gangs); [`images`] is the image cache of one
 //! machine; [`driver`] connects the machines to the controllers.
 
-#![warn(missing_docs)]
-
 pub mod driver;
 pub mod fleet;
 pub mod images;
--- a/crates/emulator/src/machine/worker.rs
+++ b/crates/emulator/src/machine/worker.rs
@@ -16,17 +16,17 @@
 
 /// A job as its user uploaded it, and how its tasks really behave.
 #[derive(Debug, Clone)]
-pub struct Description {
+pub struct JobDescription {
     /// Specification of the job.
     pub spec: JobSpec,
     /// True run time of each task on a machine of ordinary speed, in seconds. In a gang,
     /// the first entry counts for all tasks.
     pub run_s: Vec<f32>,
     /// Whether the job was submitted with a mistake, so that its tasks fail on every machine.
-    pub broken: bool,
+    pub always_fails: bool,
 }
 
-impl Description {
+impl JobDescription {
     /// Work of a task, in seconds at ordinary speed.
     fn total_s(&self, task_index: u32) -> f64 {
         let index = if self.spec.kind == JobKind::Gang { 0 } else { task_index as usize };
@@ -38,7 +38,7 @@
 #[derive(Debug, Default)]
 pub struct JobData {
     /// Uploaded jobs by id.
-    pub descriptions: HashMap<String, Arc<Description>>,
+    pub descriptions: HashMap<String, Arc<JobDescription>>,
     /// Tasks that completed: their results are kept.
     pub finished: HashSet<TaskId>,
     /// Saved progress in seconds, of each task; that of a gang is under index 0.
@@ -98,7 +98,7 @@
 #[derive(Debug)]
 struct Task {
     id: TaskId,
-    description: Arc<Description>,
+    description: Arc<JobDescription>,
     state: TaskState,
     cause: Option<Cause>,
     /// Whether its progress was saved as it was stopped.
@@ -123,7 +123,7 @@
 
 /// Properties and behaviour of a machine.
 #[derive(Debug, Clone)]
-pub struct Traits {
+pub struct MachineTraits {
     /// Id of the machine.
     pub name: String,
     /// Address at which the worker listens.
@@ -155,7 +155,7 @@
 /// A simulated machine and its worker.
 pub struct Worker {
     /// Properties and behaviour of the machine.
-    pub traits: Traits,
+    pub traits: MachineTraits,
     agent_epoch: u64,
     heartbeat_seq: u64,
     /// Highest fencing token that was accepted.
@@ -165,9 +165,9 @@
     tasks: BTreeMap<(TaskId, u64), Task>,
     images: ImageCache,
     /// When the machine will be preempted, once notice has been given.
-    pub preempted_at: Option<Duration>,
+    pub preempt_at: Option<Duration>,
     /// Whether the machine is faulty, so that every task fails on it.
-    pub sick: bool,
+    pub faulty: bool,
     hung_since: Option<Duration>,
     /// When a raised fencing token was last reported at once.
     token_announced_at: Duration,
@@ -179,7 +179,7 @@
 
 impl Worker {
     /// Creates a machine that has just booted.
-    pub fn new(traits: Traits, now: Duration) -> Worker {
+    pub fn new(traits: MachineTraits, now: Duration) -> Worker {
         Worker {
             images: ImageCache::new(traits.gb_per_s, traits.cache_gb, now),
             traits,
@@ -188,8 +188,8 @@
             fencing_token: 0,
             lease_renewed_at: now,
             tasks: BTreeMap::new(),
-            preempted_at: None,
-            sick: false,
+            preempt_at: None,
+            faulty: false,
             hung_since: None,
             token_announced_at: now,
             events: Vec::new(),
@@ -198,7 +198,7 @@
     }
 
     /// Multiplies the speed of the machine by `factor`, for tasks that start from now on.
-    pub fn slow_down(&mut self, factor: f64) {
+    pub fn scale_speed(&mut self, factor: f64) {
         self.traits.speed *= factor;
     }
 
@@ -218,13 +218,13 @@
     }
 
     /// Number of tasks that run.
-    pub fn running(&self) -> usize {
+    pub fn running_tasks(&self) -> usize {
         self.tasks.values().filter(|t| t.state == TaskState::Running).count()
     }
 
     /// Suspends (`on`) or resumes the machine. Its lease runs on meanwhile: by the protocol
     /// a hung machine may resume within its lease; after that, no task is left to resume.
-    pub fn hang(&mut self, now: Duration, on: bool, job_data: &mut JobData) {
+    pub fn set_hung(&mut self, now: Duration, on: bool, job_data: &mut JobData) {
         match (self.hung_since, on) {
             (None, true) => {
                 self.advance(now, job_data);
@@ -284,7 +284,7 @@
 
     /// Moves a task on to its next state, if its present one is over.
     fn advance_task(&mut self, now: Duration, key: &(TaskId, u64), job_data: &mut JobData) {
-        let (faulty, speed, gang_wait) = (self.sick, self.traits.speed, self.traits.gang_wait);
+        let (faulty, speed, gang_wait) = (self.faulty, self.traits.speed, self.traits.gang_wait);
         let Some(task) = self.tasks.get_mut(key) else { return };
         match task.state {
             TaskState::Fetching => {
@@ -297,7 +297,7 @@
                 self.events.push(TaskEvent::Start { task: key.0.clone(), attempt: key.1 });
                 if job_data.finished.contains(&key.0) {
                     self.exit(now, key, Cause::Done, None, job_data);
-                } else if faulty || task.description.broken {
+                } else if faulty || task.description.always_fails {
                     task.state = TaskState::Running;
                     (task.remaining_s, task.state_ends_at) = (f64::INFINITY, Some(now + TASK_FAILURE_DELAY));
                 } else if task.is_gang() {
@@ -406,7 +406,7 @@
             agent_epoch: self.agent_epoch,
             heartbeat_seq: self.heartbeat_seq,
             fencing_token: self.fencing_token,
-            preemption_notice_s: self.preempted_at.map(|at| at.saturating_sub(now).as_secs_f64()),
+            preemption_notice_s: self.preempt_at.map(|at| at.saturating_sub(now).as_secs_f64()),
             tasks: self.tasks.iter().map(report).collect(),
         }
     }
@@ -506,7 +506,7 @@
             }
         };
         let description = description.unwrap_or_else(|| {
-            Arc::new(Description { spec: JobSpec::example(&id.job), run_s: Vec::new(), broken: true })
+            Arc::new(JobDescription { spec: JobSpec::example(&id.job), run_s: Vec::new(), always_fails: true })
         });
         if refusal.is_none() {
             self.images.fetch(&description.spec.image, description.spec.image_gb);
@@ -536,7 +536,7 @@
         let Some(task) = self.tasks.get_mut(&key).filter(|task| task.state != TaskState::Exited) else { return };
         let saves = task.description.spec.saves_in().is_some_and(|save_s| grace_period_s >= save_s);
         match task.state {
-            TaskState::Running if saves && !self.sick => {
+            TaskState::Running if saves && !self.faulty => {
                 task.remaining_s -= now.saturating_sub(task.remaining_at).as_secs_f64() * task.speed;
                 task.remaining_at = now;
                 task.state = TaskState::Saving;
--- a/crates/emulator/src/report.rs
+++ b/crates/emulator/src/report.rs
@@ -2,8 +2,6 @@
 //! and CPU time of the controllers, and the verdict. The same figures are written as JSON,
 //! text and HTML.
 
-#![warn(missing_docs)]
-
 mod cold_start;
 mod html;
 mod text;
--- a/crates/emulator/src/report/cold_start.rs
+++ b/crates/emulator/src/report/cold_start.rs
@@ -1,7 +1,5 @@
 //! Starts of the whole control plane, and what happened shortly after each of them.
 
-#![warn(missing_docs)]
-
 use super::Point;
 use crate::history::{Event, HistoryLine};
 use serde::{Deserialize, Serialize};
--- a/crates/emulator/src/report/html.rs
+++ b/crates/emulator/src/report/html.rs
@@ -1,7 +1,5 @@
 //! Writes a report as an HTML page with charts.
 
-#![warn(missing_docs)]
-
 use super::text::{seconds, text};
 use super::{Latency, Point, Report};
 use maud::{DOCTYPE, PreEscaped, html};
--- a/crates/emulator/src/report/text.rs
+++ b/crates/emulator/src/report/text.rs
@@ -1,7 +1,5 @@
 //! Writes reports, verdicts and comparisons of reports as text.
 
-#![warn(missing_docs)]
-
 use super::{Class, Latency, Report};
 use crate::checker::Verdict;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/emulator/src/run.rs
+++ b/crates/emulator/src/run.rs
@@ -1,8 +1,6 @@
 //! Plays a scenario from start to end: brings up the emulated services, the machines and
 //! the controllers, submits the load, injects the faults and checks the history.
 
-#![warn(missing_docs)]
-
 use crate::checker::{self, Verdict};
 use crate::cloud::provider::{Cloud, CloudConfig, CloudEvent, CloudFault, Offer};
 use crate::cloud::service;
@@ -12,9 +10,9 @@
 use crate::http;
 use crate::load;
 use crate::lock;
-use crate::machine::driver::{Driver, Node};
+use crate::machine::driver::{Driver, ReportTarget};
 use crate::machine::fleet::Fleet;
-use crate::machine::worker::{Description, Traits};
+use crate::machine::worker::{JobDescription, MachineTraits};
 use crate::scenario::{Fault, FaultKind, Scenario};
 use crate::state::log::LogError;
 use crate::state::machine::Limits;
@@ -154,10 +152,13 @@
     let mut rng = StdRng::seed_from_u64(options.seed);
     let mut fleet = Fleet::new(Scenario::seconds(scenario.workers.gang_peer_s));
     previous.restore(&mut fleet);
-    let nodes =
-        cluster.addresses.iter().map(|p| Node { member: p.name.clone(), zone: p.zone.clone(), address: p.public });
+    let report_targets = cluster.addresses.iter().map(|p| ReportTarget {
+        name: p.name.clone(),
+        zone: p.zone.clone(),
+        address: p.public,
+    });
     let heartbeat_interval = Scenario::seconds(scenario.workers.heartbeat_interval_s);
-    let driver = Driver::new(fleet, nodes.collect(), heartbeat_interval, recorder.clone());
+    let driver = Driver::new(fleet, report_targets.collect(), heartbeat_interval, recorder.clone());
     let worker_port = free_address(Ipv4Addr::new(127, 1, 0, 1), 0)?.port();
     let cloud = Cloud::new(cloud_config(&scenario, worker_port), rng.random(), previous.machines);
     let jobs = load::plan(&scenario, previous.run_number, &mut rng);
@@ -184,11 +185,11 @@
         background.spawn(FrontEnd::new(endpoints.clone(), driver.clone(), recorder.clone()).serve(listener));
     }
     let client = load::client(&endpoints, &recorder)?;
-    let ended_jobs = load::Over::default();
-    let mut users = load::play(jobs, &client, &driver, &recorder, user_seed, &ended_jobs);
-    background.spawn(load::curious(client.clone(), ended_jobs));
+    let finished_jobs = load::FinishedJobs::default();
+    let mut users = load::spawn_users(jobs, &client, &driver, &recorder, user_seed, &finished_jobs);
+    background.spawn(load::query_jobs(client.clone(), finished_jobs));
     for (uid, cancel) in previous.open_jobs {
-        users.spawn(load::resume(client.clone(), uid, cancel));
+        users.spawn(load::follow_earlier_job(client.clone(), uid, cancel));
     }
     let time_limit = emulation.scenario.duration_s + emulation.scenario.settle_s;
     let users_ended = async { while users.join_next().await.is_some() {} };
@@ -206,7 +207,7 @@
     recorder.record(Event::RunEnded { settled });
     background.shutdown().await;
     let machines: Vec<String> = lock(&emulation.cloud).alive().map(|(name, _)| name.clone()).collect();
-    machines.iter().for_each(|name| emulation.driver.vanish(name, "the run is over"));
+    machines.iter().for_each(|name| emulation.driver.remove(name, "the run is over"));
     let handle = lock(&emulation.state).handle.take();
     if let Some(handle) = handle {
         handle.stop().await;
@@ -304,7 +305,7 @@
     /// Upper bound on the numbers of the machines that were rented; a name is never used again.
     machines: u32,
     /// All jobs that were submitted.
-    descriptions: Vec<Description>,
+    descriptions: Vec<JobDescription>,
     /// Tasks that are done, by job and index.
     done: Vec<(String, u32)>,
     /// Accepted jobs that no user was told the end of, and whether the user is to cancel
@@ -343,7 +344,7 @@
                         let run = if service { f32::INFINITY } else { spec.estimated_run_s.max(0.05) as f32 };
                         jobs.entry(spec.uid.clone()).or_insert((false, service));
                         let run_s = vec![run; spec.task_count as usize];
-                        previous.descriptions.push(Description { spec, run_s, broken: false });
+                        previous.descriptions.push(JobDescription { spec, run_s, always_fails: false });
                     }
                     Event::UserRequest { uid, status: Some(200 | 201), state, .. } => {
                         if let Some((accepted, _)) = jobs.get_mut(&uid) {
@@ -370,7 +371,7 @@
     /// Gives the fleet the descriptions of all jobs, and the tasks that are done.
     fn restore(&self, fleet: &mut Fleet) {
         self.descriptions.iter().for_each(|d| fleet.upload(d.clone()));
-        self.done.iter().for_each(|(job, index)| fleet.finished(job, *index));
+        self.done.iter().for_each(|(job, index)| fleet.mark_finished(job, *index));
     }
 }
 
@@ -403,20 +404,20 @@
                     }
                 }
                 CloudEvent::PreemptionNotice { name, at } => {
-                    self.driver.fleet().with(&name, self.now(), |worker, _| worker.preempted_at = Some(at));
+                    self.driver.fleet().update(&name, self.now(), |worker, _| worker.preempt_at = Some(at));
                 }
-                CloudEvent::Gone { name, why } => self.driver.vanish(&name, why),
+                CloudEvent::Gone { name, why } => self.driver.remove(&name, why),
             }
         }
     }
 
     /// The properties of a rented machine, with some random variation in its speed.
-    fn machine_traits(&self, name: &str) -> Option<(Traits, SocketAddr)> {
+    fn machine_traits(&self, name: &str) -> Option<(MachineTraits, SocketAddr)> {
         let cloud = lock(&self.cloud);
         let mut rng = lock(&self.rng);
         let rental = cloud.rental(name)?;
         let machine_type = cloud.machine_type(&rental.machine_type)?;
-        let traits = Traits {
+        let traits = MachineTraits {
             name: name.into(),
             addr: rental.addr.to_string(),
             machine_type: rental.machine_type.clone(),
@@ -471,7 +472,7 @@
                 let up = cloud.alive().filter(|(_, rental)| rental.up).count();
                 (up as u32, (cloud.alive().count() - up) as u32, cloud.spent(self.now()))
             };
-            let running = self.driver.fleet().workers().map(|worker| worker.running()).sum::<usize>();
+            let running = self.driver.fleet().workers().map(|worker| worker.running_tasks()).sum::<usize>();
             self.recorder.record(Event::Sample {
                 machines_up: up,
                 machines_booting: booting,
@@ -562,10 +563,10 @@
                 self.set_machine_fault(fault, &names, true);
                 return names;
             }
-            K::ZoneCut => self.driver.cut(|c| c.zones.extend(fault.zone.clone())),
+            K::ZoneCut => self.driver.change_partitions(|c| c.zones.extend(fault.zone.clone())),
             K::ZoneLinkCut => {
                 let link = (fault.zone.clone().unwrap_or_default(), self.controller_name(fault.controller));
-                self.driver.cut(|c| c.links.extend([link]));
+                self.driver.change_partitions(|c| c.links.extend([link]));
             }
             K::ControllerKill => {
                 for n in 0..count {
@@ -580,7 +581,7 @@
             }
             K::ControllerDeaf => {
                 let member = self.controller_name(fault.controller);
-                self.driver.cut(|c| c.controllers.extend([member]));
+                self.driver.change_partitions(|c| c.controllers.extend([member]));
             }
             K::PeersRefused => {
                 self.affected_controllers(fault).into_iter().for_each(|i| self.cluster.refuse_peers(i, true))
@@ -620,17 +621,17 @@
             K::MachinesCut | K::MachinesHang | K::MachinesSick | K::MachinesSlow => {
                 self.set_machine_fault(fault, &machines, false)
             }
-            K::ZoneCut => self.driver.cut(|c| c.zones.retain(|z| Some(z) != fault.zone.as_ref())),
+            K::ZoneCut => self.driver.change_partitions(|c| c.zones.retain(|z| Some(z) != fault.zone.as_ref())),
             K::ZoneLinkCut => {
                 let link = (fault.zone.clone().unwrap_or_default(), self.controller_name(fault.controller));
-                self.driver.cut(|c| c.links.retain(|l| *l != link));
+                self.driver.change_partitions(|c| c.links.retain(|l| *l != link));
             }
             K::ControllerFreeze => {
                 self.affected_controllers(fault).into_iter().for_each(|i| self.cluster.freeze(i, false))
             }
             K::ControllerDeaf => {
                 let member = self.controller_name(fault.controller);
-                self.driver.cut(|c| c.controllers.retain(|m| *m != member));
+                self.driver.change_partitions(|c| c.controllers.retain(|m| *m != member));
             }
             K::PeersRefused => {
                 self.affected_controllers(fault).into_iter().for_each(|i| self.cluster.refuse_peers(i, false))
@@ -644,7 +645,7 @@
     fn set_machine_fault(&self, fault: &Fault, names: &[String], on: bool) {
         let now = self.now();
         if fault.kind == FaultKind::MachinesCut {
-            return self.driver.cut(|c| {
+            return self.driver.change_partitions(|c| {
                 if on {
                     c.machines.extend(names.iter().cloned());
                 } else {
@@ -654,10 +655,10 @@
         }
         let factor = fault.factor.unwrap_or(1.0);
         for name in names {
-            self.driver.fleet().with(name, now, |worker, shared| match fault.kind {
-                FaultKind::MachinesHang => worker.hang(now, on, shared),
-                FaultKind::MachinesSick => worker.sick = on,
-                _ => worker.slow_down(if on { 1.0 / factor } else { factor }),
+            self.driver.fleet().update(name, now, |worker, shared| match fault.kind {
+                FaultKind::MachinesHang => worker.set_hung(now, on, shared),
+                FaultKind::MachinesSick => worker.faulty = on,
+                _ => worker.scale_speed(if on { 1.0 / factor } else { factor }),
             });
         }
     }
--- a/crates/emulator/src/scenario.rs
+++ b/crates/emulator/src/scenario.rs
@@ -1,8 +1,6 @@
 //! Scenario files in HCL: the site, the load and the faults of a run. Every value is
 //! checked when a scenario is read; the rest of the program sees only valid ones.
 
-#![warn(missing_docs)]
-
 mod checks;
 mod distribution;
 mod fault;
@@ -57,7 +55,7 @@
     pub team: BTreeMap<String, Team>,
     /// Classes of jobs by name.
     #[serde(default)]
-    pub load: BTreeMap<String, Load>,
+    pub load: BTreeMap<String, JobClass>,
     /// Faults by name.
     #[serde(default)]
     pub fault: BTreeMap<String, Fault>,
@@ -209,7 +207,7 @@
 /// Kind of the jobs of a class.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Kind {
+pub enum LoadKind {
     /// Independent tasks.
     Array,
     /// Tasks that run only together.
@@ -221,9 +219,9 @@
 /// One class of jobs that users submit.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Load {
+pub struct JobClass {
     /// Kind of the jobs.
-    pub kind: Kind,
+    pub kind: LoadKind,
     /// Team that the jobs belong to.
     pub team: String,
     /// Priority of the jobs.
@@ -256,20 +254,24 @@
     pub spot: bool,
     /// Whether all tasks of a job must run in one zone.
     #[serde(default)]
-    pub one_zone: bool,
+    #[serde(rename = "one_zone")]
+    pub zone_affinity: bool,
     /// Whether the tasks of a job must be spread over zones.
     #[serde(default)]
-    pub spread: bool,
+    #[serde(rename = "spread")]
+    pub zone_anti_affinity: bool,
     /// Time between two checkpoints of a task; 0: none.
     #[serde(default)]
-    pub checkpoint_s: f64,
+    #[serde(rename = "checkpoint_s")]
+    pub checkpoint_interval_s: f64,
     /// Time that it takes to save a checkpoint.
     #[serde(default)]
-    pub save_s: f64,
+    #[serde(rename = "save_s")]
+    pub checkpoint_duration_s: f64,
     /// Share of jobs that their users cancel before they end.
     #[serde(default)]
     #[serde(rename = "withdrawn")]
-    pub cancelled: f64,
+    pub cancelled_share: f64,
     /// Deadline of a job: this many times its estimated run time, plus 10 s.
     #[serde(default)]
     pub deadline_factor: Option<f64>,
--- a/crates/emulator/src/scenario/checks.rs
+++ b/crates/emulator/src/scenario/checks.rs
@@ -2,7 +2,7 @@
 //! exist.
 
 use super::fault::fault_keys;
-use super::{Fault, Load, MachineType, Scenario};
+use super::{Fault, JobClass, MachineType, Scenario};
 use finchquay_hcl::{File, HclError};
 
 impl Scenario {
@@ -104,7 +104,7 @@
     }
 
     /// Checks one class of jobs.
-    fn check_load(&self, file: &File, name: &str, load: &Load) -> Result<(), HclError> {
+    fn check_load(&self, file: &File, name: &str, load: &JobClass) -> Result<(), HclError> {
         let invalid = |key: &'static str, why: String| file.refuse(&["load", name, key], why);
         if !self.team.contains_key(&load.team) {
             return Err(invalid("team", format!("no such team {:?}", load.team)));
@@ -117,8 +117,8 @@
             ("gpus", load.gpus),
             ("memory_gb", load.memory_gb),
             ("image_gb", load.image_gb),
-            ("checkpoint_s", load.checkpoint_s),
-            ("save_s", load.save_s),
+            ("checkpoint_s", load.checkpoint_interval_s),
+            ("save_s", load.checkpoint_duration_s),
             ("deadline_factor", load.deadline_factor.unwrap_or(0.0)),
             ("start_within_s", load.start_within_s.unwrap_or(1.0)),
         ];
@@ -127,7 +127,7 @@
                 return Err(invalid(key, format!("must not be negative, is {value}")));
             }
         }
-        if !(0.0..=1.0).contains(&load.cancelled) {
+        if !(0.0..=1.0).contains(&load.cancelled_share) {
             return Err(invalid("withdrawn", "must be a share between 0 and 1".into()));
         }
         if load.images == 0 {
--- a/crates/emulator/src/scenario/distribution.rs
+++ b/crates/emulator/src/scenario/distribution.rs
@@ -1,7 +1,5 @@
 //! Probability distributions from which scenarios draw numbers.
 
-#![warn(missing_docs)]
-
 use rand::{Rng, RngExt};
 use rand_distr::{Distribution as _, Exp, LogNormal};
 use serde::Deserialize;
--- a/crates/emulator/src/scenario/fault.rs
+++ b/crates/emulator/src/scenario/fault.rs
@@ -1,7 +1,5 @@
 //! Faults of a scenario: their kinds, and the keys that each kind uses.
 
-#![warn(missing_docs)]
-
 use super::{Distribution, Scenario};
 use rand::{Rng, RngExt};
 use serde::Deserialize;
--- a/crates/emulator/src/state/log.rs
+++ b/crates/emulator/src/state/log.rs
@@ -2,8 +2,6 @@
 //! committed to it in one database transaction before the change is answered, so that a
 //! kill at any moment leaves either all of a transaction or nothing.
 
-#![warn(missing_docs)]
-
 use super::machine::{Change, Entry, Limits, Store};
 use finchquay_protocol::{decode, encode};
 use redb::backends::FileBackend;
--- a/crates/emulator/src/state/machine.rs
+++ b/crates/emulator/src/state/machine.rs
@@ -5,8 +5,6 @@
 //! version of a key is the revision of its last change; a key is attached to at most
 //! one lease, and that lease has not ended.
 
-#![warn(missing_docs)]
-
 use crate::bucket::TokenBucket;
 use ciborium::Value;
 use finchquay_protocol::store::{
--- a/crates/emulator/src/state/mod.rs
+++ b/crates/emulator/src/state/mod.rs
@@ -2,8 +2,6 @@
 //! transactions, leases and watches. `machine` is the state machine, `log` keeps it on
 //! disk, `service` answers over HTTP and injects faults, and `probe` measures a service.
 
-#![warn(missing_docs)]
-
 pub mod log;
 pub mod machine;
 pub mod probe;
--- a/crates/emulator/src/state/probe.rs
+++ b/crates/emulator/src/state/probe.rs
@@ -1,8 +1,6 @@
 //! Measures a state service: small transactions over many connections at once, for a
 //! bounded time.
 
-#![warn(missing_docs)]
-
 use crate::http::Connection;
 use ciborium::Value;
 use finchquay_protocol::encode;
--- a/crates/emulator/src/state/service.rs
+++ b/crates/emulator/src/state/service.rs
@@ -2,8 +2,6 @@
 //! batches, each of which is in the log before any request of it is answered. Every
 //! controller connects to a listener of its own, so that a fault can hit one controller.
 
-#![warn(missing_docs)]
-
 use super::log::{Batch, Log, LogError};
 use super::machine::{Change, Limits, Outcome, Store};
 use crate::http::{self, Request, Response};
--- a/crates/emulator/src/suite.rs
+++ b/crates/emulator/src/suite.rs
@@ -1,7 +1,5 @@
 //! The scenarios that are compiled into the program, and what their runs must show.
 
-#![warn(missing_docs)]
-
 /// What the run of a scenario must show.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Expectation {
--- a/crates/emulator/src/view.rs
+++ b/crates/emulator/src/view.rs
@@ -1,8 +1,6 @@
 //! The display while the emulator runs: a terminal view, or plain lines where there is no
 //! terminal. It is derived from the lines of the history alone.
 
-#![warn(missing_docs)]
-
 use crate::history::{Event, HistoryLine, UserOperation};
 use finchquay_protocol::user::Status;
 use ratatui::Frame;
