--- a/crates/emulator/src/machine/driver.rs
+++ b/crates/emulator/src/machine/driver.rs
@@ -3,9 +3,9 @@
 //! own. Network partitions between machines and controllers are simulated here.
 
 use super::fleet::Fleet;
-use super::worker::{TaskEvent, Traits};
+use super::worker::{MachineTraits, TaskEvent};
 use crate::history::{Event, Recorder};
-use crate::http::{self, Connection, Reply, Request};
+use crate::http::{self, Connection, Request, Response};
 use crate::lock;
 use finchquay_protocol::worker::{CommandRequest, HeartbeatResponse, Redirect};
 use finchquay_protocol::{BODY_LIMIT, decode, encode};
@@ -26,9 +26,9 @@
 
 /// A controller to which workers report.
 #[derive(Debug, Clone)]
-pub struct Node {
+pub struct ReportTarget {
     /// Name of the controller.
-    pub member: String,
+    pub name: String,
     /// Zone of the controller.
     pub zone: String,
     /// Address for users and workers.
@@ -51,10 +51,10 @@
 
 impl Partitions {
     /// Whether a machine in `zone` reaches a controller.
-    fn reachable(&self, machine: &str, zone: &str, controller: &Node) -> bool {
+    fn reachable(&self, machine: &str, zone: &str, controller: &ReportTarget) -> bool {
         let zone_cut = zone != controller.zone && (self.zones.contains(zone) || self.zones.contains(&controller.zone));
-        let link_cut = self.links.iter().any(|(cut_zone, member)| cut_zone == zone && *member == controller.member);
-        !(self.machines.contains(machine) || self.controllers.contains(&controller.member) || zone_cut || link_cut)
+        let link_cut = self.links.iter().any(|(cut_zone, name)| cut_zone == zone && *name == controller.name);
+        !(self.machines.contains(machine) || self.controllers.contains(&controller.name) || zone_cut || link_cut)
     }
 
     /// Whether commands to a machine are held back. Their sender is not known, so only a cut of
@@ -74,7 +74,7 @@
 struct Shared {
     fleet: Mutex<Fleet>,
     machines: Mutex<HashMap<String, ConnectedMachine>>,
-    controllers: Vec<Node>,
+    controllers: Vec<ReportTarget>,
     partitions: watch::Sender<Partitions>,
     heartbeat_interval: Duration,
     recorder: Recorder,
@@ -88,7 +88,12 @@
 
 impl Driver {
     /// Creates a driver whose machines report to one of `controllers` at the given interval.
-    pub fn new(fleet: Fleet, controllers: Vec<Node>, heartbeat_interval: Duration, recorder: Recorder) -> Driver {
+    pub fn new(
+        fleet: Fleet,
+        controllers: Vec<ReportTarget>,
+        heartbeat_interval: Duration,
+        recorder: Recorder,
+    ) -> Driver {
         Driver {
             shared: Arc::new(Shared {
                 fleet: Mutex::new(fleet),
@@ -111,7 +116,7 @@
     }
 
     /// Changes which network partitions are in effect.
-    pub fn cut(&self, change: impl FnOnce(&mut Partitions)) {
+    pub fn change_partitions(&self, change: impl FnOnce(&mut Partitions)) {
         self.shared.partitions.send_modify(change);
     }
 
@@ -121,7 +126,7 @@
 
     /// Adds a machine that has booted. From now on it sends heartbeats and accepts commands
     /// at `listen`.
-    pub async fn boot(&self, traits: Traits, listen: SocketAddr) -> std::io::Result<()> {
+    pub async fn boot(&self, traits: MachineTraits, listen: SocketAddr) -> std::io::Result<()> {
         let listener = TcpListener::bind(listen).await?;
         let name = traits.name.clone();
         self.shared.recorder.record(Event::MachineUp {
@@ -139,17 +144,17 @@
             let (driver, machine, zone) = (driver.clone(), machine.clone(), zone.clone());
             // A task of its own: the request is handled even if the sender gives up meanwhile.
             let handled = tokio::spawn(async move { driver.handle_request(&machine, &zone, request).await });
-            async move { handled.await.unwrap_or_else(|_| Reply::empty(500)) }
+            async move { handled.await.unwrap_or_else(|_| Response::empty(500)) }
         }));
         self.machines().insert(name, ConnectedMachine { report_now, tasks: vec![heartbeats, commands] });
         Ok(())
     }
 
     /// Removes a machine with everything on it. `why` goes into the history.
-    pub fn vanish(&self, name: &str, why: &str) {
+    pub fn remove(&self, name: &str, why: &str) {
         let Some(machine) = self.machines().remove(name) else { return };
         machine.tasks.iter().for_each(JoinHandle::abort);
-        self.fleet().vanish(name, self.now());
+        self.fleet().remove(name, self.now());
         self.publish_changes();
         self.shared.recorder.record(Event::MachineGone { machine: name.into(), why: why.into() });
     }
@@ -196,30 +201,30 @@
     }
 
     /// Handles a request to a worker.
-    async fn handle_request(&self, machine: &str, zone: &str, request: Request) -> Reply {
+    async fn handle_request(&self, machine: &str, zone: &str, request: Request) -> Response {
         let mut partitions = self.shared.partitions.subscribe();
         let _ = partitions.wait_for(|partitions| !partitions.holds_commands(machine, zone)).await;
         if !self.wait_while_hung(machine).await {
-            return Reply::empty(503);
+            return Response::empty(503);
         }
         let now = self.now();
-        let reply = match (request.method.as_str(), request.path.as_str()) {
+        let response = match (request.method.as_str(), request.path.as_str()) {
             ("GET", "/show") => match self.fleet().heartbeat(machine, now) {
-                Some(heartbeat) => Reply::new(200, encode(&heartbeat)),
-                None => Reply::empty(503),
+                Some(heartbeat) => Response::new(200, encode(&heartbeat)),
+                None => Response::empty(503),
             },
             ("POST", "/commands") => match decode::<CommandRequest>(&request.body) {
-                Err(_) => Reply::empty(400),
+                Err(_) => Response::empty(400),
                 Ok(commands) => match self.fleet().handle_commands(machine, now, &commands) {
-                    Some((status, heartbeat)) => Reply::new(status, encode(&heartbeat)),
-                    None => Reply::empty(503),
+                    Some((status, heartbeat)) => Response::new(status, encode(&heartbeat)),
+                    None => Response::empty(503),
                 },
             },
-            (_, "/show" | "/commands") => Reply::empty(405),
-            _ => Reply::empty(404),
+            (_, "/show" | "/commands") => Response::empty(405),
+            _ => Response::empty(404),
         };
         self.publish_changes();
-        reply
+        response
     }
 
     /// Sends heartbeats of a machine until it is gone. A controller that does not answer, or
@@ -238,12 +243,12 @@
             self.publish_changes();
             let Some(heartbeat) = heartbeat else { return };
             let reachable = || self.shared.partitions.borrow().reachable(&name, &zone, controller);
-            let mut reply = None;
+            let mut response = None;
             if reachable() {
-                reply = connection.post(controller.address, "/checkin", encode(&heartbeat), RESPONSE_TIMEOUT).await;
+                response = connection.post(controller.address, "/checkin", encode(&heartbeat), RESPONSE_TIMEOUT).await;
                 // A response that arrives during a partition is lost.
                 if !reachable() || !self.wait_while_hung(&name).await {
-                    reply = None;
+                    response = None;
                     connection.close();
                 }
             } else {
@@ -252,21 +257,21 @@
             }
             // Controller to switch to, and the pause before its first heartbeat.
             let mut switch = None;
-            match reply {
-                Some(reply) if reply.status == 200 => {
-                    let response = decode::<HeartbeatResponse>(&reply.body).ok();
-                    let (fencing_token, commands) = response.map_or((None, Vec::new()), |response| {
-                        (Some(response.fencing_token), response.commands.into_owned())
+            match response {
+                Some(response) if response.status == 200 => {
+                    let decoded = decode::<HeartbeatResponse>(&response.body).ok();
+                    let (fencing_token, commands) = decoded.map_or((None, Vec::new()), |decoded| {
+                        (Some(decoded.fencing_token), decoded.commands.into_owned())
                     });
                     let now = self.now();
                     let agent_epoch = heartbeat.agent_epoch;
                     self.fleet().handle_response(&name, now, sent, agent_epoch, fencing_token, &commands);
                     self.publish_changes();
                 }
-                Some(reply) if reply.status == 421 => {
-                    let owner = decode::<Redirect>(&reply.body).ok().and_then(|redirect| redirect.controller);
+                Some(response) if response.status == 421 => {
+                    let owner = decode::<Redirect>(&response.body).ok().and_then(|redirect| redirect.controller);
                     let owner_index = owner
-                        .and_then(|owner| controllers.iter().position(|c| c.member == owner))
+                        .and_then(|owner| controllers.iter().position(|c| c.name == owner))
                         .filter(|index| *index != current);
                     switch = Some(match owner_index {
                         Some(index) => (index, Duration::from_secs_f64(rand::random_range(0.0..0.5))),
--- a/crates/emulator/src/run.rs
+++ b/crates/emulator/src/run.rs
@@ -1,20 +1,18 @@
 //! Plays a scenario from start to end: brings up the emulated services, the machines and
 //! the controllers, submits the load, injects the faults and checks the history.
 
-#![warn(missing_docs)]
-
 use crate::checker::{self, Verdict};
-use crate::cloud::machine::{Cloud, Config as CloudConfig, Fault as CloudFault, Happening, Offer};
+use crate::cloud::provider::{Cloud, CloudConfig, CloudEvent, CloudFault, Offer};
 use crate::cloud::service;
-use crate::cluster::{Cluster, ClusterError, bind, port};
-use crate::front::Front;
-use crate::history::{self, Event, Facts, HistoryError, Line, Recorder, Watcher};
+use crate::cluster::{Cluster, ClusterError, bind, free_address};
+use crate::front::FrontEnd;
+use crate::history::{self, ClusterFacts, Event, HistoryError, HistoryLine, LineCallback, Recorder};
 use crate::http;
 use crate::load;
 use crate::lock;
-use crate::machine::driver::{Driver, Node};
+use crate::machine::driver::{Driver, ReportTarget};
 use crate::machine::fleet::Fleet;
-use crate::machine::worker::{Description, Traits};
+use crate::machine::worker::{JobDescription, MachineTraits};
 use crate::scenario::{Fault, FaultKind, Scenario};
 use crate::state::log::LogError;
 use crate::state::machine::Limits;
@@ -87,7 +85,7 @@
     /// Address of the entry point for users besides the load, if there is to be one.
     pub front: Option<SocketAddr>,
     /// Called with every line of the history.
-    pub watcher: Option<Watcher>,
+    pub line_callback: Option<LineCallback>,
 }
 
 /// The result of a run.
@@ -95,7 +93,7 @@
     /// Path of the history.
     pub history: PathBuf,
     /// Lines of the history.
-    pub lines: Vec<Line>,
+    pub lines: Vec<HistoryLine>,
     /// Verdict on this run and the earlier ones in the same directory.
     pub verdict: Verdict,
 }
@@ -135,7 +133,7 @@
     let mut previous = PreviousRuns::read(dir)?;
     let previous_lines = std::mem::take(&mut previous.lines);
     let history = dir.join(format!("history-{}.jsonl", previous.run_number));
-    let recorder = Recorder::create(&history, options.watcher)?;
+    let recorder = Recorder::create(&history, options.line_callback)?;
     let scenario = options.scenario;
     let front = match options.front {
         Some(address) => Some(bind(address).await?),
@@ -143,8 +141,8 @@
     };
     let (cluster, sockets) =
         Cluster::start(&scenario, &options.controller, dir, options.public_port, &recorder).await?;
-    let endpoints: Vec<(String, SocketAddr)> = cluster.places.iter().map(|p| (p.member.clone(), p.public)).collect();
-    recorder.record(Event::Began {
+    let endpoints: Vec<(String, SocketAddr)> = cluster.addresses.iter().map(|p| (p.name.clone(), p.public)).collect();
+    recorder.record(Event::RunStarted {
         scenario: scenario.name.clone(),
         seed: options.seed,
         facts: site_facts(&scenario, &endpoints),
@@ -154,11 +152,14 @@
     let mut rng = StdRng::seed_from_u64(options.seed);
     let mut fleet = Fleet::new(Scenario::seconds(scenario.workers.gang_peer_s));
     previous.restore(&mut fleet);
-    let nodes =
-        cluster.places.iter().map(|p| Node { member: p.member.clone(), zone: p.zone.clone(), address: p.public });
+    let report_targets = cluster.addresses.iter().map(|p| ReportTarget {
+        name: p.name.clone(),
+        zone: p.zone.clone(),
+        address: p.public,
+    });
     let heartbeat_interval = Scenario::seconds(scenario.workers.heartbeat_interval_s);
-    let driver = Driver::new(fleet, nodes.collect(), heartbeat_interval, recorder.clone());
-    let worker_port = port(Ipv4Addr::new(127, 1, 0, 1), 0)?.port();
+    let driver = Driver::new(fleet, report_targets.collect(), heartbeat_interval, recorder.clone());
+    let worker_port = free_address(Ipv4Addr::new(127, 1, 0, 1), 0)?.port();
     let cloud = Cloud::new(cloud_config(&scenario, worker_port), rng.random(), previous.machines);
     let jobs = load::plan(&scenario, previous.run_number, &mut rng);
     let faults = scenario.faults(&mut rng);
@@ -181,14 +182,14 @@
         background.spawn(emulation.clone().play_fault(name, fault));
     }
     if let Some(listener) = front {
-        background.spawn(Front::new(endpoints.clone(), driver.clone(), recorder.clone()).serve(listener));
+        background.spawn(FrontEnd::new(endpoints.clone(), driver.clone(), recorder.clone()).serve(listener));
     }
     let client = load::client(&endpoints, &recorder)?;
-    let ended_jobs = load::Over::default();
-    let mut users = load::play(jobs, &client, &driver, &recorder, user_seed, &ended_jobs);
-    background.spawn(load::curious(client.clone(), ended_jobs));
+    let finished_jobs = load::FinishedJobs::default();
+    let mut users = load::spawn_users(jobs, &client, &driver, &recorder, user_seed, &finished_jobs);
+    background.spawn(load::query_jobs(client.clone(), finished_jobs));
     for (uid, cancel) in previous.open_jobs {
-        users.spawn(load::resume(client.clone(), uid, cancel));
+        users.spawn(load::follow_earlier_job(client.clone(), uid, cancel));
     }
     let time_limit = emulation.scenario.duration_s + emulation.scenario.settle_s;
     let users_ended = async { while users.join_next().await.is_some() {} };
@@ -203,10 +204,10 @@
         () = stop => false,
     };
     users.shutdown().await;
-    recorder.record(Event::Over { settled });
+    recorder.record(Event::RunEnded { settled });
     background.shutdown().await;
     let machines: Vec<String> = lock(&emulation.cloud).alive().map(|(name, _)| name.clone()).collect();
-    machines.iter().for_each(|name| emulation.driver.vanish(name, "the run is over"));
+    machines.iter().for_each(|name| emulation.driver.remove(name, "the run is over"));
     let handle = lock(&emulation.state).handle.take();
     if let Some(handle) = handle {
         handle.stop().await;
@@ -217,13 +218,13 @@
     }
     recorder.flush().map_err(|cause| RunError::File { file: history.clone(), cause })?;
     let lines = history::read(&history)?;
-    let verdict = checker::check(&history::join(previous_lines, lines.clone()));
+    let verdict = checker::check(&history::join_runs(previous_lines, lines.clone()));
     Ok(Outcome { history, lines, verdict })
 }
 
 /// What the checker must know about the site.
-fn site_facts(scenario: &Scenario, endpoints: &[(String, SocketAddr)]) -> Facts {
-    Facts {
+fn site_facts(scenario: &Scenario, endpoints: &[(String, SocketAddr)]) -> ClusterFacts {
+    ClusterFacts {
         limits: scenario.team.iter().map(|(name, team)| (name.clone(), (team.cpus_max, team.gpus_max))).collect(),
         cancel_s: scenario.workers.cancel_s,
         controllers: endpoints.iter().map(|(name, address)| (name.clone(), address.to_string())).collect(),
@@ -242,8 +243,8 @@
     let recorder = recorder.clone();
     let fault_listener: FaultListener = Arc::new(move |event| {
         recorder.record(match event {
-            FaultEvent::WriteHit { fault, keys } => Event::Store { what: fault.into(), keys },
-            FaultEvent::TailLost { keys, .. } => Event::Store { what: "tail".into(), keys },
+            FaultEvent::WriteHit { fault, keys } => Event::StoreFault { what: fault.into(), keys },
+            FaultEvent::TailLost { keys, .. } => Event::StoreFault { what: "tail".into(), keys },
         });
     });
     StateService {
@@ -251,7 +252,7 @@
         fault_listener,
         handle: None,
         servers: Vec::new(),
-        endpoints: cluster.places.iter().map(|p| (p.member.clone(), p.state)).collect(),
+        endpoints: cluster.addresses.iter().map(|p| (p.name.clone(), p.state)).collect(),
     }
 }
 
@@ -272,7 +273,7 @@
 /// The settings of the emulated cloud.
 fn cloud_config(scenario: &Scenario, worker_port: u16) -> CloudConfig {
     let offer = |(label, m): (&String, &crate::scenario::MachineType)| Offer {
-        kind: MachineType {
+        machine_type: MachineType {
             label: label.clone(),
             cores: m.cpus,
             gpus: m.gpus,
@@ -285,14 +286,14 @@
             zones: scenario.zones.clone(),
         },
         capacity: scenario.zones.iter().map(|zone| (zone.clone(), (m.on_demand, m.spot))).collect(),
-        cold: m.cold_share,
+        never_up_share: m.cold_share,
     };
     CloudConfig {
         offers: scenario.machine_type.iter().map(offer).collect(),
         rps: scenario.cloud.rps,
         list_lag: Scenario::seconds(scenario.cloud.list_lag_s),
-        notice: Scenario::seconds(scenario.cloud.notice_s),
-        silent_share: scenario.cloud.silent_share,
+        preemption_notice: Scenario::seconds(scenario.cloud.notice_s),
+        no_notice_share: scenario.cloud.silent_share,
         worker_port,
     }
 }
@@ -304,14 +305,14 @@
     /// Upper bound on the numbers of the machines that were rented; a name is never used again.
     machines: u32,
     /// All jobs that were submitted.
-    descriptions: Vec<Description>,
+    descriptions: Vec<JobDescription>,
     /// Tasks that are done, by job and index.
     done: Vec<(String, u32)>,
     /// Accepted jobs that no user was told the end of, and whether the user is to cancel
     /// them, as is the case for services.
     open_jobs: Vec<(String, bool)>,
     /// Their histories, at times before 0: a rule may be broken across runs.
-    lines: Vec<Line>,
+    lines: Vec<HistoryLine>,
 }
 
 impl PreviousRuns {
@@ -335,7 +336,7 @@
             }
             previous.run_number += 1;
             let lines = history::read(&file)?;
-            previous.lines = history::join(std::mem::take(&mut previous.lines), lines.clone());
+            previous.lines = history::join_runs(std::mem::take(&mut previous.lines), lines.clone());
             for line in lines {
                 match line.event {
                     Event::Job { spec } => {
@@ -343,9 +344,9 @@
                         let run = if service { f32::INFINITY } else { spec.estimated_run_s.max(0.05) as f32 };
                         jobs.entry(spec.uid.clone()).or_insert((false, service));
                         let run_s = vec![run; spec.task_count as usize];
-                        previous.descriptions.push(Description { spec, run_s, broken: false });
+                        previous.descriptions.push(JobDescription { spec, run_s, always_fails: false });
                     }
-                    Event::Call { uid, status: Some(200 | 201), state, .. } => {
+                    Event::UserRequest { uid, status: Some(200 | 201), state, .. } => {
                         if let Some((accepted, _)) = jobs.get_mut(&uid) {
                             *accepted = true;
                         }
@@ -370,7 +371,7 @@
     /// Gives the fleet the descriptions of all jobs, and the tasks that are done.
     fn restore(&self, fleet: &mut Fleet) {
         self.descriptions.iter().for_each(|d| fleet.upload(d.clone()));
-        self.done.iter().for_each(|(job, index)| fleet.finished(job, *index));
+        self.done.iter().for_each(|(job, index)| fleet.mark_finished(job, *index));
     }
 }
 
@@ -384,7 +385,7 @@
         for (label, machine_type) in &self.scenario.machine_type {
             for zone in &self.scenario.zones {
                 for _ in 0..machine_type.up {
-                    lock(&self.cloud).create(self.now(), label, zone, false, true);
+                    lock(&self.cloud).add_machine(self.now(), label, zone, false, true);
                 }
             }
         }
@@ -396,37 +397,37 @@
         let events = lock(&self.cloud).advance(self.now());
         for event in events {
             match event {
-                Happening::Up { name } => {
+                CloudEvent::Up { name } => {
                     let Some((traits, addr)) = self.machine_traits(&name) else { continue };
                     if let Err(e) = self.driver.boot(traits, addr).await {
                         eprintln!("finchquay-emulator: {addr}: {e}; machine {name} cannot listen and stays silent");
                     }
                 }
-                Happening::Notice { name, at } => {
-                    self.driver.fleet().with(&name, self.now(), |worker, _| worker.preempted_at = Some(at));
+                CloudEvent::PreemptionNotice { name, at } => {
+                    self.driver.fleet().update(&name, self.now(), |worker, _| worker.preempt_at = Some(at));
                 }
-                Happening::Gone { name, why } => self.driver.vanish(&name, why),
+                CloudEvent::Gone { name, why } => self.driver.remove(&name, why),
             }
         }
     }
 
     /// The properties of a rented machine, with some random variation in its speed.
-    fn machine_traits(&self, name: &str) -> Option<(Traits, SocketAddr)> {
+    fn machine_traits(&self, name: &str) -> Option<(MachineTraits, SocketAddr)> {
         let cloud = lock(&self.cloud);
         let mut rng = lock(&self.rng);
         let rental = cloud.rental(name)?;
-        let kind = cloud.kind(&rental.machine_type)?;
-        let traits = Traits {
+        let machine_type = cloud.machine_type(&rental.machine_type)?;
+        let traits = MachineTraits {
             name: name.into(),
             addr: rental.addr.to_string(),
             machine_type: rental.machine_type.clone(),
             zone: rental.zone.clone(),
             spot: rental.spot,
-            cores: kind.cores,
-            gpus: kind.gpus,
-            mem_gb: kind.mem_gb,
-            cache_gb: kind.disk_gb,
-            gb_per_s: kind.pull_gb_per_s * rng.random_range(0.7..1.3),
+            cores: machine_type.cores,
+            gpus: machine_type.gpus,
+            mem_gb: machine_type.mem_gb,
+            cache_gb: machine_type.disk_gb,
+            gb_per_s: machine_type.pull_gb_per_s * rng.random_range(0.7..1.3),
             speed: rng.random_range(0.95..1.05),
             lease: Scenario::seconds(self.scenario.workers.lease_s),
             gang_wait: Scenario::seconds(self.scenario.workers.gang_wait_s),
@@ -440,10 +441,10 @@
         http::serve(listener, BODY_LIMIT, move |request| {
             let emulation = emulation.clone();
             async move {
-                let reply = service::answer(&mut lock(&emulation.cloud), emulation.now(), &request);
+                let response = service::answer(&mut lock(&emulation.cloud), emulation.now(), &request);
                 // Machines that this request released must be gone before the answer arrives.
                 emulation.apply_cloud_events().await;
-                reply
+                response
             }
         })
         .await;
@@ -471,7 +472,7 @@
                 let up = cloud.alive().filter(|(_, rental)| rental.up).count();
                 (up as u32, (cloud.alive().count() - up) as u32, cloud.spent(self.now()))
             };
-            let running = self.driver.fleet().workers().map(|worker| worker.running()).sum::<usize>();
+            let running = self.driver.fleet().workers().map(|worker| worker.running_tasks()).sum::<usize>();
             self.recorder.record(Event::Sample {
                 machines_up: up,
                 machines_booting: booting,
@@ -507,12 +508,12 @@
 
     /// Name of a controller by its number; empty without a number.
     fn controller_name(&self, number: Option<usize>) -> String {
-        number.and_then(|number| self.cluster.places.get(number)).map_or_else(String::new, |p| p.member.clone())
+        number.and_then(|number| self.cluster.addresses.get(number)).map_or_else(String::new, |p| p.name.clone())
     }
 
     /// Numbers of the controllers that a fault hits: the one it names, or all.
     fn affected_controllers(&self, fault: &Fault) -> Vec<usize> {
-        fault.controller.map_or_else(|| (0..self.cluster.places.len()).collect(), |i| vec![i])
+        fault.controller.map_or_else(|| (0..self.cluster.addresses.len()).collect(), |i| vec![i])
     }
 
     /// Picks machines at random among those that are up.
@@ -533,7 +534,7 @@
         let (now, count, factor) = (self.now(), fault.count.unwrap_or(1), fault.factor.unwrap_or(1.0));
         let late = Scenario::seconds(fault.late_s.unwrap_or(0.0));
         let restart = fault.restart_s.map(Scenario::seconds);
-        let inject_cloud_fault = |cloud_fault| lock(&self.cloud).fault(now, &cloud_fault);
+        let inject_cloud_fault = |cloud_fault| lock(&self.cloud).inject(now, &cloud_fault);
         let machine_type = fault.machine_type.clone();
         let inject_write_fault = |write_fault| {
             let prefix = fault.prefix.clone().unwrap_or_default();
@@ -552,20 +553,20 @@
             K::WriteLate => inject_write_fault(WriteFault::Late(late)),
             K::TailLost => self.inject_store_fault(StoreFault::LoseTail(u64::from(count))),
             K::CloudOutage => inject_cloud_fault(CloudFault::Outage(true)),
-            K::BootsLate => inject_cloud_fault(CloudFault::Late { machine_type, factor }),
-            K::BootsCold => inject_cloud_fault(CloudFault::Cold { machine_type, on: true }),
-            K::Scarce => inject_cloud_fault(CloudFault::Scarce(factor)),
-            K::Recall => inject_cloud_fault(CloudFault::Recall { count }),
-            K::Die => inject_cloud_fault(CloudFault::Die { count }),
+            K::BootsLate => inject_cloud_fault(CloudFault::SlowBoot { machine_type, factor }),
+            K::BootsCold => inject_cloud_fault(CloudFault::FailedBoot { machine_type, on: true }),
+            K::Scarce => inject_cloud_fault(CloudFault::ReducedCapacity(factor)),
+            K::Recall => inject_cloud_fault(CloudFault::Preempt { count }),
+            K::Die => inject_cloud_fault(CloudFault::Fail { count }),
             K::MachinesCut | K::MachinesHang | K::MachinesSick | K::MachinesSlow => {
                 let names = self.random_machines(count);
                 self.set_machine_fault(fault, &names, true);
                 return names;
             }
-            K::ZoneCut => self.driver.cut(|c| c.zones.extend(fault.zone.clone())),
+            K::ZoneCut => self.driver.change_partitions(|c| c.zones.extend(fault.zone.clone())),
             K::ZoneLinkCut => {
                 let link = (fault.zone.clone().unwrap_or_default(), self.controller_name(fault.controller));
-                self.driver.cut(|c| c.links.extend([link]));
+                self.driver.change_partitions(|c| c.links.extend([link]));
             }
             K::ControllerKill => {
                 for n in 0..count {
@@ -580,7 +581,7 @@
             }
             K::ControllerDeaf => {
                 let member = self.controller_name(fault.controller);
-                self.driver.cut(|c| c.controllers.extend([member]));
+                self.driver.change_partitions(|c| c.controllers.extend([member]));
             }
             K::PeersRefused => {
                 self.affected_controllers(fault).into_iter().for_each(|i| self.cluster.refuse_peers(i, true))
@@ -588,7 +589,7 @@
             K::Rolling => {
                 let restart_time = restart.unwrap_or(Scenario::seconds(self.scenario.controllers.restart_s));
                 let pause = late.max(restart_time * 2);
-                for i in 0..self.cluster.places.len() {
+                for i in 0..self.cluster.addresses.len() {
                     self.cluster.kill(i, restart);
                     tokio::time::sleep(pause).await;
                 }
@@ -602,7 +603,7 @@
     async fn end_fault(&self, fault: &Fault, machines: Vec<String>) {
         use FaultKind as K;
         let now = self.now();
-        let inject_cloud_fault = |cloud_fault| lock(&self.cloud).fault(now, &cloud_fault);
+        let inject_cloud_fault = |cloud_fault| lock(&self.cloud).inject(now, &cloud_fault);
         let machine_type = fault.machine_type.clone();
         match fault.kind {
             K::StoreOutage => self.inject_store_fault(StoreFault::Outage(false)),
@@ -614,23 +615,23 @@
             K::StoreSlow => self.inject_store_fault(StoreFault::Slow(None)),
             K::StoreRestart => self.restart_state_service().await,
             K::CloudOutage => inject_cloud_fault(CloudFault::Outage(false)),
-            K::BootsLate => inject_cloud_fault(CloudFault::Late { machine_type, factor: 1.0 }),
-            K::BootsCold => inject_cloud_fault(CloudFault::Cold { machine_type, on: false }),
-            K::Scarce => inject_cloud_fault(CloudFault::Scarce(1.0)),
+            K::BootsLate => inject_cloud_fault(CloudFault::SlowBoot { machine_type, factor: 1.0 }),
+            K::BootsCold => inject_cloud_fault(CloudFault::FailedBoot { machine_type, on: false }),
+            K::Scarce => inject_cloud_fault(CloudFault::ReducedCapacity(1.0)),
             K::MachinesCut | K::MachinesHang | K::MachinesSick | K::MachinesSlow => {
                 self.set_machine_fault(fault, &machines, false)
             }
-            K::ZoneCut => self.driver.cut(|c| c.zones.retain(|z| Some(z) != fault.zone.as_ref())),
+            K::ZoneCut => self.driver.change_partitions(|c| c.zones.retain(|z| Some(z) != fault.zone.as_ref())),
             K::ZoneLinkCut => {
                 let link = (fault.zone.clone().unwrap_or_default(), self.controller_name(fault.controller));
-                self.driver.cut(|c| c.links.retain(|l| *l != link));
+                self.driver.change_partitions(|c| c.links.retain(|l| *l != link));
             }
             K::ControllerFreeze => {
                 self.affected_controllers(fault).into_iter().for_each(|i| self.cluster.freeze(i, false))
             }
             K::ControllerDeaf => {
                 let member = self.controller_name(fault.controller);
-                self.driver.cut(|c| c.controllers.retain(|m| *m != member));
+                self.driver.change_partitions(|c| c.controllers.retain(|m| *m != member));
             }
             K::PeersRefused => {
                 self.affected_controllers(fault).into_iter().for_each(|i| self.cluster.refuse_peers(i, false))
@@ -644,7 +645,7 @@
     fn set_machine_fault(&self, fault: &Fault, names: &[String], on: bool) {
         let now = self.now();
         if fault.kind == FaultKind::MachinesCut {
-            return self.driver.cut(|c| {
+            return self.driver.change_partitions(|c| {
                 if on {
                     c.machines.extend(names.iter().cloned());
                 } else {
@@ -654,10 +655,10 @@
         }
         let factor = fault.factor.unwrap_or(1.0);
         for name in names {
-            self.driver.fleet().with(name, now, |worker, shared| match fault.kind {
-                FaultKind::MachinesHang => worker.hang(now, on, shared),
-                FaultKind::MachinesSick => worker.sick = on,
-                _ => worker.slow_down(if on { 1.0 / factor } else { factor }),
+            self.driver.fleet().update(name, now, |worker, shared| match fault.kind {
+                FaultKind::MachinesHang => worker.set_hung(now, on, shared),
+                FaultKind::MachinesSick => worker.faulty = on,
+                _ => worker.scale_speed(if on { 1.0 / factor } else { factor }),
             });
         }
     }
