--- a/tests/models/attest.rs
+++ b/tests/models/attest.rs
@@ -1,34 +1,39 @@
-//! Controller A answers a machine; B, which leads, may grant it to itself and may
-//! take a cancellation, whenever it reaches the store: it acts and tells by the answer,
-//! while its watch may stand still from then on. A reaches the store or not, heartbeats pass
-//! or not, or are held back and come late. What B knows of and A may not have seen it
-//! carries in its heartbeats. Stands for `Controller::{may_act, revocations, apply_revocations}`,
+//! Model of attestation between two controllers.
+//!
+//! Controller A answers the agent of a machine. Controller B, the leader, may grant the
+//! machine to itself and may accept a cancellation whenever it reaches the store. B acts on
+//! the store's answer and confirms the cancellation to the user by it, while its watch may
+//! be stalled from then on. A reaches the store or not; heartbeats are delivered, lost, or
+//! held back and delivered late. B's heartbeats carry the changes that B knows of and A may
+//! not have seen. The model stands for `Controller::{may_act, revocations, apply_revocations}`,
 //! `ClusterState::known_revision`, `read_index_time` in `src/connectivity` and `Machine::lease_expired`.
 
+#![warn(missing_docs)]
+
 use finchquay_explorer::Model;
 
-/// What an attestation rests on; each condition can be taken away.
+/// Conditions that make an attestation valid. Each one can be disabled, to show that it is needed.
 #[derive(Debug, Clone, Copy)]
-pub struct Trust {
-    /// It counts from the heartbeat of ours that it echoes, not from when it came.
+pub struct Guards {
+    /// An attestation is dated by the heartbeat of the receiver that it acknowledges, not by its arrival.
     pub acknowledgements: bool,
-    /// The replica it speaks of is no newer than ours.
+    /// The attested revision is no newer than the receiver's replica.
     pub revision: bool,
-    /// It is good for as long as a read of the store is, not for ever.
+    /// An attestation is valid for as long as a read of the store, not indefinitely.
     pub limit: bool,
-    /// The revision that it speaks of counts what was learned from answers.
+    /// The attested revision includes changes learned from answers of the store.
     pub known_revision: bool,
-    /// A cancellation that it carries is applied before it counts,
+    /// A cancellation carried by an attestation is applied before the attestation counts.
     pub applied: bool,
-    /// and a grant that it carries makes it void.
+    /// A grant carried by an attestation makes the attestation void.
     pub granted: bool,
-    /// What it carries is complete from where A's view ends.
+    /// The carried changes are complete from the end of A's view on.
     pub since: bool,
 }
 
-impl Default for Trust {
-    fn default() -> Trust {
-        Trust {
+impl Default for Guards {
+    fn default() -> Guards {
+        Guards {
             acknowledgements: true,
             revision: true,
             limit: true,
@@ -40,21 +45,24 @@
     }
 }
 
+/// The attestation model with the conditions that are in force.
 pub struct Attest {
-    pub trust: Trust,
+    /// Conditions in force.
+    pub guards: Guards,
 }
 
-/// In steps: an agent's lease, and the time that a cancellation has.
+/// Length of an agent's lease, in steps.
 const LEASE: u8 = 2;
+/// Time within which a cancelled task must have ended, in steps.
 const CANCEL: u8 = 5;
-/// Ages above this are all the same.
+/// Ages are capped here, in steps: greater ones make no difference.
 const OLD: u8 = 6;
 
-/// What B said: the age of A's heartbeat that it echoes, the age of the words
-/// themselves, the newest change that it knew of, and what it owed to whom had come
-/// to `since`.
+/// A heartbeat from B to A: the age of the heartbeat of A that it acknowledges, its own
+/// age, the newest revision that B knew of, and which changes after revision `since` it
+/// carries.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
-struct Word {
+struct Heartbeat {
     acknowledgements: u8,
     age: u8,
     revision: u8,
@@ -64,105 +72,108 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
+/// State of the store, both controllers, the heartbeats in flight and the task.
 pub struct State {
-    /// Changes of the store so far, and which of them were what.
+    /// Revision of the store, and the revisions of the grant and of the cancellation.
     revision: u8,
     granted: Option<u8>,
     cancelled: Option<u8>,
-    /// Views, and the age of A's last read of the store.
+    /// Revisions of both controllers' views, and the age of A's last read of the store.
     a_view: u8,
     b_view: u8,
-    a_fresh: u8,
-    /// What B knows from answers too, and where A's view was by the newest heartbeat that B had.
-    b_learned: u8,
-    b_seen_by_a: u8,
-    /// A knows of the cancellation by B's word.
+    a_read_age: u8,
+    /// The newest revision that B knows of, from answers too, and the revision of A's view
+    /// according to A's newest heartbeat that B received.
+    b_known: u8,
+    b_known_a_view: u8,
+    /// A applied the cancellation that a heartbeat from B carried.
     applied: bool,
-    /// The age of the newest heartbeat of A's that B has.
-    b_has: u8,
-    /// Words under way, oldest first, and the newest that came.
-    flying: Vec<Word>,
-    word: Option<Word>,
-    /// The task on A's machine, and how long ago the machine was answered.
+    /// Age of A's newest heartbeat that B received.
+    a_heartbeat_age: u8,
+    /// Heartbeats from B in flight, oldest first, and the newest one that A received.
+    in_flight: Vec<Heartbeat>,
+    received: Option<Heartbeat>,
+    /// Whether the task runs on A's machine, and the time since the machine's agent was last answered.
     runs: bool,
-    answered: u8,
-    /// Since B holds the machine without having heard it.
-    adopted: Option<u8>,
-    /// B has heard the machine and goes on from there.
-    handed: bool,
+    answered_age: u8,
+    /// Time since B was granted the machine.
+    b_granted_age: Option<u8>,
+    /// B received a heartbeat from the machine and has taken it over with its task.
+    taken_over: bool,
     /// The task was started on another machine.
     elsewhere: bool,
-    /// Since the user was told that the job is cancelled.
+    /// Time since the user was told that the job is cancelled.
     confirmed_age: Option<u8>,
 }
 
 impl Attest {
     fn may_act(&self, s: &State) -> bool {
         let young = |age: u8| age < CANCEL - LEASE;
-        let t = &self.trust;
-        let revocations = |w: &Word| {
+        let t = &self.guards;
+        let revocations = |w: &Heartbeat| {
             let short = t.since && w.since > s.a_view;
             let unapplied = t.applied && w.cancelled && !s.applied;
             let lost = t.granted && w.granted;
             !(short || unapplied || lost)
         };
-        let word = s.word.filter(|w| !t.revision || w.revision <= s.a_view || revocations(w));
-        young(s.a_fresh)
-            || word.is_some_and(|w| !t.limit || young(if t.acknowledgements { w.acknowledgements } else { w.age }))
+        let received = s.received.filter(|w| !t.revision || w.revision <= s.a_view || revocations(w));
+        young(s.a_read_age)
+            || received.is_some_and(|w| !t.limit || young(if t.acknowledgements { w.acknowledgements } else { w.age }))
     }
 
-    /// One step of time, with what works in it.
+    /// One step of time, given whether A reaches the store, whether A's heartbeat reaches B
+    /// and whether a heartbeat from B arrives.
     fn step(&self, s: &State, a_store: bool, heartbeat: bool, arrives: bool) -> State {
         let mut n = s.clone();
         let older = |age: &mut u8| *age = (*age + 1).min(OLD);
-        [&mut n.a_fresh, &mut n.b_has, &mut n.answered].into_iter().for_each(older);
-        n.adopted.iter_mut().for_each(older);
+        [&mut n.a_read_age, &mut n.a_heartbeat_age, &mut n.answered_age].into_iter().for_each(older);
+        n.b_granted_age.iter_mut().for_each(older);
         n.confirmed_age.iter_mut().for_each(older);
-        for w in n.flying.iter_mut().chain(n.word.as_mut()) {
+        for w in n.in_flight.iter_mut().chain(n.received.as_mut()) {
             older(&mut w.acknowledgements);
-            if !self.trust.acknowledgements {
-                older(&mut w.age); // nothing else looks at it
+            if !self.guards.acknowledgements {
+                older(&mut w.age); // only read while this condition is disabled
             }
         }
-        if n.runs && n.answered > LEASE {
+        if n.runs && n.answered_age > LEASE {
             n.runs = false;
         }
         if a_store {
-            (n.a_view, n.a_fresh) = (n.revision, 0);
+            (n.a_view, n.a_read_age) = (n.revision, 0);
         }
         if heartbeat {
-            (n.b_has, n.b_seen_by_a) = (0, n.a_view);
+            (n.a_heartbeat_age, n.b_known_a_view) = (0, n.a_view);
         }
-        if n.flying.is_empty() {
-            let since = if self.trust.since { n.b_seen_by_a } else { n.b_view };
-            let after = |change: Option<u8>| change.is_some_and(|r| r > since && r <= n.b_learned);
-            n.flying.push(Word {
-                acknowledgements: n.b_has,
+        if n.in_flight.is_empty() {
+            let since = if self.guards.since { n.b_known_a_view } else { n.b_view };
+            let after = |change: Option<u8>| change.is_some_and(|r| r > since && r <= n.b_known);
+            n.in_flight.push(Heartbeat {
+                acknowledgements: n.a_heartbeat_age,
                 age: 0,
-                revision: if self.trust.known_revision { n.b_learned } else { n.b_view },
+                revision: if self.guards.known_revision { n.b_known } else { n.b_view },
                 since,
                 cancelled: after(n.cancelled),
                 granted: after(n.granted),
             });
         }
         if arrives {
-            // In order; how long it was held back shows in nothing but the echo.
-            let mut w = n.flying.remove(0);
+            // Heartbeats arrive in order. Only the acknowledgement shows for how long one was held back.
+            let mut w = n.in_flight.remove(0);
             w.age = 0;
-            n.word = Some(w);
-            n.applied |= w.cancelled && self.trust.applied;
+            n.received = Some(w);
+            n.applied |= w.cancelled && self.guards.applied;
         }
-        // The machine reports to A while that answers, else to B.
+        // The machine reports to A while A answers, otherwise to B.
         let knows = |view: u8, change: Option<u8>| change.is_some_and(|r| r <= view);
         if self.may_act(&n) && !knows(n.a_view, n.granted) {
-            n.answered = 0;
+            n.answered_age = 0;
             n.runs &= !n.applied && !knows(n.a_view, n.cancelled);
-        } else if n.adopted.is_some() {
-            n.handed = true;
-            n.runs &= !knows(n.b_learned, n.cancelled);
+        } else if n.b_granted_age.is_some() {
+            n.taken_over = true;
+            n.runs &= !knows(n.b_known, n.cancelled);
         }
-        // What B never heard has lapsed by now.
-        if n.adopted.is_some_and(|age| age >= CANCEL) && !n.handed {
+        // The lease of a machine that never reported to B has expired by now.
+        if n.b_granted_age.is_some_and(|age| age >= CANCEL) && !n.taken_over {
             n.elsewhere = true;
         }
         n
@@ -179,17 +190,17 @@
             cancelled: None,
             a_view: 0,
             b_view: 0,
-            a_fresh: 0,
-            b_learned: 0,
-            b_seen_by_a: 0,
+            a_read_age: 0,
+            b_known: 0,
+            b_known_a_view: 0,
             applied: false,
-            b_has: 0,
-            flying: Vec::new(),
-            word: None,
+            a_heartbeat_age: 0,
+            in_flight: Vec::new(),
+            received: None,
             runs: true,
-            answered: 0,
-            adopted: None,
-            handed: false,
+            answered_age: 0,
+            b_granted_age: None,
+            taken_over: false,
             elsewhere: false,
             confirmed_age: None,
         }
@@ -198,36 +209,38 @@
     fn next(&self, s: &State, out: &mut Vec<(String, State)>) {
         for a_store in [false, true] {
             for heartbeat in [false, true] {
-                for arrives in [false, true].into_iter().take(1 + usize::from(!s.flying.is_empty())) {
-                    let name = format!("a step, store {a_store}, beat {heartbeat}, word {arrives}");
+                for arrives in [false, true].into_iter().take(1 + usize::from(!s.in_flight.is_empty())) {
+                    let name = format!(
+                        "a step, store reached {a_store}, heartbeat to B {heartbeat}, heartbeat to A {arrives}"
+                    );
                     out.push((name, self.step(s, a_store, heartbeat, arrives)));
                 }
             }
         }
-        // B reaches the store: it grants the machine to itself, and tells a user.
+        // B reaches the store: it grants the machine to itself, or confirms a cancellation to a user.
         if s.granted.is_none() {
             let mut n = s.clone();
             n.revision += 1;
-            (n.granted, n.b_learned, n.adopted) = (Some(n.revision), n.revision, Some(0));
+            (n.granted, n.b_known, n.b_granted_age) = (Some(n.revision), n.revision, Some(0));
             out.push(("the machine is granted to B".into(), n));
         }
         if s.cancelled.is_none() {
             let mut n = s.clone();
             n.revision += 1;
-            (n.cancelled, n.b_learned, n.confirmed_age) = (Some(n.revision), n.revision, Some(0));
-            out.push(("the user is told withdrawn".into(), n));
+            (n.cancelled, n.b_known, n.confirmed_age) = (Some(n.revision), n.revision, Some(0));
+            out.push(("the cancellation is confirmed to the user".into(), n));
         }
-        if s.b_view < s.b_learned {
-            out.push(("B's watch moves".into(), State { b_view: s.b_learned, ..s.clone() }));
+        if s.b_view < s.b_known {
+            out.push(("B's watch catches up".into(), State { b_view: s.b_known, ..s.clone() }));
         }
     }
 
     fn check(&self, s: &State) -> Result<(), String> {
-        if s.elsewhere && s.runs && !s.handed {
+        if s.elsewhere && s.runs && !s.taken_over {
             return Err("the task runs on two machines".into());
         }
-        if s.runs && !s.handed && s.confirmed_age.is_some_and(|age| age > CANCEL) {
-            return Err("the task outlives its withdrawal".into());
+        if s.runs && !s.taken_over && s.confirmed_age.is_some_and(|age| age > CANCEL) {
+            return Err("the task outlives its cancellation".into());
         }
         Ok(())
     }
--- a/tests/models/log.rs
+++ b/tests/models/log.rs
@@ -1,19 +1,24 @@
-//! Two controllers, one with two machines and one with one, one job of two tasks, a leader that reassigns
-//! the job's task range, the store, transactions that come late, answers that are lost,
-//! a restart. Stands for the controller's journal and `ClusterState`'s replay.
+//! Model of the controllers' logs of task placements.
+//!
+//! Two controllers, one with two machines and one with a single machine, run one job of two
+//! tasks. A leader reassigns the job's task range, transactions reach the store late,
+//! answers are lost, and one controller restarts. The model stands for the controller's
+//! journal and the replay in `ClusterState`.
+
+#![warn(missing_docs)]
 
 use finchquay_explorer::Model;
 
-/// Conditions that can be taken away.
+/// Conditions that fence writers. Each one can be disabled, to show that it is needed.
 #[derive(Debug, Clone, Copy)]
 pub struct Guards {
-    /// A segment names its slot's version.
+    /// The transaction of a segment is conditional on the version of the segment's slot.
     pub slot: bool,
-    /// A start names the job's record.
+    /// The transaction of a start is conditional on the version of the job's record.
     pub job: bool,
-    /// Starts wait until the replica has come to the job's record.
+    /// Starts wait until the replica has reached the revision of the job's record.
     pub seen: bool,
-    /// Facts about a machine name its owner's grant.
+    /// The transaction of a fact about a machine is conditional on the version of the owner's grant.
     pub grant: bool,
 }
 
@@ -23,24 +28,32 @@
     }
 }
 
+/// The log model with its guards and the bounds of the exploration.
 pub struct Log {
+    /// Conditions in force.
     pub guards: Guards,
-    /// How far the exploration goes: tasks, and changes of the store.
+    /// Number of tasks explored, at most `TASKS`.
     pub tasks: usize,
+    /// Number of changes of the store explored.
     pub ledger: usize,
 }
 
+/// Tasks of the job.
 const TASKS: usize = 2;
+/// Machines of both controllers.
 const MACHINES: usize = 3;
-/// Whose each machine is.
+/// The controller that owns each machine.
 const OWNER: [usize; MACHINES] = [0, 0, 1];
-const TRIES: u8 = 2;
-const FLYING: usize = 2;
+/// Attempts at each task, at most.
+const MAX_ATTEMPTS: u8 = 2;
+/// Transactions in flight at a time, at most.
+const MAX_IN_FLIGHT: usize = 2;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 enum Fact {
     /// Task, attempt, machine.
     Start(u8, u8, u8),
+    /// Task, attempt.
     Gone(u8, u8),
 }
 
@@ -51,47 +64,49 @@
         seq: u8,
         fact: Fact,
     },
-    /// The job's lease goes to this controller.
+    /// The job's lease is assigned to this controller.
     Lease(u8),
-    /// The controller's machine is granted to its newest incarnation.
+    /// The controller's machines are granted to its newest incarnation.
     Grant(u8),
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 struct Txn {
     writer: u8,
-    life: u8,
+    incarnation: u8,
     seq: u8,
     fact: Fact,
-    /// Revisions of the job's record and of the grant as the writer knows them.
+    /// Revisions of the job's record and of the grant that the writer knows.
     job: u8,
     grant: u8,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default)]
 struct Controller {
-    life: u8,
-    /// The ledger is known up to here.
+    incarnation: u8,
+    /// Number of ledger entries that the watch has delivered.
     seen: u8,
-    /// Entries further on that it knows by answers and not by the watch: its own
-    /// segments, and leases that it was told of. A bit each.
+    /// Later entries that the controller knows from answers and not from the watch, one bit
+    /// each: its own segments, and leases of which it was informed.
     ahead: u8,
+    /// A transaction of this controller awaits its answer.
     waits: bool,
-    /// Attempts of the two tasks that it saw end, and that it never orders again.
+    /// The latest attempt at each task that this controller saw end and never starts again.
     ended: [u8; TASKS],
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
+/// State of the store, the transactions in flight, both controllers and the tasks.
 pub struct State {
     ledger: Vec<Entry>,
-    flying: Vec<Txn>,
+    in_flight: Vec<Txn>,
     controllers: [Controller; 2],
-    /// On which machines each task runs.
+    /// The machines on which each task runs.
     runs: [[bool; MACHINES]; TASKS],
     restarted: bool,
 }
 
-/// What a controller's view comes to.
+/// The state that a controller derives from the entries it knows.
 #[derive(Debug, Default)]
 struct ClusterState {
     /// The machine where each task is placed, and its attempt.
@@ -142,19 +157,21 @@
         v
     }
 
-    /// The newest revisions of the job's record and of a grant.
+    /// The newest revision of an entry of this kind, or 0.
     fn newest(&self, which: impl Fn(&Entry) -> bool) -> u8 {
         self.ledger.iter().rposition(which).map_or(0, |i| i as u8 + 1)
     }
 
-    fn flies(&mut self, txn: Txn) {
-        self.flying.push(txn);
-        self.flying.sort();
+    /// Adds a transaction to those in flight, whose order is canonical.
+    fn send(&mut self, txn: Txn) {
+        self.in_flight.push(txn);
+        self.in_flight.sort();
     }
 }
 
 impl Log {
-    fn carried_out(&self, s: &State, t: &Txn) -> bool {
+    /// Whether the store commits the transaction.
+    fn commits(&self, s: &State, t: &Txn) -> bool {
         let slot = |e: &Entry| matches!(e, Entry::Segment { writer, seq, .. } if (*writer, *seq) == (t.writer, t.seq));
         let starts = matches!(t.fact, Fact::Start(..));
         let job = s.newest(|e| matches!(e, Entry::Lease(_)));
@@ -171,7 +188,7 @@
         let seen = Controller { seen: 1, ..Controller::default() };
         State {
             ledger: vec![Entry::Lease(0)],
-            flying: Vec::new(),
+            in_flight: Vec::new(),
             controllers: [seen; 2],
             runs: [[false; MACHINES]; TASKS],
             restarted: false,
@@ -188,10 +205,10 @@
                 let me = &mut n.controllers[c];
                 me.seen += 1;
                 me.ahead &= !(1 << (me.seen - 1));
-                out.push((format!("{c} watches"), n));
+                out.push((format!("the watch of {c} delivers an entry"), n));
             }
-            // It acts under the grant of its own incarnation only.
-            if v.granted < me.life {
+            // A controller acts only under the grant of its own incarnation.
+            if v.granted < me.incarnation {
                 continue;
             }
             for t in 0..self.tasks {
@@ -211,15 +228,16 @@
                     }
                 }
                 let seen = !self.guards.seen || v.job <= me.seen;
-                let start = v.holder as usize == c && v.places[t].is_none() && v.highest_attempt[t] < TRIES && seen;
+                let start =
+                    v.holder as usize == c && v.places[t].is_none() && v.highest_attempt[t] < MAX_ATTEMPTS && seen;
                 let gone = here.filter(|p| me.ended[t] >= p.1).map(|p| Fact::Gone(t as u8, p.1));
                 let on = (0..MACHINES).filter(|m| start && OWNER[*m] == c);
                 let starts = on.map(|m| Fact::Start(t as u8, v.highest_attempt[t] + 1, m as u8));
-                for fact in starts.chain(gone).filter(|_| !me.waits && s.flying.len() < FLYING) {
+                for fact in starts.chain(gone).filter(|_| !me.waits && s.in_flight.len() < MAX_IN_FLIGHT) {
                     let mut n = s.clone();
                     n.controllers[c].waits = true;
                     let (job, grant) = (v.job, v.grant);
-                    n.flies(Txn { writer: c as u8, life: me.life, seq: v.seq + 1, fact, job, grant });
+                    n.send(Txn { writer: c as u8, incarnation: me.incarnation, seq: v.seq + 1, fact, job, grant });
                     out.push((format!("{c} writes {fact:?}"), n));
                 }
             }
@@ -229,36 +247,36 @@
                 out.push((format!("{c} gives up waiting"), n));
             }
         }
-        for (i, t) in s.flying.iter().enumerate() {
+        for (i, t) in s.in_flight.iter().enumerate() {
             let c = t.writer as usize;
-            let done = self.carried_out(s, t) && !full;
+            let done = self.commits(s, t) && !full;
             for answered in [false, true] {
                 let mut n = s.clone();
-                n.flying.remove(i);
+                n.in_flight.remove(i);
                 if done {
                     n.ledger.push(Entry::Segment { writer: t.writer, seq: t.seq, fact: t.fact });
                 }
                 let me = &mut n.controllers[c];
-                // An answer to a call that was given up is not read.
-                if answered && me.waits && me.life == t.life {
+                // The answer to an abandoned request is ignored.
+                if answered && me.waits && me.incarnation == t.incarnation {
                     me.waits = false;
                     if done {
                         me.ahead |= 1 << (n.ledger.len() - 1);
                     }
                 }
-                out.push((format!("{t:?} comes, answered {answered}"), n));
+                out.push((format!("{t:?} arrives, answered {answered}"), n));
             }
         }
         if !full {
-            // The leader moves the lease; the new holder may hear of it first.
-            let to = 1 - s.view_of_all().holder;
-            for confirmed in [false, true] {
+            // The leader reassigns the lease; the new holder may be informed ahead of its watch.
+            let to = 1 - s.complete_view().holder;
+            for informed in [false, true] {
                 let mut n = s.clone();
                 n.ledger.push(Entry::Lease(to));
-                if confirmed {
+                if informed {
                     n.controllers[to as usize].ahead |= 1 << (n.ledger.len() - 1);
                 }
-                out.push((format!("lease to {to}, told {confirmed}"), n));
+                out.push((format!("lease to {to}, informed {informed}"), n));
             }
         }
         if !s.restarted {
@@ -266,16 +284,16 @@
                 let mut n = s.clone();
                 n.restarted = true;
                 let seen = n.ledger.len() as u8;
-                n.controllers[c] = Controller { life: 1, seen, ..Controller::default() };
+                n.controllers[c] = Controller { incarnation: 1, seen, ..Controller::default() };
                 out.push((format!("{c} restarts"), n));
             }
         } else if !full {
             for c in 0..2u8 {
                 let granted = s.ledger.contains(&Entry::Grant(c));
-                if s.controllers[c as usize].life == 1 && !granted {
+                if s.controllers[c as usize].incarnation == 1 && !granted {
                     let mut n = s.clone();
                     n.ledger.push(Entry::Grant(c));
-                    out.push((format!("{c} is granted anew"), n));
+                    out.push((format!("{c} is granted its machines again"), n));
                 }
             }
         }
@@ -288,7 +306,8 @@
 }
 
 impl State {
-    fn view_of_all(&self) -> ClusterState {
+    /// The state derived from all entries of the ledger.
+    fn complete_view(&self) -> ClusterState {
         let mut all = self.clone();
         all.controllers[0].seen = self.ledger.len() as u8;
         all.view(0)
--- a/tests/models/maintenance.rs
+++ b/tests/models/maintenance.rs
@@ -1,38 +1,47 @@
-//! Two processes that each take themselves for the leader, replicas that lag, writes that
-//! come late and in any order, crashes, and an owner that stops what has a disruption permit: two
-//! replicas of a team, each on a machine of the batch, and a budget of one. The step is
-//! the real one (`maintenance::campaign::next`); the rest stands for the controller's maintenance component.
+//! Model of disruption permits during a maintenance campaign.
+//!
+//! Two processes both take themselves for the leader. Their views of the store lag, their
+//! writes arrive late and in any order, and they crash; an owner stops replicas that have a
+//! disruption permit. A team has two replicas, each on a machine of the wave, and a budget of
+//! one. The step function is the real one (`maintenance::campaign::next_step`); the rest
+//! stands for the controller's maintenance component.
+
+#![warn(missing_docs)]
 
 use finchquay::maintenance::budget::{DisruptionBudget, TeamReplicas};
 use finchquay::maintenance::campaign::{Campaign, Candidate, DisruptionPermit, MaintenanceRecord, next_step};
 use finchquay_explorer::Model;
 use std::collections::BTreeMap;
 
-/// What the accounting rests on; each can be taken away.
+/// Conditions that the accounting of permits depends on. Each one can be disabled, to show that it is needed.
 #[derive(Debug, Clone, Copy)]
-pub struct Rests {
-    /// The record is written on its version.
+pub struct Guards {
+    /// The write of the maintenance record is conditional on the version of the record.
     pub version: bool,
     /// A replica with a permit counts as away.
     pub counted: bool,
-    /// A permit comes back only once its replica has had the time to run.
+    /// A permit is returned only once its replica has had the time to start running.
     pub settled: bool,
 }
 
-impl Default for Rests {
-    fn default() -> Rests {
-        Rests { version: true, counted: true, settled: true }
+impl Default for Guards {
+    fn default() -> Guards {
+        Guards { version: true, counted: true, settled: true }
     }
 }
 
+/// The maintenance model with the conditions that are in force.
 pub struct Maintenance {
-    pub rests: Rests,
+    /// Conditions in force.
+    pub guards: Guards,
 }
 
+/// Replicas of the team.
 const REPLICAS: usize = 2;
-/// Writes under way at a time.
-const FLYING: usize = 2;
+/// Writes in flight at a time, at most.
+const MAX_IN_FLIGHT: usize = 2;
 
+/// Where a replica is placed: on its original machine, on none, or on a new one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 enum Placed {
     Old,
@@ -40,7 +49,7 @@
     New,
 }
 
-/// The store, or what somebody saw of it.
+/// The contents of the store, or a view of them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 struct Stored {
     version: u8,
@@ -49,13 +58,14 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
+/// State of the store, both leaders, the owner, the writes in flight and the replicas.
 pub struct State {
     stored: Stored,
     leaders: [Option<Stored>; 2],
-    /// What the owner of the machines saw last.
+    /// The view of the owner of the machines.
     owner: Stored,
-    /// Writes of permits: on which version, and what.
-    flying: Vec<(u8, [bool; REPLICAS])>,
+    /// Writes in flight: the version that each is conditional on, and the permits.
+    in_flight: Vec<(u8, [bool; REPLICAS])>,
     runs: [bool; REPLICAS],
 }
 
@@ -64,16 +74,16 @@
 }
 
 impl Maintenance {
-    /// The permits that a leader with this view wants written.
+    /// The permits that a leader with this view writes.
     fn decides(&self, view: &Stored, runs: &[bool; REPLICAS]) -> [bool; REPLICAS] {
         let mut permits = view.permits;
         for i in 0..REPLICAS {
-            // The time that a start takes stands for its having run.
-            let back = view.placed[i] == Placed::New && (runs[i] || !self.rests.settled);
+            // A running replica stands for one whose start has had enough time.
+            let back = view.placed[i] == Placed::New && (runs[i] || !self.guards.settled);
             permits[i] &= !back;
         }
-        let away = (0..REPLICAS).filter(|i| view.placed[*i] == Placed::Nowhere || self.rests.counted && permits[*i]);
-        let standing = TeamReplicas { wanted: REPLICAS as u32, away: away.count() as u32 };
+        let away = (0..REPLICAS).filter(|i| view.placed[*i] == Placed::Nowhere || self.guards.counted && permits[*i]);
+        let team = TeamReplicas { wanted: REPLICAS as u32, away: away.count() as u32 };
         let left: Vec<Candidate> = (0..REPLICAS)
             .filter(|i| view.placed[*i] == Placed::Old)
             .map(|i| Candidate {
@@ -88,7 +98,7 @@
             permits: (0..REPLICAS).filter(|i| permits[*i]).map(permit).collect(),
             ..MaintenanceRecord::default()
         };
-        let teams = BTreeMap::from([("t".to_string(), standing)]);
+        let teams = BTreeMap::from([("t".to_string(), team)]);
         let step = next_step(
             &rec,
             &Campaign::default(),
@@ -109,7 +119,7 @@
 
     fn start(&self) -> State {
         let stored = Stored { version: 0, permits: [false; REPLICAS], placed: [Placed::Old; REPLICAS] };
-        State { stored, leaders: [None; 2], owner: stored, flying: Vec::new(), runs: [true; REPLICAS] }
+        State { stored, leaders: [None; 2], owner: stored, in_flight: Vec::new(), runs: [true; REPLICAS] }
     }
 
     fn next(&self, s: &State, out: &mut Vec<(String, State)>) {
@@ -122,21 +132,21 @@
             let Some(view) = leader else { continue };
             let mut n = s.clone();
             n.leaders[p] = None;
-            out.push((format!("leader {p} ends"), n));
-            let wants = self.decides(view, &s.runs);
-            let write = (view.version, wants);
-            if wants != view.permits && s.flying.len() < FLYING && !s.flying.contains(&write) {
+            out.push((format!("leader {p} crashes"), n));
+            let permits = self.decides(view, &s.runs);
+            let write = (view.version, permits);
+            if permits != view.permits && s.in_flight.len() < MAX_IN_FLIGHT && !s.in_flight.contains(&write) {
                 let mut n = s.clone();
-                n.flying.push(write);
-                n.flying.sort_unstable();
-                out.push((format!("leader {p} writes {wants:?}"), n));
+                n.in_flight.push(write);
+                n.in_flight.sort_unstable();
+                out.push((format!("leader {p} writes {permits:?}"), n));
             }
         }
-        for k in 0..s.flying.len() {
+        for k in 0..s.in_flight.len() {
             let mut n = s.clone();
-            let (version, permits) = n.flying.remove(k);
-            if version == s.stored.version || !self.rests.version {
-                // A replica moves once here, so versions stay few.
+            let (version, permits) = n.in_flight.remove(k);
+            if version == s.stored.version || !self.guards.version {
+                // A replica moves only once in this model, so there are few versions.
                 n.stored.version += 1;
                 n.stored.permits = permits;
             }
@@ -173,7 +183,7 @@
 
     fn check(&self, s: &State) -> Result<(), String> {
         if s.stored.version > 8 {
-            return Err("tickets are written for ever".into());
+            return Err("permits are written without end".into());
         }
         match s.runs.iter().filter(|r| !**r).count() {
             0 | 1 => Ok(()),
