--- a/tests/connectivity/mod.rs
+++ b/tests/connectivity/mod.rs
@@ -1,46 +1,51 @@
-//! Cuts that leave some links up, at some hundred machines: nothing that some
-//! controller could answer for loses its lease, and nothing that lives is returned.
+//! Partial network partitions with up to 150 machines: no machine that a controller
+//! could serve loses its lease, and no live machine is returned to the cloud.
 
-use crate::reconciliation::seeds;
+#![warn(missing_docs)]
+
+use crate::reconciliation::seed_count;
 use crate::world::helpers::{running, with_spare_machines};
 use crate::world::{CANCEL_S, LEASE_S, SMALL, Size, World, array, s, service};
 use rand::RngExt;
 
+/// A cluster of two zones whose cloud has 20 spare machines.
 fn fleet(seed: u64, controllers: usize, machines: u32, write_rps: f64) -> World {
     let size = Size { controllers, machines, write_rps, zones: &["a", "b"], ..SMALL };
     with_spare_machines(seed, size, 20)
 }
 
-/// Tasks that a lapsed lease ended.
-fn lapsed(w: &World) -> u32 {
+/// The number of tasks that ended because a lease expired.
+fn tasks_ended_by_leases(w: &World) -> u32 {
     w.workers.values().map(|x| x.lapsed).sum()
 }
 
-/// The store takes less than submissions and starts of services want to write;
-/// they overdraw, and the claim to a vacant lead waited for a level above nothing.
-/// Nobody led for a minute, and the tasks of the leader's shard lapsed.
+/// Guards against a missing leader under write overload. Submissions and starts of services
+/// exceeded the write limit of the store and overdrew the write budget; the claim to the
+/// vacant leadership waited until the budget was above zero. There was no leader for a
+/// minute, and the leases in the old leader's shard expired.
 #[test]
-fn leadership_is_taken_however_much_is_written() {
+fn leadership_is_taken_under_write_overload() {
     let mut w = fleet(30, 5, 60, 12.0);
     w.submit("run-009", service(60));
     w.run_until(30.0);
-    // Services come at twice the rate at which they can be written down.
+    // Services are submitted at twice the rate at which they can be stored.
     for n in 0..700 {
         w.later(30.0 + 0.06 * f64::from(n), move |w| w.submit(&format!("run-{n:03}19"), service(1)));
     }
     let leader = w.store.leader().unwrap();
     w.later(32.0, move |w| w.nodes[leader].refused = true);
     w.run_until(42.0);
-    assert!(w.store.leader().is_some_and(|l| l != leader), "nobody leads");
+    assert!(w.store.leader().is_some_and(|l| l != leader), "no new leader");
     w.run_until(70.0);
-    assert_eq!(lapsed(&w), 0);
+    assert_eq!(tasks_ended_by_leases(&w), 0);
     assert!(running(&w, "run-009") == 60);
 }
 
-/// A deaf controller's machines went from one to the other for three report
-/// intervals and more; their leases ran out, and the deaf one returned them.
+/// Guards against the loss of machines whose controller receives no heartbeats. The machines
+/// moved from controller to controller for three report intervals and more; their leases
+/// expired, and the controller without heartbeats returned them.
 #[test]
-fn the_machines_of_a_deaf_controller_go_to_others() {
+fn machines_of_a_controller_without_heartbeats_are_reassigned() {
     for (seed, leads) in [(31, false), (32, true), (33, false)] {
         let mut w = fleet(seed, 3, 150, 100.0);
         w.submit("run-009", service(300));
@@ -50,21 +55,21 @@
         w.nodes[deaf].deaf = true;
         w.later(80.0, move |w| w.nodes[deaf].deaf = false);
         w.run_until(120.0);
-        assert_eq!((lapsed(&w), w.counters.tasks_lost_on_reachable_machines), (0, 0), "seed {seed}");
+        assert_eq!((tasks_ended_by_leases(&w), w.counters.tasks_lost_on_reachable_machines), (0, 0), "seed {seed}");
         assert_eq!(running(&w, "run-009"), 300, "seed {seed}");
     }
 }
 
-/// Cut from the store, held or refused, with answers lost: the shard goes to those
-/// that reach it, before a lease runs out.
+/// Two controllers lose the store: their requests are held or refused, or the answers are
+/// lost. Their shards move to controllers that reach the store before a lease expires.
 #[test]
-fn the_machines_of_a_controller_without_the_store_go_to_others() {
+fn machines_of_a_controller_without_the_store_are_reassigned() {
     for seed in 34..40 {
         let mut w = fleet(seed, 5, 150, 60.0);
         w.submit("run-009", service(300));
         w.run_until(30.0);
         let leader = w.store.leader().unwrap();
-        // The leader, and another.
+        // The leader and another controller.
         for node in [leader, (leader + 1) % 5] {
             match seed % 3 {
                 0 => w.nodes[node].store_cut = true,
@@ -78,14 +83,15 @@
         }
         w.later(33.0, |w| w.jobs.get_mut("run-009").unwrap().cancel_asked = false);
         w.run_until(130.0);
-        assert_eq!((lapsed(&w), w.counters.tasks_lost_on_reachable_machines), (0, 0), "seed {seed}");
+        assert_eq!((tasks_ended_by_leases(&w), w.counters.tasks_lost_on_reachable_machines), (0, 0), "seed {seed}");
         assert_eq!(running(&w, "run-009"), 300, "seed {seed}");
     }
 }
 
-/// A third of the machines reach one controller only, which does not own them.
+/// A third of the machines reach a single controller only, which owns few of them, and are
+/// reassigned to it.
 #[test]
-fn machines_go_to_the_controller_that_they_reach() {
+fn machines_are_reassigned_to_the_controller_that_they_reach() {
     let mut w = fleet(41, 3, 90, 100.0);
     w.submit("run-009", service(180));
     w.run_until(30.0);
@@ -95,14 +101,14 @@
         }
     }
     w.run_until(80.0);
-    assert_eq!((lapsed(&w), w.counters.tasks_lost_on_reachable_machines), (0, 0));
+    assert_eq!((tasks_ended_by_leases(&w), w.counters.tasks_lost_on_reachable_machines), (0, 0));
     assert_eq!(running(&w, "run-009"), 180);
 }
 
-/// A zone is cut off from all for less than a lease: nothing in it is returned,
-/// and when it is back its tasks go on. Before, a quarter of each shard went.
+/// A zone is cut off from all controllers for less than a lease: no machine in it is
+/// returned, and its tasks continue. Before, a quarter of each shard was returned.
 #[test]
-fn a_zone_that_comes_back_in_time_loses_nothing() {
+fn a_zone_cut_off_for_less_than_a_lease_loses_no_task() {
     let mut w = fleet(42, 3, 150, 100.0);
     w.submit("run-009", service(300));
     w.run_until(30.0);
@@ -111,15 +117,15 @@
     w.run_until(44.0);
     names.iter().for_each(|n| w.cut_worker(n, false));
     w.run_until(80.0);
-    assert_eq!((lapsed(&w), w.counters.tasks_lost_on_reachable_machines), (0, 0));
+    assert_eq!((tasks_ended_by_leases(&w), w.counters.tasks_lost_on_reachable_machines), (0, 0));
     assert_eq!(w.cloud.returned.iter().filter(|r| names.contains(&r.1)).count(), 0);
     assert_eq!(running(&w, "run-009"), 300);
 }
 
-/// With the links between controllers refused nobody can say that nobody hears a
-/// machine: a dead one's tasks wait for its lease, and no longer.
+/// While the links between controllers are cut, no controller can establish that all of them
+/// lost a machine: the tasks of a lost machine wait for the end of its lease, and no longer.
 #[test]
-fn without_links_between_controllers_a_lease_is_waited_for() {
+fn a_lost_machine_keeps_its_lease_while_controllers_are_disconnected() {
     let mut w = fleet(43, 3, 60, 100.0);
     w.submit("run-009", service(120));
     w.run_until(30.0);
@@ -130,19 +136,19 @@
     let name = w.workers.values().max_by_key(|x| x.tasks.len()).unwrap().name.clone();
     w.cut_worker(&name, true);
     w.run_until(36.0 + LEASE_S - 4.0);
-    assert!(w.workers.contains_key(&name), "returned on the word of one");
+    assert!(w.workers.contains_key(&name), "returned because a single controller lost it");
     w.run_until(36.0 + LEASE_S + 12.0);
     let elsewhere = running(&w, "run-009");
     assert!(elsewhere >= 120, "{elsewhere}");
 }
 
-/// Machines that the cloud lists no more are proved gone sooner than by silence.
+/// Machines that the cloud no longer lists are proved gone sooner than by missing heartbeats.
 #[test]
-fn machines_that_are_listed_no_more_are_not_waited_for() {
+fn machines_missing_from_the_cloud_list_are_not_waited_for() {
     let mut w = fleet(44, 3, 90, 100.0);
     w.submit("run-009", service(180));
     w.run_until(50.0);
-    // Half of one zone at once: silence alone would count as a cut.
+    // Half of one zone at once: missing heartbeats alone would count as a network partition.
     let names: Vec<String> = w.workers.values().filter(|x| x.zone == "b").map(|x| x.name.clone()).step_by(2).collect();
     for n in names.iter().chain(names.iter()) {
         w.cloud.machines.remove(n);
@@ -152,10 +158,10 @@
     assert_eq!(running(&w, "run-009"), 180);
 }
 
-/// The store refuses all for longer than one controller may act by itself: all
-/// attest that nobody can have been told of a cancellation, and nothing stops.
+/// The store is down for all controllers for longer than one of them may act alone: all
+/// attest that no cancellation can have been confirmed to a user, and no task stops.
 #[test]
-fn an_outage_of_the_store_for_all_stops_nothing_while_all_attest() {
+fn a_store_outage_stops_no_task_while_all_controllers_attest() {
     let mut w = fleet(45, 5, 80, 60.0);
     w.submit("run-009", service(160));
     w.run_until(30.0);
@@ -166,18 +172,19 @@
     w.run_until(30.0 + 3.0 * CANCEL_S);
     w.store.set_down(w.now, false);
     w.run_until(60.0 + 3.0 * CANCEL_S);
-    assert_eq!((running(&w, "run-009"), lapsed(&w)), (160, 0));
+    assert_eq!((running(&w, "run-009"), tasks_ended_by_leases(&w)), (160, 0));
 }
 
-/// One that says nothing ends the attestation: it might have told a user that the
-/// job is cancelled. The world checks that no task outlives that by `cancel_s`.
+/// A controller whose heartbeats are missing ends the attestation, as it may have confirmed
+/// to a user that the job is cancelled. The world checks that no task outlives that
+/// confirmation by `cancel_s`.
 #[test]
 fn a_missing_peer_ends_the_attestation_in_time() {
     for seed in 0..4 {
         let mut w = fleet(46 + seed, 5, 60, 60.0);
         w.submit("run-009", service(120));
         w.run_until(30.0);
-        // One controller alone still has the store, and is not heard by the others.
+        // One controller alone reaches the store, and the others do not receive its heartbeats.
         let isolated = w.rng.random_range(0..5);
         for n in (0..5).filter(|n| *n != isolated) {
             w.nodes[n].refused = true;
@@ -193,18 +200,18 @@
     }
 }
 
-/// Links of every kind cut at random, several at once, held, refused, one way.
+/// Links of every kind fail at random, several at once: held back, refused, or in one direction.
 #[test]
 fn rules_hold_under_random_cuts() {
-    // 12: a new owner returned a machine that its old one, which saw nothing any
-    // more, still answered. 28: a job was complete while its holder was no member,
-    // and nobody ended it when that was back.
-    for seed in (0..seeds(5)).chain([12, 28]) {
+    // Seed 12: a new owner returned a machine that its old owner, whose watch was stalled,
+    // still answered. Seed 28: a job was complete while the holder of its lease was not a
+    // member, and no controller closed the job when the holder was back.
+    for seed in (0..seed_count(5)).chain([12, 28]) {
         random_cuts(seed);
     }
 }
 
-/// One world with cuts, to its end.
+/// Runs one world with random link failures to its end.
 pub fn random_cuts(seed: u64) {
     let (nodes, machines) = (7, 120);
     let mut w = fleet(5000 + seed, nodes, machines, 60.0);
@@ -214,8 +221,8 @@
         let uid = format!("run-{n:02}{}", n % 5);
         let job = array(w.rng.random_range(4..60), 4.0);
         if n % 4 == 1 {
-            let (gone, uid) = (w.rng.random_range(at..100.0), uid.clone());
-            w.later(gone, move |w| w.jobs.get_mut(&uid).unwrap().cancel_asked = true);
+            let (cancel_at, uid) = (w.rng.random_range(at..100.0), uid.clone());
+            w.later(cancel_at, move |w| w.jobs.get_mut(&uid).unwrap().cancel_asked = true);
         }
         w.later(at, move |w| w.submit(&uid, job));
     }
@@ -251,7 +258,7 @@
                 w.later(end, move |w| w.faults.peers_cut.clear());
             }
             6 => {
-                // A zone's machines reach one controller only.
+                // The machines of a zone reach a single controller only.
                 let set = move |w: &mut World, on: bool| {
                     for x in w.workers.values_mut().filter(|x| x.zone == "b") {
                         x.unreached = if on { (0..nodes).filter(|n| *n != i).collect() } else { [].into() };
@@ -272,10 +279,10 @@
         }
     }
     w.run_until(260.0);
-    assert_eq!(w.counters.tasks_lost_on_reachable_machines, 0, "seed {seed}: tasks on machines that live were lost");
+    assert_eq!(w.counters.tasks_lost_on_reachable_machines, 0, "seed {seed}: tasks on reachable machines were lost");
     for (uid, j) in &w.jobs {
-        let over = j.confirmed_done || j.cancelled_at.is_some() || j.standing;
-        assert!(over, "seed {seed}: {uid} is not over: {j:?}");
+        let finished = j.confirmed_done || j.cancelled_at.is_some() || j.standing;
+        assert!(finished, "seed {seed}: {uid} is not finished: {j:?}");
     }
     assert!(w.now == s(260.0));
 }
--- a/tests/known/mod.rs
+++ b/tests/known/mod.rs
@@ -1,26 +1,29 @@
-//! Every accepted job runs or stays known, whatever was said late, to nobody, or by a
-//! process or machine that is back already: copies of reports, machines that hear
-//! nothing, controllers alone with their agents, ends in the middle of an election.
+//! Every accepted job runs, and every controller can answer queries about it, whatever
+//! messages are late or lost or were sent by an earlier incarnation of a process or machine:
+//! duplicated heartbeats, machines that receive nothing, controllers that reach only their
+//! agents, crashes during elections.
+
+#![warn(missing_docs)]
 
 mod fairness;
 mod gangs;
 
-use crate::reconciliation::seeds;
+use crate::reconciliation::seed_count;
 use crate::world::helpers::{done, fleet, random_failures, running};
 use crate::world::worker::{TaskState, Worker};
 use crate::world::{CANCEL_S, LEASE_S, REPORT_S, SMALL, Size, World, array, s, service};
 use rand::RngExt;
 
-/// Seconds without an answered question after which a job counts as forgotten.
-const FORGOTTEN_S: f64 = 75.0;
+/// Time without an answered query after which a job counts as forgotten.
+const FORGOTTEN_AFTER_S: f64 = 75.0;
 
-/// Asks every controller about every accepted job, again and again for as long as a job may
-/// go without an answer; each of the two must come to an answer with the other.
-pub fn all_are_known(w: &mut World) {
+/// Asserts that every controller knows every accepted job: queries each of them about each
+/// job, repeatedly for as long as a job may go without an answer.
+pub fn assert_all_jobs_known(w: &mut World) {
     let (seed, nodes) = (w.seed, w.nodes.len());
     let accepted: Vec<String> = w.jobs.iter().filter(|(_, j)| j.accepted).map(|(uid, _)| uid.clone()).collect();
     let pairs = || accepted.iter().flat_map(|uid| (0..nodes).map(move |i| (uid.clone(), i)));
-    let until = w.now.as_secs_f64() + FORGOTTEN_S;
+    let until = w.now.as_secs_f64() + FORGOTTEN_AFTER_S;
     w.asked.clear();
     while w.now.as_secs_f64() < until {
         for (uid, i) in pairs() {
@@ -35,15 +38,15 @@
     }
 }
 
-/// All faults drawn, copies of any age among them; then calm.
+/// Random faults of all kinds, among them duplicated heartbeats of any age, then no faults.
 #[test]
 fn every_accepted_job_is_known_after_any_failures() {
-    for seed in 0..seeds(8) {
+    for seed in 0..seed_count(8) {
         any_failures(seed);
     }
 }
 
-/// One world with all faults, to its end.
+/// Runs one world with faults of all kinds to its end.
 pub fn any_failures(seed: u64) {
     let team_max = if seed.is_multiple_of(2) { 12.0 } else { 60.0 };
     let controllers = [3, 5, 7][seed as usize % 3];
@@ -55,12 +58,12 @@
     w.faults.restart_range_s = Some((0.01, 0.9));
     let mut w = random_failures(w, 24, 20, 260.0);
     w.faults.duplicated_heartbeats = None;
-    all_are_known(&mut w);
+    assert_all_jobs_known(&mut w);
 }
 
-/// A machine that is dead was kept for as long as copies of its reports came.
+/// Guards against a lost machine being kept as long as duplicates of its heartbeats arrive.
 #[test]
-fn duplicated_heartbeats_keep_no_dead_machine_alive() {
+fn duplicated_heartbeats_do_not_keep_a_lost_machine() {
     for seed in 0..6 {
         let mut w = fleet(8100 + seed, 3, 24);
         w.submit("run-009", service(24));
@@ -74,9 +77,9 @@
             w.later(16.0 + 0.5 * n as f64, move |w| w.send_duplicate(node, copy));
         }
         w.run_until(31.0);
-        assert!(!w.workers.contains_key(&name), "seed {seed}: it is held to be alive");
+        assert!(!w.workers.contains_key(&name), "seed {seed}: the lost machine counts as live");
         assert_eq!(running(&w, "run-009"), 24, "seed {seed}");
-        // Returned, it must not be recorded again by whoever has a copy.
+        // After its return, a duplicate must not make a controller record the machine again.
         w.run_until(60.0);
         let to = w.rng.random_range(0..3);
         w.crash(to);
@@ -87,14 +90,15 @@
             w.later(66.0 + n as f64, move |w| w.send_duplicate(to, copy));
         }
         w.run_until(80.0);
-        assert_eq!(w.store.count("fq/h/"), machines, "seed {seed}: what was returned is back");
+        assert_eq!(w.store.count("fq/h/"), machines, "seed {seed}: a returned machine was recorded again");
     }
 }
 
-/// A copy under notice, as the first word that a new process has of a machine, drained
-/// it: its services were stopped for nothing.
+/// Guards against a duplicated heartbeat with a preemption notice that drains a machine. Where
+/// it was the first message from the machine to a restarted controller, the machine was
+/// drained and its services were stopped needlessly.
 #[test]
-fn a_duplicated_heartbeat_is_no_notice_and_no_exit() {
+fn a_duplicated_heartbeat_drains_no_machine() {
     for seed in 0..12 {
         let mut w = fleet(8200 + seed, 3, 12);
         w.submit("run-009", service(24));
@@ -106,7 +110,7 @@
             x.preempted_at = Some(now + s(4.0));
             let copy = x.report(now);
             x.preempted_at = None;
-            // The copy is the first word that the new processes have.
+            // The duplicate is the first message that the restarted controllers receive.
             x.next_report = now + s(REPORT_S);
             copy
         };
@@ -122,10 +126,11 @@
     }
 }
 
-/// A machine that ended and was back at once, its counters begun anew, was refused as
-/// a copy of itself until it was given up and returned.
+/// Guards against the loss of a machine whose agent restarts at once. Its counters started
+/// again, and its heartbeats were refused as duplicates until the machine was given up and
+/// returned.
 #[test]
-fn a_machine_that_is_back_at_once_goes_on() {
+fn a_machine_whose_agent_restarts_at_once_continues() {
     for seed in 0..6 {
         let mut w = fleet(8300 + seed, 3, 10);
         w.cloud.most = 10;
@@ -135,18 +140,19 @@
         let name = w.workers.iter().max_by_key(|(_, x)| x.tasks.len()).unwrap().0.clone();
         let now = w.now;
         w.workers.get_mut(&name).unwrap().restart_agent(now);
-        // Well before it would count as silent, and be called for that.
+        // Well before its heartbeats would count as missing and it would be contacted for that.
         w.run_until(20.0 + 1.4 * REPORT_S);
         assert_eq!(running(&w, "run-009"), 60, "seed {seed}");
-        assert!(w.workers.contains_key(&name), "seed {seed}: it was returned");
+        assert!(w.workers.contains_key(&name), "seed {seed}: the machine was returned");
     }
 }
 
-/// A machine whose reports come while nothing reaches it was answered, and so held to
-/// have renewed its lease, for ever: its tasks were on record and ran nowhere. Nothing
-/// is stopped there before its lease is over, and it is not handed round.
+/// Guards against tasks that are on record but run nowhere. A machine whose heartbeats arrive
+/// while no answer reaches it counted as having renewed its lease, indefinitely. None of its
+/// tasks is stopped before its lease expires, and it is not passed from controller to
+/// controller.
 #[test]
-fn what_a_machine_that_hears_nothing_had_runs_elsewhere() {
+fn tasks_of_a_machine_that_receives_nothing_run_elsewhere() {
     for (seed, controllers) in [(0, 3), (1, 3), (2, 7), (3, 7)] {
         let mut w = fleet(8400 + seed, controllers, 30);
         w.submit("run-009", service(60));
@@ -154,34 +160,37 @@
         w.run_until(20.0);
         let name = w.workers.iter().max_by_key(|(_, x)| x.tasks.len()).unwrap().0.clone();
         w.workers.get_mut(&name).unwrap().deaf = true;
-        // Returned it would be proved empty; where that fails its lapsed lease does it.
+        // The return of the machine proves its tasks gone; while the cloud is down, its expired lease does.
         w.cloud.down = seed % 2 == 1;
         let before = w.store.revision();
         let n = name.clone();
         for at in 21..37 {
             let n = n.clone();
-            w.later(f64::from(at), move |w| assert!(w.workers.contains_key(&n), "ended by us after {at} s"));
+            w.later(f64::from(at), move |w| {
+                assert!(w.workers.contains_key(&n), "returned before its lease expired, at {at} s")
+            });
         }
-        // Its lease, a grant to whoever hears it, and a round of all.
+        // Its lease, a grant to a controller that receives its heartbeats, and one attempt at each controller.
         let bound = 20.0 + LEASE_S + CANCEL_S + 5.5 * controllers as f64;
         w.run_until(bound);
         assert_eq!(running(&w, "run-009"), 60, "seed {seed}");
         assert!(done(&w, "run-008"), "seed {seed}");
         let moves = w.store.changes(&format!("fq/h/{name}"), before);
-        assert!(moves <= 3, "seed {seed}: handed round, {moves} changes");
+        assert!(moves <= 3, "seed {seed}: passed between controllers, {moves} changes");
     }
 }
 
-/// One that hears again is used again, and what merely lost an answer never was out.
+/// A machine that receives answers again is used again, and one that merely missed an answer
+/// is never taken out of use.
 #[test]
-fn a_machine_that_hears_again_is_used_again() {
+fn a_machine_that_receives_answers_again_is_used_again() {
     let mut w = fleet(8500, 3, 8);
     w.cloud.most = 8;
     w.submit("run-009", service(40));
     w.run_until(16.0);
     let names: Vec<String> = w.workers.keys().cloned().collect();
     for (n, name) in names.iter().enumerate() {
-        // Each loses an answer, one after the other.
+        // Each machine misses an answer, one after the other.
         let (a, b) = (name.clone(), name.clone());
         w.later(16.0 + 3.0 * n as f64, move |w| w.workers.get_mut(&a).unwrap().deaf = true);
         w.later(18.2 + 3.0 * n as f64, move |w| w.workers.get_mut(&b).unwrap().deaf = false);
@@ -189,12 +198,12 @@
     w.run_until(55.0);
     let lapsed: u32 = w.workers.values().map(|x| x.lapsed).sum();
     assert_eq!((w.workers.len(), running(&w, "run-009"), lapsed), (8, 40, 0));
-    assert!(names.iter().all(|n| w.workers.contains_key(n)), "one was returned");
+    assert!(names.iter().all(|n| w.workers.contains_key(n)), "a machine was returned");
 }
 
-/// Half of the fleet hears nothing for a while: that is no reason to return it.
+/// A zone with half of the machines receives nothing for a while: none of them is returned.
 #[test]
-fn a_zone_that_hears_nothing_is_not_returned() {
+fn machines_of_a_zone_that_receives_nothing_are_not_returned() {
     let mut w = fleet(8600, 3, 30);
     w.submit("run-009", service(60));
     w.run_until(20.0);
@@ -210,9 +219,9 @@
     assert!(w.counters.tasks_lost_on_reachable_machines == 0);
 }
 
-/// Controllers that lose the store and each other, but not their agents, with the
-/// leader among them: nothing that runs is lost to it, and what was stored meanwhile
-/// by others is not written over.
+/// Controllers, among them the leader, lose the store and the other controllers, but not
+/// their agents: no running task is lost, and they do not overwrite what other controllers
+/// stored meanwhile.
 #[test]
 fn controllers_isolated_with_their_agents_step_down_in_time() {
     for (seed, isolated, leads) in [(0, 1, false), (1, 1, true), (2, 3, true)] {
@@ -222,33 +231,36 @@
         w.run_until(20.0);
         let leader = w.store.leader().unwrap();
         let first = if leads { leader } else { (leader + 1) % 7 };
-        let alone: Vec<usize> = (0..isolated).map(|n| (first + n) % 7).collect();
-        alone.iter().for_each(|i| w.isolate(*i, true));
+        let isolated_nodes: Vec<usize> = (0..isolated).map(|n| (first + n) % 7).collect();
+        isolated_nodes.iter().for_each(|i| w.isolate(*i, true));
         w.later(26.0, |w| w.submit("run-001", array(20, 4.0)));
-        let back = alone.clone();
+        let back = isolated_nodes.clone();
         w.later(80.0, move |w| back.iter().for_each(|i| w.isolate(*i, false)));
         w.run_until(45.0);
-        assert!(w.jobs["run-001"].accepted, "seed {seed}: nobody takes work");
-        assert!(alone.iter().all(|i| !w.healthy(*i)), "seed {seed}: users are still sent there");
+        assert!(w.jobs["run-001"].accepted, "seed {seed}: no controller accepts jobs");
+        assert!(
+            isolated_nodes.iter().all(|i| !w.healthy(*i)),
+            "seed {seed}: users are still routed to isolated controllers"
+        );
         w.run_until(130.0);
         assert!(done(&w, "run-001") && done(&w, "run-008"), "seed {seed}");
         assert_eq!(running(&w, "run-009"), 140, "seed {seed}");
         assert_eq!(w.counters.tasks_lost_on_reachable_machines, 0, "seed {seed}");
-        all_are_known(&mut w);
+        assert_all_jobs_known(&mut w);
     }
 }
 
-/// Whoever leads ends as soon as it leads, and is back 10 to 900 ms later, together
-/// with another; machines end and are back meanwhile. Somebody leads in the end, and no
-/// grant is lost.
+/// Each leader crashes as soon as it leads and is back 10 to 900 ms later, together with
+/// another controller; agents of machines restart meanwhile. There is a leader in the end,
+/// and no grant is lost.
 #[test]
 fn crashes_during_elections_lose_no_grant() {
-    for seed in 0..seeds(8) {
+    for seed in 0..seed_count(8) {
         ends_in_elections(seed);
     }
 }
 
-/// One world with ends of leaders, to its end.
+/// Runs one world with crashes of leaders to its end.
 pub fn ends_in_elections(seed: u64) {
     let mut w = fleet(8800 + seed, if seed.is_multiple_of(2) { 3 } else { 7 }, 40);
     let nodes = w.nodes.len();
@@ -273,10 +285,10 @@
     }
     w.later(46.0, |w| w.submit("run-001", array(20, 4.0)));
     w.run_until(75.0);
-    assert!(w.store.leader().is_some(), "seed {seed}: nobody leads");
+    assert!(w.store.leader().is_some(), "seed {seed}: no leader");
     assert!(done(&w, "run-001"), "seed {seed}");
     assert_eq!(running(&w, "run-009"), 80, "seed {seed}");
-    let on = |x: &Worker| x.tasks.values().filter(|t| t.state == TaskState::Running).count();
-    assert!(w.workers.values().filter(|x| on(x) > 0).count() > 5);
-    all_are_known(&mut w);
+    let running_on = |x: &Worker| x.tasks.values().filter(|t| t.state == TaskState::Running).count();
+    assert!(w.workers.values().filter(|x| running_on(x) > 0).count() > 5);
+    assert_all_jobs_known(&mut w);
 }
--- a/tests/log/mod.rs
+++ b/tests/log/mod.rs
@@ -1,19 +1,23 @@
-//! The controllers' logs under failures: batches without answers, late ones, two
-//! incarnations of one writer, rings that go round. The world checks at every
-//! step that no task is in two places and that all limits hold.
+//! The controllers' logs under failures: batches that are late or whose answers are lost, two
+//! incarnations of one writer, rings that wrap around. The world checks at every step that no
+//! task runs in two places and that all limits hold.
 
-use crate::reconciliation::seeds;
+#![warn(missing_docs)]
+
+use crate::reconciliation::seed_count;
 use crate::world::helpers::{done, running, with_spare_machines};
 use crate::world::{SMALL, Size, World, array, s, service};
 use ciborium::cbor;
 use rand::RngExt;
 
+/// A cluster of two zones whose cloud has ten spare machines.
 fn fleet(seed: u64, controllers: usize, machines: u32) -> World {
     let size = Size { controllers, machines, write_rps: 60.0, zones: &["a", "b"], team_max: 40.0, ..SMALL };
     with_spare_machines(seed, size, 10)
 }
 
-fn load(w: &mut World, jobs: usize, until_s: f64) {
+/// Submits arrays at random times until `until_s`; some are of a limited team, some are cancelled.
+fn submit_arrays(w: &mut World, jobs: usize, until_s: f64) {
     for n in 0..jobs {
         let at = w.rng.random_range(2.0..until_s);
         let mut j = array(w.rng.random_range(5..40), 3.0);
@@ -22,24 +26,26 @@
         }
         let uid = format!("run-{n:03}{}", n % 4);
         if n % 6 == 5 {
-            let (gone, uid) = (w.rng.random_range(at..until_s + 10.0), uid.clone());
-            w.later(gone, move |w| w.jobs.get_mut(&uid).unwrap().cancel_asked = true);
+            let (cancel_at, uid) = (w.rng.random_range(at..until_s + 10.0), uid.clone());
+            w.later(cancel_at, move |w| w.jobs.get_mut(&uid).unwrap().cancel_asked = true);
         }
         w.later(at, move |w| w.submit(&uid, j));
     }
 }
 
-fn all_over(w: &World) {
+/// Asserts that all jobs are finished.
+fn assert_all_finished(w: &World) {
     for (uid, j) in &w.jobs {
-        let over = j.confirmed_done || j.cancelled_at.is_some() || j.standing;
-        assert!(over, "seed {}: {uid} is not over: {j:?}", w.seed);
+        let finished = j.confirmed_done || j.cancelled_at.is_some() || j.standing;
+        assert!(finished, "seed {}: {uid} is not finished: {j:?}", w.seed);
     }
 }
 
-/// Each start used to take a change of its job's record. A batch carries all that
-/// gathered while the one before was under way.
+/// Guards against writes in proportion to the number of tasks, as each start used to change
+/// its job's record. A batch carries all starts that gathered while the one before was in
+/// flight.
 #[test]
-fn writes_grow_with_seconds_and_not_with_tasks() {
+fn writes_grow_with_time_and_not_with_tasks() {
     let mut per_task = Vec::new();
     for (machines, tasks) in [(30, 100), (120, 400)] {
         let mut w = fleet(60, 3, machines);
@@ -58,20 +64,20 @@
     assert!(large.1 > small.1 * 2.0 && large.0 < small.0 * 2, "{per_task:?}");
 }
 
-/// Answers to batches are lost, or the batches themselves come minutes late, after
-/// the writer was restarted and its machines had other owners.
+/// Answers to batches are lost, or the batches arrive up to 40 s late, after the writer
+/// restarted and its machines had other owners.
 #[test]
 fn batches_in_doubt_start_nothing_twice() {
-    for seed in 0..seeds(8) {
+    for seed in 0..seed_count(8) {
         batches_in_doubt(seed);
     }
 }
 
-/// One world of this kind, to its end.
+/// Runs one world with lost answers and late batches to its end.
 pub fn batches_in_doubt(seed: u64) {
     let mut w = fleet(6100 + seed, 5, 60);
     w.submit("run-009", service(20));
-    load(&mut w, 20, 60.0);
+    submit_arrays(&mut w, 20, 60.0);
     for _ in 0..8 {
         let at = w.rng.random_range(6.0..60.0);
         let end = at + w.rng.random_range(0.3..40.0);
@@ -81,7 +87,7 @@
             w.later(end, move |w| w.nodes[i].answers_lost = false);
         } else {
             w.later(at, move |w| w.nodes[i].store_cut = true);
-            // Restarted while its batch is held: what it wrote comes later.
+            // Restarted while its batch is held back: the batch arrives later.
             if w.rng.random_bool(0.5) {
                 let back = w.rng.random_range(at..end);
                 w.later(back, move |w| w.crash(i));
@@ -90,13 +96,13 @@
         }
     }
     w.run_until(240.0);
-    all_over(&w);
+    assert_all_finished(&w);
     assert_eq!(running(&w, "run-009"), 20, "seed {seed}");
 }
 
-/// A later version has been here, whose records this one would misread.
+/// A later version has written to the store, whose records this one would misread.
 #[test]
-fn state_of_a_later_format_is_not_touched() {
+fn state_of_a_later_format_is_not_modified() {
     let mut w = fleet(61, 3, 10);
     let term = cbor!({"then" => [{"put" => "fq/term", "data" => {"term" => 3, "form" => 99}}]}).unwrap();
     w.store.apply(s(0.1), &term);
@@ -106,7 +112,8 @@
     assert!((0..3).all(|i| !w.healthy(i)));
 }
 
-/// A cancellation, and a reassignment, refuse one job of a batch: the rest goes with the next.
+/// One job of a batch is refused because it was cancelled or reassigned meanwhile: the other
+/// jobs are stored with the next batch.
 #[test]
 fn one_job_that_changed_does_not_hold_up_the_batch() {
     let mut w = fleet(62, 3, 60);
@@ -121,19 +128,19 @@
         });
     }
     w.run_until(60.0);
-    all_over(&w);
+    assert_all_finished(&w);
 }
 
-/// Rings go round many times, with services that outlive them, while controllers
-/// restart and the store goes away.
+/// The log rings wrap around many times, with services that outlive the segments of their
+/// starts, while controllers restart and the store is down for a time.
 #[test]
-fn what_the_log_overwrites_is_in_checkpoints() {
-    for seed in 0..seeds(3) {
+fn overwritten_segments_are_in_checkpoints() {
+    for seed in 0..seed_count(3) {
         let mut w = fleet(6200 + seed, 2, 40);
         for n in 0..8 {
             w.later(2.0 + f64::from(n), move |w| w.submit(&format!("run-{n}09"), service(4)));
         }
-        load(&mut w, 140, 230.0);
+        submit_arrays(&mut w, 140, 230.0);
         for n in 0..5 {
             let at = 20.0 + 18.0 * f64::from(n);
             w.later(at, move |w| w.crash(n as usize % 2));
@@ -142,11 +149,11 @@
         w.later(53.0, |w| w.store.set_down(w.now, false));
         w.later(232.0, |w| (0..2).for_each(|i| w.crash(i)));
         w.run_until(420.0);
-        all_over(&w);
+        assert_all_finished(&w);
         for n in 0..8 {
             assert_eq!(running(&w, &format!("run-{n}09")), 4, "seed {seed}: service {n}");
         }
         let newest = w.store.newest_segment();
-        assert!(newest > 256 + 64, "{newest} segments: the ring did not go round");
+        assert!(newest > 256 + 64, "{newest} segments: the ring did not wrap around");
     }
 }
--- a/tests/meetings/answers.rs
+++ b/tests/meetings/answers.rs
@@ -1,14 +1,14 @@
-//! Answers to users: asked at all controllers within milliseconds after something was told, at
-//! the moment of a job's last end, and while answers of the store are lost.
+//! Answers to users: queries at all controllers within milliseconds after another answer, when
+//! the last task of a job ends, and while answers of the store are lost.
 
 use super::{all_over, cancel, fleet};
-use crate::known::all_are_known;
-use crate::reconciliation::seeds;
+use crate::known::assert_all_jobs_known;
+use crate::reconciliation::seed_count;
 use crate::world::{CloseQueries, Job, World, array, service};
 use rand::RngExt;
 
-/// Jobs of one to three tasks that come over half a minute.
-fn work(w: &mut World, jobs: usize) -> Vec<(f64, String)> {
+/// Submits jobs of one to three tasks over half a minute. Returns their times and ids.
+fn submit_small_arrays(w: &mut World, jobs: usize) -> Vec<(f64, String)> {
     let mut all = Vec::new();
     for n in 0..jobs {
         let (at, tasks) = (w.rng.random_range(4.0..34.0), w.rng.random_range(1..4));
@@ -19,20 +19,21 @@
     all
 }
 
-/// Users ask all controllers for the job, repeat its submission, and some call it off, right
-/// after it was accepted, ended or cancelled; meanwhile a controller lost the store, one reads
-/// its state anew, and one began a moment ago.
+/// No controller gives an answer older than one that was given. Users query all controllers for
+/// a job, repeat its submission, and some cancel it, right after it was accepted, ended or
+/// cancelled; meanwhile one controller loses the store, one reloads its state, one restarts and
+/// the watch of one is stalled.
 #[test]
-fn no_node_answers_something_older() {
-    let mut looked = 0;
-    for seed in 0..seeds(4) {
+fn answers_do_not_go_back_across_controllers() {
+    let mut queries = 0;
+    for seed in 0..seed_count(4) {
         let nodes = [3, 7][seed as usize % 2];
         let mut w = fleet(9900 + seed, nodes, 12);
         w.faults.close_queries = Some(CloseQueries { cancel: 0.3 });
         w.faults.late_answers = Some((0.25, (0.05, 1.4)));
         w.faults.late_watches = Some((0.3, (0.05, 0.8)));
         w.faults.restart_range_s = Some((0.01, 0.5));
-        work(&mut w, 30);
+        submit_small_arrays(&mut w, 30);
         for n in 0..8 {
             let (node, at) = (w.rng.random_range(0..nodes), 5.0 + 4.0 * f64::from(n));
             w.later(at, move |w| match n % 4 {
@@ -50,18 +51,19 @@
         (w.faults.late_answers, w.faults.late_watches, w.faults.close_queries) = (None, None, None);
         w.run_until(70.0);
         all_over(&w);
-        all_are_known(&mut w);
-        looked += w.counters.close_queries;
+        assert_all_jobs_known(&mut w);
+        queries += w.counters.close_queries;
     }
-    assert!(looked > 1000, "{looked} looks");
+    assert!(queries > 1000, "{queries} queries");
 }
 
-/// One controller's acceptance is under way, its answer a second late and its watch still, when
-/// another controller confirms that the job is cancelled; then the submission is repeated there.
+/// A controller's acceptance of a job is in flight, its answer a second late and its watch
+/// stalled, when another controller confirms that the job is cancelled; then the submission is
+/// repeated at the first one. It must not be answered by the acceptance in flight.
 #[test]
-fn a_repeat_does_not_join_what_is_under_way() {
-    let mut left = 0;
-    for seed in 0..seeds(6) {
+fn a_repeated_submission_does_not_join_one_in_flight() {
+    let mut cancelled = 0;
+    for seed in 0..seed_count(6) {
         let mut w = fleet(9920 + seed, 3, 12);
         w.faults.close_queries = Some(CloseQueries { cancel: 0.0 });
         w.faults.late_answers = Some((1.0, (0.9, 1.2)));
@@ -80,64 +82,65 @@
         w.jobs.values_mut().for_each(|j| j.via = None);
         w.run_until(70.0);
         all_over(&w);
-        left += w.jobs.values().filter(|j| j.cancelled_at.is_some()).count();
+        cancelled += w.jobs.values().filter(|j| j.cancelled_at.is_some()).count();
     }
-    assert!(left >= 30, "{left} of 48 were cancelled");
+    assert!(cancelled >= 30, "{cancelled} of 48 were cancelled");
 }
 
-/// Jobs are cancelled as soon as they were accepted, and their submission is repeated at
-/// all controllers right after that was confirmed; what a controller's watch shows was sent before the
-/// cancellation and comes after the repeat. That another accepted the job is no proof of
-/// how it stands when its user asks.
+/// Jobs are cancelled as soon as they are accepted, and their submission is repeated at all
+/// controllers right after the cancellation is confirmed. A watch event that was sent before the
+/// cancellation arrives after the repeated submission. That another controller accepted the job
+/// does not prove its status at the time of the query.
 #[test]
-fn a_watch_that_lags_does_not_tell_how_a_job_stands() {
-    let mut left = 0;
-    for seed in 0..seeds(6) {
+fn a_lagging_watch_does_not_decide_the_status_of_a_job() {
+    let mut cancelled = 0;
+    for seed in 0..seed_count(6) {
         let mut w = fleet(9930 + seed, [3, 7][seed as usize % 2], 12);
         w.faults.close_queries = Some(CloseQueries { cancel: 0.9 });
         w.faults.late_watches = Some((0.5, (0.05, 0.5)));
         w.faults.late_answers = Some((0.5, (0.05, 0.6)));
-        work(&mut w, 60);
+        submit_small_arrays(&mut w, 60);
         w.run_until(50.0);
         (w.faults.late_watches, w.faults.late_answers, w.faults.close_queries) = (None, None, None);
         w.run_until(80.0);
         all_over(&w);
-        all_are_known(&mut w);
-        left += w.jobs.values().filter(|j| j.cancelled_at.is_some()).count();
+        assert_all_jobs_known(&mut w);
+        cancelled += w.jobs.values().filter(|j| j.cancelled_at.is_some()).count();
     }
-    assert!(left > 200, "{left} of 360 were cancelled");
+    assert!(cancelled > 200, "{cancelled} of 360 were cancelled");
 }
 
-/// A cancellation, a question and a repeated submission meet the end of a job's last
-/// task, with no other trouble: one of the two ends is told, by all, for good.
+/// A cancellation, a query and a repeated submission arrive as the last task of a job ends, with
+/// no other fault: all controllers report the same final status, done or cancelled, and it does
+/// not change.
 #[test]
-fn the_last_end_meets_a_cancellation() {
-    let (mut done, mut left) = (0, 0);
-    for seed in 0..seeds(4) {
+fn a_cancellation_races_with_the_end_of_the_last_task() {
+    let (mut done, mut cancelled) = (0, 0);
+    for seed in 0..seed_count(4) {
         let mut w = fleet(9940 + seed, [3, 7][seed as usize % 2], 12);
         w.faults.cancel_at_last_end = Some(0.8);
         w.faults.close_queries = Some(CloseQueries { cancel: 0.0 });
-        work(&mut w, 40);
+        submit_small_arrays(&mut w, 40);
         w.run_until(60.0);
         all_over(&w);
         assert_eq!((w.counters.unanswered_user_requests, w.counters.started_cancelled), (0, 0), "seed {seed}");
-        all_are_known(&mut w);
+        assert_all_jobs_known(&mut w);
         done += w.jobs.values().filter(|j| j.confirmed_done).count();
-        left += w.jobs.values().filter(|j| j.cancelled_at.is_some()).count();
+        cancelled += w.jobs.values().filter(|j| j.cancelled_at.is_some()).count();
     }
-    assert!(done > 20 && left > 20, "{done} done, {left} cancelled");
+    assert!(done > 20 && cancelled > 20, "{done} done, {cancelled} cancelled");
 }
 
-/// A quarter of all transactions are carried out at once and their answers are lost,
-/// while other controllers read what was written: the watch settles them. Nobody waits in vain,
+/// A quarter of all transactions are committed at once and their answers are lost, while other
+/// controllers read what was written: the watch resolves them. No request stays unanswered, and
 /// submissions and starts are hardly slower.
 #[test]
-fn lost_answers_are_settled_by_what_the_store_shows() {
-    for seed in 0..seeds(4) {
+fn lost_answers_are_resolved_by_the_watch() {
+    for seed in 0..seed_count(4) {
         let mut w = fleet(9960 + seed, [3, 7][seed as usize % 2], 24);
         w.run_until(4.0);
         w.faults.late_answers = Some((0.25, (4.0, 200.0)));
-        let mut jobs = work(&mut w, 60);
+        let mut jobs = submit_small_arrays(&mut w, 60);
         for n in 0..20 {
             let (at, uid) = (w.rng.random_range(4.0..34.0), format!("run-9{n:02}9"));
             jobs.push((at, uid.clone()));
@@ -162,18 +165,18 @@
         w.run_until(60.0);
         assert_eq!(w.counters.unanswered_user_requests, 0, "seed {seed}: requests without an answer");
         all_over(&w);
-        all_are_known(&mut w);
+        assert_all_jobs_known(&mut w);
     }
 }
 
-/// Half of all transactions are carried out only seconds later, and nothing shows them
-/// before: users are told to come back within their wait.
+/// Half of all transactions are committed 2 to 12 s late and are not visible before: users are
+/// told to retry before their request times out.
 #[test]
-fn no_user_waits_for_a_write_in_doubt() {
-    for seed in 0..seeds(3) {
+fn no_user_waits_for_an_unconfirmed_write() {
+    for seed in 0..seed_count(3) {
         let mut w = fleet(9980 + seed, [3, 7][seed as usize % 2], 12);
         w.faults.late_transactions = Some((0.5, (2.0, 12.0)));
-        for (at, uid) in work(&mut w, 40) {
+        for (at, uid) in submit_small_arrays(&mut w, 40) {
             w.later(at + 3.0, move |w| cancel(w, &uid, None));
         }
         w.run_until(60.0);
@@ -184,16 +187,16 @@
     }
 }
 
-/// Cancellations are answered while their controller reads its state anew, and pages it read
-/// before lack them; its watch stands still, and no other controller tells it. It answers
-/// no agent by the view that it then has: what was told is not in it.
+/// Cancellations are confirmed while their controller reloads its state, and pages that it read
+/// earlier lack them; its watch is stalled, and no other controller informs it. It answers no
+/// agent from the reloaded replica, which lacks cancellations that were confirmed.
 #[test]
-fn a_reloaded_state_answers_nothing_until_it_has_what_was_answered_before() {
+fn a_reloaded_replica_answers_no_agent_before_it_has_confirmed_cancellations() {
     for (seed, slow) in [(9991, 0.12), (9992, 0.14)] {
         let mut w = fleet(seed, 3, 24);
         w.submit("run-999", service(48));
         w.run_until(20.0);
-        let leader = w.store.leader().expect("somebody leads");
+        let leader = w.store.leader().expect("no leader");
         let node = (leader + 1) % 3;
         w.nodes[node].deaf = true;
         let uids: Vec<String> = (0..30).map(|n| format!("run-{n:02}9")).collect();
@@ -201,7 +204,7 @@
             w.submit(uid, Job { via: Some(node), ..array(1, 1e6) });
         }
         w.run_until(21.2);
-        // On their way when it begins to read, carried out in the middle of that.
+        // In flight when the controller starts to reload, committed half-way through.
         w.faults.transaction_delay_s = slow;
         uids.iter().for_each(|uid| w.cancel_at_node(uid, node));
         w.run_until(21.21);
@@ -218,7 +221,7 @@
         let before = w.nodes[node].served;
         w.run_until(25.5);
         let served = w.nodes[node].served - before;
-        assert_eq!(served, 0, "seed {seed}: agents were answered by a replica that lacks cancellations");
+        assert_eq!(served, 0, "seed {seed}: agents were answered from a replica that lacks cancellations");
         w.store.mute.clear();
         w.faults.peers_cut.clear();
         w.jobs.values_mut().for_each(|j| j.via = None);
--- a/tests/meetings/capacity.rs
+++ b/tests/meetings/capacity.rs
@@ -1,24 +1,25 @@
-//! More work than room, and room that nobody sees: once the troubles are over, no job
-//! waits for 90 s while a machine that fits has room and its team is under its limit (the
-//! world checks that from `calm_from` on).
+//! More work than capacity, and free capacity that controllers overlook: once the faults are
+//! over, no job waits for 90 s while a suitable machine has free capacity and its team is below
+//! its limit (the world checks that from `calm_from` on).
 
 use super::{all_over, cancel, fleet};
-use crate::known::all_are_known;
-use crate::reconciliation::seeds;
+use crate::known::assert_all_jobs_known;
+use crate::reconciliation::seed_count;
 use crate::world::helpers::running;
 use crate::world::{Job, World, array, gang, service};
 use rand::RngExt;
 
+/// The job as one of the team with a limit.
 fn capped(j: Job) -> Job {
     Job { team: "capped".into(), ..j }
 }
 
-/// Urgent work and idle, arrays with an aim and without, gangs, and a team at its limit
-/// come to several times the room, over links that take up to half a second, with ends of
-/// leaders beside.
+/// Urgent and low-priority jobs, arrays with an objective and without, gangs, and a team at its
+/// limit need several times the capacity, over links that take up to half a second, while
+/// leaders crash.
 #[test]
 fn more_work_than_capacity_over_slow_links() {
-    for seed in 0..seeds(2) {
+    for seed in 0..seed_count(2) {
         let mut w = fleet(9900 + seed, [7, 3][seed as usize % 2], 12);
         w.faults.slow_links = Some((0.02, [0.1, 0.5][seed as usize % 2]));
         for n in 0..3 {
@@ -46,15 +47,15 @@
         w.calm_from(90.0);
         w.run_until(280.0);
         all_over(&w);
-        all_are_known(&mut w);
+        assert_all_jobs_known(&mut w);
     }
 }
 
-/// All machines of one controller end while it holds task ranges of what waits, and it stays
-/// without any for as long as no cloud gives it more: others have room for its share.
+/// All machines of one controller are lost while it holds task ranges of waiting jobs, and the
+/// cloud has no more machines for it: other controllers have capacity for these task ranges.
 #[test]
 fn task_ranges_leave_a_controller_without_capacity() {
-    for seed in 0..seeds(4) {
+    for seed in 0..seed_count(4) {
         let mut w = fleet(9920 + seed, 3, 18);
         w.cloud.most = 18;
         w.submit("run-999", service(18));
@@ -77,11 +78,11 @@
     }
 }
 
-/// A team comes to its limit, its record turns strict, and half of what it runs goes:
-/// what waits of it starts, whoever holds it, with the leader ending in between.
+/// A team reaches its limit, its record becomes strict, and half of its running jobs are
+/// cancelled: its waiting jobs start, whichever controller holds them, while the leader crashes.
 #[test]
-fn a_team_goes_on_from_its_limit() {
-    for seed in 0..seeds(6) {
+fn jobs_of_a_team_start_once_it_is_below_its_limit() {
+    for seed in 0..seed_count(6) {
         let mut w = fleet(9940 + seed, [3, 7][seed as usize % 2], 16);
         for n in 0..4 {
             w.submit(&format!("run-3{n}9"), capped(Job { cores: 1.0, ..service(2) }));
@@ -101,12 +102,11 @@
     }
 }
 
-/// Machines fail all they start, hear nothing, hang or are cut off for a while, all of
-/// them at some time, and are well again: what they failed is tried there once more, and
-/// none stays shut.
+/// All machines are faulty for a while (all their tasks fail, they receive nothing, hang or are
+/// cut off) and recover: failed tasks are retried on them, and none stays quarantined.
 #[test]
-fn machines_that_are_well_again_take_work() {
-    for seed in 0..seeds(6) {
+fn recovered_machines_run_tasks_again() {
+    for seed in 0..seed_count(6) {
         let mut w = fleet(9960 + seed, 3, 12);
         w.cloud.most = 12;
         w.run_until(8.0);
@@ -128,12 +128,12 @@
             w.later(from, with(f, name.clone(), true));
             w.later(to, with(f, name, false));
         }
-        // Later all of them are needed, each with all its room.
+        // Later all machines are needed with all of their capacity.
         w.later(80.0, |w| w.submit("run-599", service(96)));
         w.calm_from(50.0);
         w.run_until(240.0);
         all_over(&w);
         assert_eq!(running(&w, "run-599"), 96, "seed {seed}");
-        all_are_known(&mut w);
+        assert_all_jobs_known(&mut w);
     }
 }
--- a/tests/meetings/drawn.rs
+++ b/tests/meetings/drawn.rs
@@ -1,21 +1,23 @@
-//! Two and three of all troubles, drawn, overlapping, with cancellations and questions at
-//! every step, at some hundred machines and seven controllers; then calm. The least lines
-//! of a failing seed are kept as a test of their own beside this one.
+//! Two or three random faults that overlap, with cancellations and queries at every step, on 40
+//! or 200 machines and up to seven controllers; then no faults. A seed that fails is reduced to
+//! a minimal test of its own beside this one.
+
+#![warn(missing_docs)]
 
 use super::{all_over, cancel, fleet};
-use crate::known::all_are_known;
-use crate::reconciliation::seeds;
+use crate::known::assert_all_jobs_known;
+use crate::reconciliation::seed_count;
 use crate::world::{CANCEL_S, CloseQueries, Job, LEASE_S, World, array, gang, service};
 use rand::RngExt;
 
-/// One trouble from `at` to `end`, by number.
+/// Injects the fault of this number from `at` to `end`.
 #[allow(clippy::too_many_lines, reason = "one arm for each kind of fault")]
-fn trouble(w: &mut World, which: u32, at: f64, end: f64) {
+fn inject_fault(w: &mut World, kind: u32, at: f64, end: f64) {
     let nodes = w.nodes.len();
     let node = w.rng.random_range(0..nodes);
-    let (some, first) = (w.rng.random_range(1..12), w.rng.random_range(0..60));
-    let picked = move |w: &World| w.workers.keys().skip(first).take(some).cloned().collect::<Vec<_>>();
-    match which {
+    let (count, first) = (w.rng.random_range(1..12), w.rng.random_range(0..60));
+    let picked = move |w: &World| w.workers.keys().skip(first).take(count).cloned().collect::<Vec<_>>();
+    match kind {
         0 => {
             w.later(at, |w| w.faults.late_transactions = Some((0.15, (2.0, 12.0))));
             w.later(end, |w| w.faults.late_transactions = None);
@@ -35,7 +37,7 @@
             w.later(end, move |w| w.isolate(node, false));
         }
         4 => {
-            // The gap: the leader alone, then all.
+            // The store refuses the leader alone, then all controllers.
             w.later(at, |w| {
                 let leader = w.store.leader().unwrap_or(0);
                 w.nodes[leader].refused = true;
@@ -108,7 +110,7 @@
             w.later(end, |w| w.faults.invalid_requests_per_s = 0.0);
         }
         19 => w.later(at, |w| {
-            // Dozens of running jobs within a fifth of a second.
+            // Cancels up to 40 running jobs within a fifth of a second.
             let runs = |j: &&Job| j.accepted && !j.confirmed_done && !j.cancel_asked;
             let uids: Vec<String> =
                 w.jobs.iter().filter(|(_, j)| runs(j)).map(|(uid, _)| uid.clone()).take(40).collect();
@@ -134,17 +136,18 @@
     }
 }
 
-const TROUBLES: u32 = 23;
+/// Number of kinds of faults.
+const FAULT_KINDS: u32 = 23;
 
 /// The rules hold where two or three faults, drawn at random, overlap.
 #[test]
-fn pairs_and_triples_of_troubles() {
-    for seed in 0..seeds(8) {
+fn rules_hold_under_two_or_three_overlapping_faults() {
+    for seed in 0..seed_count(8) {
         troubles(seed);
     }
 }
 
-/// One world of this kind, to its end.
+/// Runs one world with overlapping random faults to its end.
 pub fn troubles(seed: u64) {
     let machines = if seed.is_multiple_of(8) { 200 } else { 40 };
     let mut w = fleet(9700 + seed, [7, 3, 5][seed as usize % 3], machines);
@@ -162,22 +165,22 @@
         let (a, b) = (uid.clone(), uid);
         w.later(at, move |w| w.submit(&a, job));
         if n % 5 == 2 || n % 3 == 0 {
-            let leave = w.rng.random_range(at..110.0);
-            w.later(leave, move |w| cancel(w, &b, None));
+            let cancel_at = w.rng.random_range(at..110.0);
+            w.later(cancel_at, move |w| cancel(w, &b, None));
         }
     }
     for _ in 0..2 {
         let at = w.rng.random_range(8.0..40.0);
         for _ in 0..w.rng.random_range(2..4) {
-            let which = w.rng.random_range(0..TROUBLES);
+            let kind = w.rng.random_range(0..FAULT_KINDS);
             let from = at + w.rng.random_range(0.0..4.0);
             let end = from + w.rng.random_range(2.0..40.0);
-            trouble(&mut w, which, from, end);
+            inject_fault(&mut w, kind, from, end);
         }
     }
-    // The last trouble ends at 110 s at the latest, and what it held back soon after.
+    // The last fault ends at 110 s at the latest, and messages that it held back arrive soon after.
     w.calm_from(130.0);
     w.run_until(240.0);
     all_over(&w);
-    all_are_known(&mut w);
+    assert_all_jobs_known(&mut w);
 }
--- a/tests/meetings/leaders.rs
+++ b/tests/meetings/leaders.rs
@@ -1,16 +1,16 @@
-//! Leaders that end, hand over and come back, or are cut off from all but their agents
-//! and users.
+//! Leaders that crash, hand over and lead again, or are cut off from all but their agents and
+//! users.
 
 use super::{all_over, cancel, fleet};
-use crate::known::all_are_known;
-use crate::reconciliation::seeds;
+use crate::known::assert_all_jobs_known;
+use crate::reconciliation::seed_count;
 use crate::world::helpers::{done, running};
 use crate::world::{CANCEL_S, CloseQueries, LEASE_S, SMALL, Size, World, array, s, service};
 use rand::RngExt;
 
-/// Tasks of jobs of two or three end seconds and minutes apart.
-fn far_apart(w: &mut World, jobs: usize) {
-    let at = 14.0;
+/// Submits jobs of two or three tasks that end at least ten seconds apart.
+fn submit_staggered_jobs(w: &mut World, jobs: usize) {
+    let run_s = 14.0;
     for n in 0..jobs {
         let uid = format!("run-5{n:02}1");
         let tasks = 2 + n as u32 % 2;
@@ -18,20 +18,21 @@
             let run_s = w.rng.random_range(1.0..3.0) + 12.0 * f64::from(index);
             w.workers.values_mut().for_each(|x| x.runs.extend([(format!("{uid}/{index}"), run_s)]));
         }
-        w.submit(&uid, array(tasks, at));
+        w.submit(&uid, array(tasks, run_s));
     }
 }
 
-/// An end is stored once, is not lost, and is not told before the last: the leader ends,
-/// or whoever holds the job, just before or after the last report, with the end stored and
-/// not folded, or with the `forget` on its way.
+/// The end of each task is stored once and is not lost, and a job is not reported as done before
+/// its last task ended. The leader or the holder of the job crashes just before or after the
+/// last heartbeat, when the end is stored and not folded into a checkpoint, or when the `forget`
+/// command is in flight.
 #[test]
 fn task_ends_far_apart_survive_a_failover() {
-    for seed in 0..seeds(10) {
+    for seed in 0..seed_count(10) {
         let mut w = fleet(9300 + seed, [3, 7][seed as usize % 2], 24);
         w.faults.restart_range_s = Some(if seed % 3 == 0 { (3.0, 12.0) } else { (0.01, 0.9) });
         w.run_until(4.0);
-        far_apart(&mut w, 24);
+        submit_staggered_jobs(&mut w, 24);
         for n in 0..8u32 {
             let at = 6.0 + 3.4 * f64::from(n) + w.rng.random_range(0.0..2.0);
             w.later(at, move |w| {
@@ -42,33 +43,33 @@
         }
         w.run_until(120.0);
         all_over(&w);
-        // Without a controller for a lease, an agent forgets an end that it could not tell.
+        // Without a controller for the length of a lease, an agent forgets an end that it could not report.
         let quick = w.faults.restart_range_s.is_some_and(|(_, to)| to < 1.0);
         assert!(
             !quick || w.counters.starts_of_completed_tasks == 0,
             "seed {seed}: {} ended tasks were started again",
             w.counters.starts_of_completed_tasks
         );
-        all_are_known(&mut w);
+        assert_all_jobs_known(&mut w);
     }
 }
 
-/// The lead goes to and fro, all end, one returns first, within a second and later, while
-/// what earlier processes wrote comes late.
+/// Leadership moves to another controller and back, then all controllers crash and one returns
+/// first, within a second, the others later, while writes of earlier processes arrive late.
 #[test]
-fn all_end_and_one_returns() {
-    for seed in 0..seeds(10) {
+fn all_controllers_crash_and_one_returns_first() {
+    for seed in 0..seed_count(10) {
         let mut w = fleet(9400 + seed, [3, 7][seed as usize % 2], 24);
         let nodes = w.nodes.len();
         w.faults.late_transactions = Some((0.1, (0.2, 6.0)));
         w.submit("run-999", service(24));
         w.run_until(12.0);
-        far_apart(&mut w, 12);
+        submit_staggered_jobs(&mut w, 12);
         for n in 0..6u32 {
             let at = 14.0 + 9.0 * f64::from(n);
             let first = w.rng.random_range(0..nodes);
             let gap = w.rng.random_range(0.01..0.9);
-            // From one to another and back to the first, whose old process wrote last.
+            // From one controller to another and back to the first, whose old process wrote last.
             w.later(at, move |w| {
                 w.faults.restart_s = gap;
                 w.crash_leader();
@@ -87,16 +88,17 @@
         w.run_until(160.0);
         all_over(&w);
         assert_eq!(running(&w, "run-999"), 24, "seed {seed}");
-        all_are_known(&mut w);
+        assert_all_jobs_known(&mut w);
     }
 }
 
-/// The leader ends while machines with long tasks can't be reached, or hear nothing that
-/// the new one says. Nothing of them starts elsewhere before its proof, nothing that lives
-/// is returned while somebody could hear it, and all is known and finished.
+/// The leader crashes while machines with long tasks are unreachable or do not receive what the
+/// new leader sends. None of their tasks starts elsewhere before it is proved gone, no live
+/// machine is returned while a controller receives its heartbeats, and all jobs stay known and
+/// finish.
 #[test]
-fn a_leader_ends_while_machines_are_out_of_reach() {
-    for seed in 0..seeds(8) {
+fn a_leader_crashes_while_machines_are_unreachable() {
+    for seed in 0..seed_count(8) {
         let mut w = fleet(9500 + seed, [3, 7][seed as usize % 2], 24);
         for n in 0..6 {
             let uid = format!("run-6{n}1");
@@ -119,16 +121,16 @@
         w.later(16.0, |w| w.crash_leader());
         w.run_until(260.0);
         all_over(&w);
-        all_are_known(&mut w);
+        assert_all_jobs_known(&mut w);
     }
 }
 
-/// A leader that reaches neither store nor controllers goes on hearing agents and users,
-/// while jobs are cancelled by the new one: its agents come over in time, and it gives no
-/// answer older than one that was given.
+/// A leader that reaches neither the store nor other controllers still serves agents and users,
+/// while jobs are cancelled at the new leader: its agents move to other controllers in time, and
+/// it gives no answer older than one that was given.
 #[test]
-fn jobs_are_cancelled_past_a_leader_that_is_cut_off() {
-    for seed in 0..seeds(8) {
+fn jobs_are_cancelled_while_the_old_leader_is_isolated() {
+    for seed in 0..seed_count(8) {
         let mut w = fleet(9600 + seed, [3, 7][seed as usize % 2], 24);
         let nodes = w.nodes.len();
         for n in 0..6 {
@@ -144,7 +146,7 @@
             let via = (leader + 1 + n as usize % (nodes - 1)) % nodes;
             let uid = format!("run-7{n}9");
             w.later(at, move |w| cancel(w, &uid, Some(via)));
-            // Its user asks anybody from then on, the old leader too.
+            // From then on the user asks any controller, the old leader too.
             let uid = format!("run-7{n}9");
             w.later(at + 6.0, move |w| w.jobs.get_mut(&uid).unwrap().via = None);
         }
@@ -155,24 +157,24 @@
         assert!(done(&w, "run-001"), "seed {seed}");
         assert!((0..6).all(|n| running(&w, &format!("run-7{n}9")) == 0), "seed {seed}");
         assert_eq!(running(&w, "run-999"), 24, "seed {seed}");
-        all_are_known(&mut w);
+        assert_all_jobs_known(&mut w);
     }
 }
 
-/// Ten leaders in two minutes: each ends, or is refused by the store, soon after it began;
-/// some of that inside an outage of the store, after which another leads. What was said to
-/// one comes to the next, jobs are cancelled throughout.
+/// Ten leaders in two minutes: each crashes, or is refused by the store, soon after it started
+/// to lead, in some cases during an outage of the store, after which another one leads.
+/// Heartbeats to one leader reach the next one, and jobs are cancelled throughout.
 #[test]
 fn leaders_change_ten_times_in_two_minutes() {
-    for seed in 0..seeds(2) {
+    for seed in 0..seed_count(2) {
         let mut w = fleet(9830 + seed, [3, 7][seed as usize % 2], 20);
         w.faults.restart_range_s = Some(if seed % 4 < 2 { (0.01, 0.9) } else { (2.0, 9.0) });
         w.faults.duplicates_for_next_leader = Some(0.1);
         w.submit("run-999", service(20));
         for n in 0..8 {
             w.submit(&format!("run-7{n}9"), array(4, 1e6));
-            let leave = 16.0 + 14.0 * f64::from(n) + w.rng.random_range(0.0..8.0);
-            w.later(leave, move |w| cancel(w, &format!("run-7{n}9"), None));
+            let cancel_at = 16.0 + 14.0 * f64::from(n) + w.rng.random_range(0.0..8.0);
+            w.later(cancel_at, move |w| cancel(w, &format!("run-7{n}9"), None));
         }
         for n in 0..20 {
             let at = w.rng.random_range(5.0..120.0);
@@ -180,7 +182,7 @@
         }
         w.run_until(14.0);
         let first = w.store.term();
-        // Some of the ends fall into the outage.
+        // Some of the crashes fall into the outage.
         let (down, up) = (50.0, 50.0 + [22.0, CANCEL_S + 6.0][seed as usize % 2]);
         w.later(down, |w| w.store.set_down(w.now, true));
         w.later(up, |w| w.store.set_down(w.now, false));
@@ -205,17 +207,17 @@
         all_over(&w);
         assert_eq!(running(&w, "run-999"), 20, "seed {seed}");
         assert_eq!(w.counters.started_cancelled, 0, "seed {seed}");
-        all_are_known(&mut w);
+        assert_all_jobs_known(&mut w);
     }
 }
 
-/// The lead goes to another and back to the first, by an end or by a refusal of the store,
-/// all end, one returns within a second, and the others with it or seconds later; each with
-/// transactions that come late, or whose answers do, with cancellations, also at the moment
-/// of a job's end, and with users who ask all controllers at once.
+/// Leadership moves to another controller and back to the first, by a crash or because the store
+/// refuses the leader; all controllers crash, one returns within a second, and the others with
+/// it or seconds later. Meanwhile transactions or their answers are late, jobs are cancelled,
+/// also as they end, and users query all controllers at once.
 #[test]
-fn failover_and_back_beside_late_transactions() {
-    for seed in 0..seeds(2) {
+fn leadership_moves_and_returns_with_late_transactions() {
+    for seed in 0..seed_count(2) {
         let mut w = fleet(9850 + seed, [3, 7][seed as usize % 2], 20);
         let nodes = w.nodes.len();
         w.submit("run-999", service(20));
@@ -228,13 +230,13 @@
         }
         w.faults.close_queries = Some(CloseQueries { cancel: 0.15 });
         w.faults.cancel_at_last_end = Some(0.3);
-        far_apart(&mut w, 10);
+        submit_staggered_jobs(&mut w, 10);
         for n in 0..16 {
             let at = w.rng.random_range(12.0..70.0);
             w.later(at, move |w| w.submit(&format!("run-8{n:02}1"), array(2, 4.0)));
             w.later(at, move |w| w.submit(&format!("run-9{n:02}9"), array(2, 1e6)));
-            let leave = at + w.rng.random_range(0.1..12.0);
-            w.later(leave, move |w| cancel(w, &format!("run-9{n:02}9"), None));
+            let cancel_at = at + w.rng.random_range(0.1..12.0);
+            w.later(cancel_at, move |w| cancel(w, &format!("run-9{n:02}9"), None));
         }
         for n in 0..5u32 {
             let at = 14.0 + 12.0 * f64::from(n);
@@ -246,11 +248,11 @@
                 if n % 2 == 0 {
                     return w.crash(leader);
                 }
-                // It lives, and writes what comes late, while another leads.
+                // It stays alive, and its late writes arrive while another controller leads.
                 w.nodes[leader].refused = true;
                 w.later(at + 5.5, move |w| w.nodes[leader].refused = false);
             });
-            // And from that one on, mostly back.
+            // And from that controller to the next, mostly back to the first.
             w.later(at + 6.0, |w| w.crash_leader());
             if n % 2 == 1 {
                 w.later(at + 8.0, move |w| {
@@ -268,19 +270,19 @@
         w.calm_from(100.0);
         w.run_until(200.0);
         all_over(&w);
-        assert!(w.counters.close_queries > 100, "seed {seed}: {} looks", w.counters.close_queries);
+        assert!(w.counters.close_queries > 100, "seed {seed}: {} queries", w.counters.close_queries);
         assert_eq!((running(&w, "run-999"), w.counters.started_cancelled), (20, 0), "seed {seed}");
-        all_are_known(&mut w);
+        assert_all_jobs_known(&mut w);
     }
 }
 
-/// A controller stands still for longer than a lease, its clock running on, while others
-/// take its machines over; it goes on, reckons the leases there to be over, and its machines
-/// come back to it before it has written that. They ran on all the while: what was proved
-/// under the old grant proves nothing under the new one.
+/// A controller is paused for longer than a lease, with its clock running, while others take
+/// over its machines. It resumes, treats the leases of these machines as expired, and gets the
+/// machines back before it has stored that. Their tasks never stopped: a proof from under the
+/// old grant proves nothing under the new one.
 #[test]
-fn a_paused_controller_has_its_machines_back() {
-    for seed in 0..seeds(8) {
+fn a_paused_controller_gets_its_machines_back() {
+    for seed in 0..seed_count(8) {
         let rps = [6.0, 10.0, 16.0, 30.0][seed as usize % 4];
         let mut w = World::sized(9690 + seed, Size { machines: 18, write_rps: rps, ..SMALL });
         w.cloud.most = 18;
@@ -288,40 +290,40 @@
         w.run_until(70.0);
         let node = seed as usize % 3;
         w.pause(node, true);
-        let on = 70.0 + LEASE_S + 2.5 + 0.2 * seed as f64;
-        w.later(on, move |w| w.pause(node, false));
-        // The watch brings that they went and, seconds later, that they are back.
-        w.later(on + 0.03 + 0.02 * seed as f64, move |w| _ = w.store.mute.insert(node));
-        w.later(on + 7.0, |w| w.store.mute.clear());
+        let resumed = 70.0 + LEASE_S + 2.5 + 0.2 * seed as f64;
+        w.later(resumed, move |w| w.pause(node, false));
+        // The watch shows that the machines moved away and, seconds later, that they are back.
+        w.later(resumed + 0.03 + 0.02 * seed as f64, move |w| _ = w.store.mute.insert(node));
+        w.later(resumed + 7.0, |w| w.store.mute.clear());
         w.run_until(140.0);
         assert_eq!(running(&w, "run-999"), 60, "seed {seed}");
     }
 }
 
-/// Machines leave a controller whose watch stands still, and come back to it, running on
-/// all the while; it learns of both at once, a moment after a report of before, which was
-/// held back, had it reckon their leases to be over. What it proved by that, under the
-/// grant of before, is no proof under the new one.
+/// Machines are reassigned from a controller whose watch is stalled and back to it, and their
+/// tasks run throughout. It learns of both at once, just after an earlier heartbeat that was
+/// held back made it treat their leases as expired. A proof from under the earlier grant is no
+/// proof under the new one.
 #[test]
 fn proofs_from_before_a_reassignment_do_not_count() {
     let mut came_back = 0;
-    for seed in 0..seeds(4) {
+    for seed in 0..seed_count(4) {
         let mut w = World::sized(9700 + seed, Size { machines: 18, ..SMALL });
         w.cloud.most = 18;
         w.submit("run-999", array(60, 1e6));
         w.run_until(60.0);
-        let leader = w.store.leader().expect("somebody leads");
+        let leader = w.store.leader().expect("no leader");
         let node = (leader + 1) % 3;
-        // Nothing passes between it and half of its machines; a report to it is held back.
+        // Nothing passes between it and up to three of its machines; a heartbeat to it is held back.
         let busy = w.workers.values().filter(|x| !x.tasks.is_empty() && w.store.owner(&x.name) == Some(node));
         let cut: Vec<String> = busy.take(3).map(|x| x.name.clone()).collect();
         let now = w.now;
         let held: Vec<Vec<u8>> = cut.iter().map(|m| w.workers.get_mut(m).unwrap().report(now)).collect();
         cut.iter().for_each(|m| _ = w.workers.get_mut(m).unwrap().unreached.insert(node));
         w.store.mute.insert(node);
-        // They go to the leader, which ends, and with its machines to those that live.
+        // They go to the leader, which crashes, and with its machines to the live controllers.
         w.run_until(64.8);
-        // Nor does it hear from others what the machines say since.
+        // Nor do other controllers inform it of later heartbeats of the machines.
         w.faults.peers_cut.extend((0..3).map(|from| (from, node)));
         w.run_until(76.0);
         w.faults.restart_s = 60.0;
@@ -343,5 +345,5 @@
         w.run_until(140.0);
         assert_eq!(running(&w, "run-999"), 60, "seed {seed}");
     }
-    assert!(came_back > 0, "none went and came back");
+    assert!(came_back > 0, "no machine was reassigned and came back");
 }
--- a/tests/meetings/mod.rs
+++ b/tests/meetings/mod.rs
@@ -1,5 +1,7 @@
-//! Troubles that meet, as the operators named them (`docs/notes/meetings.md` has a
-//! table of meetings, guards and tests). The world checks the rules at every step.
+//! Faults that overlap, in the combinations that operators reported (`docs/notes/meetings.md`
+//! has a table of combinations, guards and tests). The world checks the rules at every step.
+
+#![warn(missing_docs)]
 
 mod answers;
 mod cancellations;
--- a/tests/reconciliation/mod.rs
+++ b/tests/reconciliation/mod.rs
@@ -1,42 +1,47 @@
-//! Starts of all controllers at once, at a few hundred machines: what was there
-//! goes on, and what was not is made so with the fewest orders.
+//! Restarts of all controllers at once with up to 200 machines: running tasks continue, and
+//! the remaining differences are reconciled with few commands.
+
+#![warn(missing_docs)]
 
 use crate::world::helpers::{done, running, with_spare_machines};
 use crate::world::{Job, LEASE_S, SMALL, Size, World, array, s, service};
 use rand::RngExt;
 
-/// Seeds of one kind of world: a few, or as many as FINCHQUAY_SEEDS says.
-pub fn seeds(few: u64) -> u64 {
-    std::env::var("FINCHQUAY_SEEDS").ok().and_then(|n| n.parse().ok()).unwrap_or(few)
+/// Number of seeds for one kind of world: `default`, or the value of FINCHQUAY_SEEDS.
+pub fn seed_count(default: u64) -> u64 {
+    std::env::var("FINCHQUAY_SEEDS").ok().and_then(|n| n.parse().ok()).unwrap_or(default)
 }
 
+/// A cluster of two zones whose cloud has 20 spare machines.
 fn fleet(seed: u64, machines: u32) -> World {
     let size = Size { machines, write_rps: 100.0, zones: &["a", "b"], ..SMALL };
     with_spare_machines(seed, size, 20)
 }
 
-fn all_down(w: &mut World, at_s: f64, for_s: f64) {
+/// Crashes all controllers at `at_s`; they restart after `for_s`.
+fn crash_all(w: &mut World, at_s: f64, for_s: f64) {
     w.faults.restart_s = for_s;
     w.later(at_s, |w| (0..w.nodes.len()).for_each(|i| w.crash(i)));
 }
 
-/// The leader returned machines that were idle, and so neither placed on nor
-/// heard yet, as machines that had never come up: a third of the fleet.
+/// Guards against the return of idle machines after a restart. The leader returned machines
+/// with no placements and no heartbeat yet, a third of the fleet, as if they had never come up.
 #[test]
-fn idle_machines_outlive_a_start() {
+fn idle_machines_outlive_a_restart() {
     let mut w = fleet(20, 200);
     w.submit("run-009", service(100));
-    all_down(&mut w, 45.0, 8.0);
-    // Machines that stood idle for long go back before and long after, one by one.
+    crash_all(&mut w, 45.0, 8.0);
+    // Machines that were idle for long are returned before and long after this, one by one.
     w.run_until(63.0);
     let after = w.cloud.returned.iter().filter(|r| r.0 > s(45.0)).count();
-    assert_eq!(after, 0, "machines that live were returned");
+    assert_eq!(after, 0, "live machines were returned");
     w.run_until(110.0);
     assert_eq!(running(&w, "run-009"), 100);
 }
 
-/// Down for longer than their leases at the store, the first one back took every
-/// machine, one write each, and the others got theirs back one by one.
+/// Guards against machines that are granted one by one after a restart. All controllers were
+/// down for longer than their leases at the store; the first one back took every machine with
+/// one write each, and the others got theirs back one by one.
 #[test]
 fn shards_come_back_whole_after_leases_expired() {
     let mut w = fleet(21, 120);
@@ -56,7 +61,7 @@
     assert_eq!(w.workers.values().map(|x| x.kills.len()).sum::<usize>(), 0);
 }
 
-/// One controller never comes back: its machines are not left to their leases.
+/// One controller never comes back: its machines are taken over before their leases expire.
 #[test]
 fn a_controller_that_stays_away_is_not_waited_for() {
     let mut w = fleet(22, 60);
@@ -76,28 +81,28 @@
     assert!(done(&w, "run-001"));
 }
 
-/// A task that ended while nobody listened has ended: it is not run again.
+/// A task that ended while all controllers were down is not run again.
 #[test]
-fn results_of_the_time_down_count() {
+fn results_during_an_outage_count() {
     let mut w = fleet(23, 60);
     w.submit("run-003", array(80, 8.0));
     w.submit("run-009", service(40));
-    all_down(&mut w, 7.0, 10.0);
+    crash_all(&mut w, 7.0, 10.0);
     w.run_until(60.0);
     assert!(done(&w, "run-003"));
     let (commands, idle) = commands(&w);
-    // One order to run each task and one to forget it, and nothing else.
-    assert!(commands - idle <= 2 * 80 + 40, "{commands} orders, {idle} of them for nothing");
+    // One command to run each task and one to forget it, and no others.
+    assert!(commands - idle <= 2 * 80 + 40, "{commands} commands, {idle} of them without effect");
 }
 
-/// The store is away when they come back, and goes away again while machines
-/// report; then all controllers crash once more.
+/// The store is down when the controllers restart and goes down again while machines report;
+/// then all controllers crash once more.
 #[test]
-fn a_start_is_interrupted_again_and_again() {
+fn repeatedly_interrupted_restarts_lose_no_task() {
     let mut w = fleet(24, 100);
     w.submit("run-009", service(90));
     w.later(30.0, |w| w.store.set_down(w.now, true));
-    all_down(&mut w, 31.0, 3.0);
+    crash_all(&mut w, 31.0, 3.0);
     w.later(35.0, |w| w.store.set_down(w.now, false));
     w.later(36.0, |w| w.store.set_down(w.now, true));
     w.later(37.5, |w| w.store.set_down(w.now, false));
@@ -109,10 +114,11 @@
     assert_eq!(w.cloud.returned, vec![]);
 }
 
-/// After an outage users waited for probes of controllers that had all been given up,
-/// twice as long each time; a controller that is refused alone still sends them away.
+/// Guards against health checks that fail on all controllers at once. After an outage of the
+/// store all controllers were out of the load balancer, users waited for its probes, and the
+/// wait doubled each time. A controller that the store refuses alone still reports unhealthy.
 #[test]
-fn an_outage_of_all_is_no_reason_to_send_users_away() {
+fn a_store_outage_for_all_keeps_controllers_healthy() {
     let mut w = fleet(25, 10);
     w.run_until(10.0);
     w.store.set_down(w.now, true);
@@ -130,27 +136,32 @@
     assert_eq!((w.healthy(0), w.healthy(1), w.healthy(2)), (true, false, true));
 }
 
+/// The number of commands that arrived at machines, and of those without effect.
 fn commands(w: &World) -> (u32, u32) {
     w.workers.values().fold((0, 0), |sum, x| (sum.0 + x.commands.0, sum.1 + x.commands.1))
 }
 
-/// Down from a second to three leases, with machines lost, cut off and taken
-/// away meanwhile, jobs that end, and users that wait: rules hold at every step,
-/// everything ends, and no start takes twice the orders it needs.
+/// All controllers are down from a second to three leases, while machines are lost or cut off,
+/// jobs end and users wait: the rules hold at every step, all jobs finish, and no restart takes
+/// more than twice the commands it needs.
 #[test]
-fn starts_with_faults_in_between() {
+fn restarts_with_faults_in_between() {
     let mut ratios = Vec::new();
-    for seed in 0..seeds(6) {
+    for seed in 0..seed_count(6) {
         ratios.extend(start_with_faults(seed).map(|ratio| (ratio, 4000 + seed)));
     }
     ratios.sort_by(|a, b| a.0.total_cmp(&b.0));
     if let (Some(median), Some(worst)) = (ratios.get(ratios.len() / 2), ratios.last()) {
-        println!("orders to those that had an effect: median {:.3}, worst {:.3} (seed {})", median.0, worst.0, worst.1);
+        println!(
+            "commands to those that had an effect: median {:.3}, worst {:.3} (seed {})",
+            median.0, worst.0, worst.1
+        );
         assert!(median.0 <= 1.3 && worst.0 <= 2.0, "median {median:?}, worst {worst:?}");
     }
 }
 
-/// One world of this kind; the orders for each that had an effect, where there were enough.
+/// Runs one world with faults during a restart. Returns the commands for each one that had an
+/// effect, where there were more than 20.
 pub fn start_with_faults(seed: u64) -> Option<f64> {
     let machines = 80;
     let mut w = fleet(4000 + seed, machines);
@@ -159,17 +170,17 @@
         let job: Job = if n % 3 == 0 { service(8) } else { array(w.rng.random_range(5..60), 4.0) };
         let uid = format!("run-{n:02}{}", if n % 3 == 0 { 9 } else { n % 5 });
         if n % 4 == 0 {
-            let (gone, uid) = (w.rng.random_range(at..90.0), uid.clone());
-            w.later(gone, move |w| w.jobs.get_mut(&uid).unwrap().cancel_asked = true);
+            let (cancel_at, uid) = (w.rng.random_range(at..90.0), uid.clone());
+            w.later(cancel_at, move |w| w.jobs.get_mut(&uid).unwrap().cancel_asked = true);
         }
         w.later(at, move |w| w.submit(&uid, job));
     }
     let down = w.rng.random_range(15.0..35.0);
     let for_s = w.rng.random_range(1.0..3.0 * LEASE_S);
     for i in 0..3 {
-        let late = w.rng.random_range(0.0..2.0);
+        let delay_s = w.rng.random_range(0.0..2.0);
         w.later(down, move |w| {
-            w.faults.restart_s = for_s + late;
+            w.faults.restart_s = for_s + delay_s;
             w.crash(i);
         });
     }
@@ -197,8 +208,8 @@
     let ratio = (all > 20).then(|| f64::from(all) / f64::from(all - idle));
     w.run_until(before + 150.0);
     for (uid, j) in &w.jobs {
-        let over = j.confirmed_done || j.cancelled_at.is_some() || j.standing;
-        assert!(over, "seed {seed}: {uid} is not over: {j:?}");
+        let finished = j.confirmed_done || j.cancelled_at.is_some() || j.standing;
+        assert!(finished, "seed {seed}: {uid} is not finished: {j:?}");
     }
     assert!(w.now > s(before));
     ratio
--- a/tests/restarts/mod.rs
+++ b/tests/restarts/mod.rs
@@ -1,12 +1,15 @@
-//! Processes that are back within a fraction of a second: nothing may rest on the one
-//! before having been noticed, on its lease being over, or on its last message having
-//! arrived. A few hundred machines, seven controllers; the rules hold at every step.
+//! Processes that restart within a fraction of a second: nothing may depend on the crash of the
+//! earlier process having been noticed, on its lease having expired, or on its last message
+//! having arrived. Up to 190 machines and seven controllers; the rules hold at every step.
 
-use crate::reconciliation::seeds;
+#![warn(missing_docs)]
+
+use crate::reconciliation::seed_count;
 use crate::world::helpers::{done, random_failures, running};
 use crate::world::{Job, SMALL, Size, World, array, s, service};
 use rand::RngExt;
 
+/// A cluster of seven controllers that restart within 50 ms.
 fn fleet(seed: u64, machines: u32) -> World {
     let size = Size { controllers: 7, machines, write_rps: 60.0, txn_ops: 24, zones: &["a", "b"], ..SMALL };
     let mut w = World::sized(seed, size);
@@ -17,12 +20,13 @@
     w
 }
 
+/// Crashes all controllers.
 fn crash_all(w: &mut World) {
     (0..w.nodes.len()).for_each(|i| w.crash(i));
 }
 
-/// All controllers end three times, 3 s apart, and are back after 50 ms: what runs
-/// goes on, no machine is given up, and work is taken and done in between.
+/// All controllers crash three times, 3 s apart, and are back after 50 ms: running tasks
+/// continue, no machine is given up, and jobs are accepted and done in between.
 #[test]
 fn quick_restarts_of_all_stop_nothing() {
     let mut w = fleet(5000, 190);
@@ -37,15 +41,15 @@
     }
     w.run_until(80.0);
     assert!(["run-301", "run-331", "run-361"].iter().all(|uid| done(&w, uid)));
-    // What stood idle for long goes back long after.
+    // Machines that were idle for long are returned long after this.
     let window = s(30.0)..s(50.0);
     let returned = w.cloud.returned.iter().filter(|r| window.contains(&r.0)).count();
-    assert_eq!(returned, 0, "machines that live were returned");
+    assert_eq!(returned, 0, "live machines were returned");
     assert_eq!(w.workers.values().map(|x| x.kills.len()).sum::<usize>(), 0);
 }
 
-/// The load balancer takes a controller out after two failed probes, a second apart. One
-/// that was away for a moment must not fail the second, with the store well.
+/// The load balancer removes a controller after two failed probes, a second apart. A
+/// controller that restarts quickly must not fail the second one while the store works.
 #[test]
 fn a_quick_restart_is_over_before_the_next_probe() {
     for seed in 0..10 {
@@ -58,20 +62,20 @@
         w.faults.restart_s = 0.2;
         crash_all(&mut w);
         w.run_until(20.25);
-        assert!((0..7).all(|i| w.healthy(i)), "seed {seed}: a start that everybody shares");
+        assert!((0..7).all(|i| w.healthy(i)), "seed {seed}: unhealthy while all controllers restart");
         w.run_until(20.3);
         w.submit("run-999", array(1, 1.0));
         w.run_until(21.0);
         assert!((0..7).all(|i| w.healthy(i)), "seed {seed}");
         w.run_until(22.5);
-        assert!(w.jobs["run-999"].accepted, "seed {seed}: nobody could take it");
+        assert!(w.jobs["run-999"].accepted, "seed {seed}: no controller accepted the job");
     }
 }
 
-/// One process ends again and again: its shard stays where it is, the others serve,
-/// and each end costs a few changes.
+/// One controller crashes repeatedly: its shard stays with it, the other controllers serve
+/// users, and each crash costs a few changes of the store.
 #[test]
-fn a_crash_loop_harms_nobody_else() {
+fn a_crash_loop_affects_no_other_controller() {
     let mut w = fleet(5200, 70);
     w.submit("run-009", service(500));
     w.run_until(30.0);
@@ -85,19 +89,19 @@
     }
     w.run_until(50.0);
     let changes = w.store.changes("fq/b/", before) + w.store.changes("fq/m/", before);
-    assert!(changes <= 40 * 2, "{changes} changes for 40 ends");
-    // Single machines are levelled, and rented ones returned; a shard of ten that went
-    // to others and came back with each end would make hundreds of changes.
+    assert!(changes <= 40 * 2, "{changes} changes for 40 crashes");
+    // Single machines are rebalanced, and rented ones returned. A shard of ten machines that
+    // moved away and back with each crash would make hundreds of changes.
     let moved = w.store.changes("fq/h/", before);
-    assert!(moved < 20, "its block travelled: {moved} changes");
+    assert!(moved < 20, "its shard moved: {moved} changes");
     w.run_until(75.0);
     assert!(done(&w, "run-001"));
 }
 
-/// The cloud's interface is down when all controllers end: what they knew of the
-/// machine types is in the store, so users are served all the same.
+/// The cloud API is down when all controllers crash: the catalog of machine types is in the
+/// store, so jobs are accepted and done all the same.
 #[test]
-fn the_catalog_outlives_its_readers() {
+fn the_catalog_outlives_a_restart_of_all_controllers() {
     let mut w = fleet(5300, 30);
     w.submit("run-009", service(10));
     w.run_until(20.0);
@@ -106,21 +110,21 @@
     w.run_until(22.0);
     w.submit("run-001", array(8, 3.0));
     w.run_until(40.0);
-    assert!(done(&w, "run-001"), "nothing was accepted without the cloud");
+    assert!(done(&w, "run-001"), "the job is not done without the cloud");
 }
 
-/// Ends in the middle of every kind of exchange, with restarts from 10 ms up, among
-/// all other failures.
+/// Controllers crash during every kind of exchange with the store and restart after 10 ms and
+/// more, among all other failures.
 #[test]
 fn rules_hold_with_crashes_during_store_requests() {
-    let mut broke = 0;
-    for seed in 0..seeds(8) {
-        broke += ends_in_exchanges(seed);
+    let mut crashes = 0;
+    for seed in 0..seed_count(8) {
+        crashes += ends_in_exchanges(seed);
     }
-    assert!(broke > 20, "only {broke} ends in the middle of an exchange");
+    assert!(crashes > 20, "only {crashes} crashes during an exchange");
 }
 
-/// One world of this kind; how many exchanges a process ended in.
+/// Runs one world with crashes during exchanges and returns their number.
 pub fn ends_in_exchanges(seed: u64) -> u32 {
     let team_max = if seed.is_multiple_of(2) { 12.0 } else { 60.0 };
     let size = Size {
@@ -139,16 +143,16 @@
     random_failures(w, 24, 14, 260.0).counters.crashes_in_exchanges
 }
 
-/// A controller that is cut off from the store ends and comes back, twice, and what
-/// its processes wrote arrives minutes later, in order, after the work moved on.
+/// A controller that is cut off from the store crashes and restarts twice. The writes of its
+/// processes arrive up to 9 s late, in order, after its tasks were reassigned.
 #[test]
 fn late_writes_of_earlier_processes_change_nothing() {
-    for seed in 0..seeds(6) {
+    for seed in 0..seed_count(6) {
         late_writes(seed);
     }
 }
 
-/// One world with late writes, to its end.
+/// Runs one world with late writes to its end.
 pub fn late_writes(seed: u64) {
     let mut w = fleet(7000 + seed, 30);
     w.submit("run-009", service(20));
@@ -168,7 +172,7 @@
     w.later(cut + 30.0, move |w| w.crash(node));
     w.run_until(140.0);
     for (uid, j) in &w.jobs {
-        assert!(j.confirmed_done || j.standing, "seed {seed}: {uid} is not over: {j:?}");
+        assert!(j.confirmed_done || j.standing, "seed {seed}: {uid} is not finished: {j:?}");
     }
     assert_eq!(running(&w, "run-009"), 20, "seed {seed}");
 }
