--- a/benches/load.rs
+++ b/benches/load.rs
@@ -7,7 +7,7 @@
 use finchquay::protocol::user::JobSpec;
 use finchquay::protocol::{decode, encode};
 use finchquay::state::ClusterState;
-use finchquay::state::log_segment::{Facts, LOG_SLOTS, LogSegmentRecord};
+use finchquay::state::log_segment::{LOG_SLOTS, LogEntries, LogSegmentRecord};
 use finchquay::state::records::{self, JobRecord, MachineGroupRecord, Placement, TaskRange, TaskRangeCheckpoint};
 use std::collections::BTreeMap;
 use std::hint::black_box;
@@ -40,35 +40,40 @@
             incarnation: 1,
             term: 1,
             epoch: 1,
-            base: false,
+            is_base: false,
             machines: (n..(n + 8).min(MACHINES)).map(machine).collect(),
-            drain: Vec::new(),
+            draining: Vec::new(),
         };
         rows.insert(records::machine_group_key(&machine(n)), (records::to_value(&record), 1));
     }
-    let mut segments: BTreeMap<(u32, u64), BTreeMap<String, Facts>> = BTreeMap::new();
+    let mut segments: BTreeMap<(u32, u64), BTreeMap<String, LogEntries>> = BTreeMap::new();
     for n in 0..JOBS {
         let uid = format!("run-{n:06}");
         let mut spec = JobSpec::example(&uid);
         spec.task_count = TASKS_PER_JOB;
         let task_ranges =
             vec![TaskRange { member: format!("perch-{}", n % CONTROLLERS), from: 0, to: TASKS_PER_JOB - 1 }];
-        let record = JobRecord { spec: Some(spec), end: None, task_count: TASKS_PER_JOB, at_ms: 1, task_ranges };
+        let record =
+            JobRecord { spec: Some(spec), final_status: None, task_count: TASKS_PER_JOB, submitted_ms: 1, task_ranges };
         rows.insert(records::job_key(&uid), (records::to_value(&record), 2));
         let placement = |i: u32| Placement { index: i, machine: machine(n * TASKS_PER_JOB + i), attempt: 1 };
         let on: Vec<Placement> = (0..TASKS_PER_JOB).map(placement).collect();
         if n % SEGMENT_JOB_INTERVAL == 0 {
-            let facts = Facts { starts: on, ..Facts::default() };
+            let entries = LogEntries { starts: on, ..LogEntries::default() };
             let at = (n % CONTROLLERS, u64::from(n / CONTROLLERS) % LOG_SLOTS + 1);
-            segments.entry(at).or_default().insert(uid, facts);
+            segments.entry(at).or_default().insert(uid, entries);
         } else {
-            let record =
-                TaskRangeCheckpoint { on, highest_attempt: 1, as_of_revision: 3, ..TaskRangeCheckpoint::default() };
+            let record = TaskRangeCheckpoint {
+                placements: on,
+                highest_attempt: 1,
+                as_of_revision: 3,
+                ..TaskRangeCheckpoint::default()
+            };
             rows.insert(records::checkpoint_key(&uid, 0), (records::to_value(&record), 4));
         }
     }
-    for ((member, seq), facts) in segments {
-        let record = LogSegmentRecord::of(seq, &facts);
+    for ((member, seq), entries) in segments {
+        let record = LogSegmentRecord::from_entries(seq, &entries);
         rows.insert(records::log_key(&format!("perch-{member}"), seq), (records::to_value(&record), 10 + seq));
     }
     rows.into_iter().map(|(key, (data, version))| Row { key, data, version, lease: None }).collect()
@@ -90,8 +95,8 @@
                 let rows: Rows = decode(page).expect("a page");
                 rows.rows.iter().for_each(|r| state.put(&r.key, &r.data, r.version));
             }
-            state.loaded();
-            assert_eq!(state.placed.values().map(|p| p.len()).sum::<usize>(), (JOBS * TASKS_PER_JOB) as usize);
+            state.finish_loading();
+            assert_eq!(state.placed_tasks.values().map(|p| p.len()).sum::<usize>(), (JOBS * TASKS_PER_JOB) as usize);
             black_box(state)
         });
     });
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -10,8 +10,8 @@
 
 pub use operator::Operator;
 pub use platform::{
-    CloudLimits, DeploymentSettings, ExternalServices, MachineLimits, Objective, Other, Settings, StateLimits, Team,
-    Workers,
+    CloudLimits, DeploymentSettings, ExternalServices, MachineLimits, Objective, PeerSettings, Settings, StateLimits,
+    Team, Workers,
 };
 
 use std::path::{Path, PathBuf};
--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -20,12 +20,14 @@
     /// Address at which the controller listens for other controllers.
     pub peer_bind: SocketAddr,
     /// The other controllers.
-    #[serde(default)]
-    pub others: Vec<Other>,
+    #[serde(rename = "others", default)]
+    pub peers: Vec<PeerSettings>,
     /// Addresses of the external services.
-    pub outside: ExternalServices,
+    #[serde(rename = "outside")]
+    pub external: ExternalServices,
     /// Settings of the deployment, which are the same for all controllers.
-    pub settings: DeploymentSettings,
+    #[serde(rename = "settings")]
+    pub deployment: DeploymentSettings,
     /// The operator's own settings, which are not part of the platform's file.
     #[serde(skip)]
     pub operator: Operator,
@@ -33,7 +35,7 @@
 
 /// Another controller.
 #[derive(Debug, Clone, Deserialize)]
-pub struct Other {
+pub struct PeerSettings {
     /// Name of the controller.
     pub member: String,
     /// Zone of the controller.
@@ -104,7 +106,8 @@
     /// Share of the jobs that must meet the limit, from 0 to 1.
     pub share: Option<f64>,
     /// Time limit from submission, as a multiple of the job's deadline.
-    pub times: Option<f64>,
+    #[serde(rename = "times")]
+    pub deadline_factor: Option<f64>,
 }
 
 /// Time limits of the workers, in seconds.
@@ -162,7 +165,7 @@
     pub fn load(config: &Path, operator: Option<&Path>) -> Result<Settings, SettingsError> {
         let mut settings = Settings::parse(&read_file(config)?, config)?;
         if let Some(file) = operator {
-            settings.operator = Operator::load(file, &settings.settings.teams)?;
+            settings.operator = Operator::load(file, &settings.deployment.teams)?;
         }
         Ok(settings)
     }
@@ -176,6 +179,6 @@
 
     /// Number of controllers of the cluster, including this one.
     pub fn controllers(&self) -> usize {
-        self.others.len() + 1
+        self.peers.len() + 1
     }
 }
--- a/src/config/validation.rs
+++ b/src/config/validation.rs
@@ -13,7 +13,7 @@
 impl Settings {
     /// Validates the settings of the platform's file.
     pub(super) fn validate(&self, file: &Path) -> Result<(), SettingsError> {
-        let deployment = &self.settings;
+        let deployment = &self.deployment;
         require_positive(file, &positive_fields(deployment))?;
         require(file, "member", !self.member.is_empty(), "must not be empty")?;
         let zone_listed = deployment.zones.contains(&self.zone);
@@ -24,7 +24,7 @@
         for team in &deployment.teams {
             validate_quota(file, team)?;
         }
-        for other in &self.others {
+        for other in &self.peers {
             require(file, "others.member", other.member != self.member, "names this controller itself")?;
         }
         Ok(())
--- a/src/controller/agents/adoption.rs
+++ b/src/controller/agents/adoption.rs
@@ -15,10 +15,10 @@
 
     /// Brings the machines in line with the grants in the replica.
     fn sync_with_grants(&mut self, state: &ClusterState, process: &Process, now: Instant) {
-        if self.applied_records_version == Some(state.machines_changed) {
+        if self.applied_records_version == Some(state.machine_changes) {
             return;
         }
-        self.applied_records_version = Some(state.machines_changed);
+        self.applied_records_version = Some(state.machine_changes);
         self.drop_not_owned(state, process);
         self.adopt_granted(state, process, now);
     }
@@ -47,7 +47,7 @@
                 continue;
             }
             let mut machine = Machine::new(record.version, term, epoch, now);
-            let images_of_tasks = state.loads.get(name).map(|load| load.images.clone());
+            let images_of_tasks = state.machine_loads.get(name).map(|load| load.images.clone());
             machine.images = self.images_in_other_shards.remove(name).or(images_of_tasks).unwrap_or_default();
             self.machines.insert(name.clone(), machine);
         }
--- a/src/controller/agents/commands.rs
+++ b/src/controller/agents/commands.rs
@@ -27,7 +27,7 @@
 impl MachineTasks {
     /// The tasks of a machine, from the placements in the replica; `may_run` tells which jobs run.
     fn of(name: &str, machine: Option<&Machine>, state: &ClusterState, may_run: impl Fn(&Job) -> bool) -> MachineTasks {
-        let placed = state.placed.get(name).cloned().unwrap_or_default();
+        let placed = state.placed_tasks.get(name).cloned().unwrap_or_default();
         let mut wanted = placed.clone();
         wanted.retain(|(uid, index), attempt| {
             let key = (uid.clone(), *index, *attempt);
@@ -88,7 +88,7 @@
         if !self.may_act() || !self.is_replica_fresh() {
             return;
         }
-        if self.state.machines.get(name).is_none_or(|machine| self.state.revision < machine.rec.granted) {
+        if self.state.machines.get(name).is_none_or(|machine| self.state.revision < machine.rec.grant_revision) {
             return;
         }
         let max_silence = self.heartbeat_intervals(MAX_PUSH_SILENCE_INTERVALS);
@@ -148,7 +148,7 @@
     /// would run on for a while.
     pub(in crate::controller) fn stop_job(&mut self, uid: &str) {
         let Some(job) = self.state.jobs.get(uid) else { return };
-        let placements = job.chunks.values().flat_map(|chunk| &chunk.rec.on);
+        let placements = job.task_states.values().flat_map(|chunk| &chunk.rec.placements);
         let own_machines =
             placements.map(|placement| &placement.machine).filter(|name| self.agents.machine(name).is_some());
         let own_machines: BTreeSet<String> = own_machines.cloned().collect();
--- a/src/controller/agents/heartbeats.rs
+++ b/src/controller/agents/heartbeats.rs
@@ -128,7 +128,7 @@
             return Route::Pending;
         };
         if !self.owns(machine) {
-            if self.state.owned(&machine.rec) {
+            if self.state.is_machine_held(&machine.rec) {
                 let owner = machine.rec.owner.clone();
                 if freshness == Freshness::New {
                     self.report_misdirected_machine(&heartbeat.machine);
@@ -141,7 +141,7 @@
             return if is_leader { Route::Pending } else { Route::Redirect(leader) };
         }
         // Our replica must contain everything that earlier owners stored about the machine.
-        if self.state.revision < machine.rec.granted {
+        if self.state.revision < machine.rec.grant_revision {
             return Route::Pending;
         }
         if freshness == Freshness::NotNewer {
@@ -155,7 +155,7 @@
     /// Records a heartbeat of a machine of this controller, and answers it with commands.
     fn accept_heartbeat(&mut self, conn: ConnId, heartbeat: &Heartbeat, freshness: Freshness) {
         self.adopt_granted_machines();
-        let interval_s = self.config.settings.workers.heartbeat_interval_s;
+        let interval_s = self.config.deployment.workers.heartbeat_interval_s;
         match self.agents.record_heartbeat(heartbeat, freshness, self.now, interval_s) {
             Ok(wakes_scheduler) => self.scheduler.request_round_if(wakes_scheduler),
             Err(reason) => return self.refuse(conn, STATUS_UNAVAILABLE, reason),
--- a/src/controller/agents/mod.rs
+++ b/src/controller/agents/mod.rs
@@ -219,7 +219,7 @@
     /// Whether the machine has come up, as far as is known here: it runs a task, or some controller
     /// receives its heartbeats.
     pub(super) fn is_up(&self, name: &str) -> bool {
-        self.state.loads.contains_key(name) || self.reaches_any_controller(name)
+        self.state.machine_loads.contains_key(name) || self.reaches_any_controller(name)
     }
 
     /// Whether some controller receives heartbeats of the machine, or did recently.
--- a/src/controller/agents/preemption.rs
+++ b/src/controller/agents/preemption.rs
@@ -75,7 +75,7 @@
         for (name, machine) in self.agents.machines() {
             let notice = machine.preemption_notice_s.filter(|_| machine.report_proven && machine.token_confirmed);
             let Some(left_s) = notice else { continue };
-            for ((uid, index), attempt) in self.state.placed.get(name).into_iter().flatten() {
+            for ((uid, index), attempt) in self.state.placed_tasks.get(name).into_iter().flatten() {
                 let key = (uid.clone(), *index, *attempt);
                 let Some(job) = self.state.jobs.get(uid).filter(|job| !job.cancelled()) else { continue };
                 if machine.preempted.contains_key(&key) || machine.has_ended(&key) {
@@ -117,7 +117,7 @@
             (JobKind::Array, Some(save_s)) => vec![Preemption::of_placement(uid, placement, save_s)],
             // All tasks of a gang must save at once, or the checkpoint fails.
             (JobKind::Gang, Some(save_s)) if self.all_tasks_run(uid, job) => {
-                let placements = job.chunks.values().flat_map(|chunk| &chunk.rec.on);
+                let placements = job.task_states.values().flat_map(|chunk| &chunk.rec.placements);
                 placements.map(|placement| Preemption::of_placement(uid, placement, save_s)).collect()
             }
             (JobKind::Array | JobKind::Gang, _) => Vec::new(),
@@ -135,6 +135,6 @@
                     && observed.is_some_and(|task| task.state == TaskState::Running)
             })
         };
-        job.chunks.values().flat_map(|chunk| &chunk.rec.on).all(is_running)
+        job.task_states.values().flat_map(|chunk| &chunk.rec.placements).all(is_running)
     }
 }
--- a/src/controller/agents/reconciliation.rs
+++ b/src/controller/agents/reconciliation.rs
@@ -190,7 +190,7 @@
     pub(super) fn reconcile(&mut self, name: &str) {
         let tasks = self.machine_tasks(name);
         let Some(machine) = self.agents.machines.get_mut(name) else { return };
-        let workers = &self.config.settings.workers;
+        let workers = &self.config.deployment.workers;
         let mut reconciliation = Reconciliation {
             now: self.now,
             heartbeat_interval_s: workers.heartbeat_interval_s,
--- a/src/controller/agents/release.rs
+++ b/src/controller/agents/release.rs
@@ -79,14 +79,14 @@
 
     /// When the lease of a machine has certainly expired.
     pub(super) fn lease_expiry(&self) -> LeaseExpiry {
-        let workers = &self.config.settings.workers;
+        let workers = &self.config.deployment.workers;
         let with_margin = |seconds: f64| self.secs(seconds * MAX_CLOCK_RATE_RATIO + workers.heartbeat_interval_s / 2.0);
         LeaseExpiry { lease: with_margin(workers.lease_s), cancel: with_margin(workers.cancel_s) }
     }
 
     /// Whether anything is placed on the machine that is not proved gone.
     pub(super) fn has_live_placements(&self, name: &str) -> bool {
-        let (Some(placed), Some(machine)) = (self.state.placed.get(name), self.agents.machine(name)) else {
+        let (Some(placed), Some(machine)) = (self.state.placed_tasks.get(name), self.agents.machine(name)) else {
             return false;
         };
         placed.iter().any(|((uid, index), attempt)| !machine.proven_ended.contains(&(uid.clone(), *index, *attempt)))
@@ -95,7 +95,8 @@
     /// Marks all placements on a machine that is proved empty as gone, and returns whether there
     /// were any.
     pub(super) fn mark_placements_gone(&mut self, name: &str) -> bool {
-        let (Some(placed), Some(machine)) = (self.state.placed.get(name), self.agents.machines.get_mut(name)) else {
+        let (Some(placed), Some(machine)) = (self.state.placed_tasks.get(name), self.agents.machines.get_mut(name))
+        else {
             return false;
         };
         for ((uid, index), attempt) in placed {
@@ -127,7 +128,7 @@
         if record.version > self.state.revision || self.transactions.is_locked(&key) || !self.may_write(1.0) {
             return;
         }
-        let op = match self.state.with_current_grant(record).without(names) {
+        let op = match self.state.with_current_grant(record).without_machines(names) {
             Some(remaining) => Op::Put { key: key.clone(), data: records::to_value(&remaining), lease: None },
             None => Op::Delete { key: key.clone() },
         };
--- a/src/controller/agents/suspicion.rs
+++ b/src/controller/agents/suspicion.rs
@@ -115,7 +115,7 @@
 
     /// How long machines may be silent, by the present settings.
     fn silence_limits(&self) -> SilenceLimits {
-        let workers = &self.config.settings.workers;
+        let workers = &self.config.deployment.workers;
         // A controller that reaches the machine must have had the time to report it.
         let peer_report_time = self.heartbeat_intervals(MAX_HEARTBEAT_GAP_INTERVALS)
             + Self::peer_heartbeat_interval(self.heartbeat_intervals(1.0)).mul_f64(PEER_REPORT_INTERVALS);
@@ -132,7 +132,7 @@
     /// Refills the tokens that limit how much of the shard is released per lease.
     fn refill_release_tokens(&mut self) {
         let max_tokens = (self.agents.machines.len() as f64 * MAX_RELEASED_SHARE).max(1.0);
-        self.releases.refill(self.now, max_tokens, self.config.settings.workers.lease_s);
+        self.releases.refill(self.now, max_tokens, self.config.deployment.workers.lease_s);
     }
 
     /// How much of the shard, and of its part in each zone, sent heartbeats recently.
@@ -163,8 +163,8 @@
         liveness: &ShardLiveness,
     ) -> Option<ReleaseReason> {
         let silent = silent_for(machine, self.now);
-        let is_placed = self.state.placed.contains_key(name);
-        let is_drained = self.state.machines.get(name).is_some_and(|record| record.rec.drain) && machine.confirmed();
+        let is_placed = self.state.placed_tasks.contains_key(name);
+        let is_drained = self.state.machines.get(name).is_some_and(|record| record.rec.draining) && machine.confirmed();
         if is_drained && machine.tasks.is_empty() && !is_placed {
             return Some(ReleaseReason::Drained);
         }
@@ -240,13 +240,13 @@
     /// After how long a silence this machine is released, with regard to the time that its tasks
     /// would need to pull their images elsewhere; at least `limit`.
     fn silence_limit_with_image_pull(&self, name: &str, limit: Duration) -> Duration {
-        let (Some(load), Some(machine)) = (self.state.loads.get(name), self.state.machines.get(name)) else {
+        let (Some(load), Some(machine)) = (self.state.machine_loads.get(name), self.state.machines.get(name)) else {
             return limit;
         };
         let machine_type = self.machine_type(&machine.rec.machine_type);
         let pull_gb_per_s = machine_type.map_or(f64::INFINITY, |machine_type| machine_type.pull_gb_per_s);
         let largest_gb = load.by_image.values().map(|tasks| tasks.image_gb).fold(0.0, f64::max);
-        let lease_s = self.config.settings.workers.lease_s;
+        let lease_s = self.config.deployment.workers.lease_s;
         self.secs(declared_lost_after_s(limit.as_secs_f64(), largest_gb / pull_gb_per_s, lease_s))
     }
 
--- a/src/controller/api.rs
+++ b/src/controller/api.rs
@@ -94,7 +94,7 @@
             uptime: self.now,
             loaded: self.store.session.is_following(),
             staleness: self.store.session.staleness(self.now),
-            has_others: !self.config.others.is_empty(),
+            has_others: !self.config.peers.is_empty(),
             other_staleness: recent.map(|peer| peer.replica_age.saturating_add(since(peer))).collect(),
             may_act: self.may_act(),
             store_unavailable: self.retry.is_open(RemoteService::Store),
@@ -108,7 +108,7 @@
             Ok(spec) if spec.well_formed() => spec,
             _ => return self.refuse(conn, 400, "malformed submission"),
         };
-        if self.state.ended.contains_key(spec.uid.as_str()) || self.state.jobs.contains_key(&spec.uid) {
+        if self.state.ended_jobs.contains_key(spec.uid.as_str()) || self.state.jobs.contains_key(&spec.uid) {
             let uid = spec.uid.clone();
             return self.poll(conn, &uid);
         }
@@ -140,8 +140,8 @@
         let record = records::JobRecord {
             task_count: spec.task_count,
             spec: Some(spec),
-            end: None,
-            at_ms: self.wall_ms(),
+            final_status: None,
+            submitted_ms: self.wall_ms(),
             task_ranges,
         };
         let txn = Txn {
@@ -157,7 +157,7 @@
     /// exceed the team's limit, its zone constraints contradict each other, or no machine type
     /// fits a task.
     fn can_never_run(&self, spec: &JobSpec) -> bool {
-        let Some(team) = self.config.settings.teams.iter().find(|team| team.name == spec.team) else {
+        let Some(team) = self.config.deployment.teams.iter().find(|team| team.name == spec.team) else {
             return true;
         };
         let simultaneous = if spec.kind == JobKind::Array { 1 } else { spec.task_count };
@@ -313,7 +313,7 @@
             return self.send_answers(answered);
         }
         let Some(job) = self.state.jobs.get(uid) else { return };
-        let record = records::JobRecord { end: Some(Status::Cancelled), ..job.rec.rec.clone() };
+        let record = records::JobRecord { final_status: Some(Status::Cancelled), ..job.rec.rec.clone() };
         let txn = Txn {
             conditions: vec![Condition { key: key.clone(), version: job.rec.version }],
             ops: vec![Op::Put { key, data: records::to_value(&record), lease: None }],
--- a/src/controller/autoscaler/demand.rs
+++ b/src/controller/autoscaler/demand.rs
@@ -66,7 +66,7 @@
     /// jobs are a small part of the cost and are rented freely.
     pub(super) fn saves_cost(&self, capacities: &[MachineCapacity]) -> bool {
         let is_base = |capacity: &MachineCapacity| {
-            self.state.machines.get(&capacity.machine).is_some_and(|machine| machine.rec.base)
+            self.state.machines.get(&capacity.machine).is_some_and(|machine| machine.rec.is_base)
         };
         let base_cores: f64 = capacities.iter().filter(|c| is_base(c)).map(|c| c.total_cores).sum();
         capacities.iter().map(|c| c.total_cores).sum::<f64>() > base_cores * COST_SAVING_BASE_MULTIPLE
@@ -90,7 +90,7 @@
         CostPolicy {
             saves_cost,
             awaits_boots: saves_cost && self.awaits_boots(capacities),
-            serves_late_jobs: !saves_cost && self.service_levels.objectives.behind(),
+            serves_late_jobs: !saves_cost && self.service_levels.objectives.any_missed_recently(),
         }
     }
 
@@ -123,7 +123,7 @@
 
     /// Whether the job is a service with an objective for its start.
     fn has_start_objective(&self, spec: &JobSpec) -> bool {
-        spec.kind == JobKind::Service && self.service_levels.objectives.start_within(spec).is_some()
+        spec.kind == JobKind::Service && self.service_levels.objectives.start_limit_s(spec).is_some()
     }
 
     /// The job's waiting tasks and, for a service, its replicas that are `leaving` their
@@ -139,9 +139,9 @@
             tasks += leaving;
         }
         let boot_s = self.cloud.shortest_startup_s();
-        let age_s = self.wall_ms().saturating_sub(job.rec.rec.at_ms) as f64 / 1000.0;
+        let age_s = self.wall_ms().saturating_sub(job.rec.rec.submitted_ms) as f64 / 1000.0;
         let needed_s = boot_s + spec.estimated_run_s * OPTIMISTIC_RUN_SHARE;
-        let objective_s = self.service_levels.objectives.end_from(spec, age_s, needed_s);
+        let objective_s = self.service_levels.objectives.next_completion_limit_s(spec, age_s, needed_s);
         let late = objective_s.is_some_and(|objective_s| objective_s - age_s < needed_s) && !policy.serves_late_jobs;
         if late {
             tasks = tasks.div_ceil(LATE_TASKS_DIVISOR);
@@ -172,7 +172,7 @@
             *tasks += job.spec.task_count;
         }
         let mut most_on_one_machine: BTreeMap<&str, u32> = BTreeMap::new();
-        for (class, tasks) in self.state.loads.values().flat_map(|load| &load.standing) {
+        for (class, tasks) in self.state.machine_loads.values().flat_map(|load| &load.service_replicas) {
             let most = most_on_one_machine.entry(class).or_default();
             *most = (*tasks).max(*most);
         }
--- a/src/controller/autoscaler/mod.rs
+++ b/src/controller/autoscaler/mod.rs
@@ -91,7 +91,7 @@
         if now < self.autoscaler.next_check_at {
             return;
         }
-        let lag = self.secs(self.config.settings.cloud.list_lag_s * CHECK_INTERVAL_LAGS);
+        let lag = self.secs(self.config.deployment.cloud.list_lag_s * CHECK_INTERVAL_LAGS);
         self.autoscaler.next_check_at = now + self.heartbeat_intervals(CHECK_INTERVAL_HEARTBEATS).min(lag);
         self.read_machine_list();
         self.store_catalog();
--- a/src/controller/autoscaler/scale_in.rs
+++ b/src/controller/autoscaler/scale_in.rs
@@ -69,7 +69,7 @@
     /// fell silent is not one that is still booting. Its owner decides what becomes of it,
     /// since the owner knows which other machines fell silent at the same time.
     pub(super) fn fell_silent(&self, name: &str) -> bool {
-        let recent = self.secs(self.config.settings.workers.lease_s * agents::CUT_OFF_LEASES);
+        let recent = self.secs(self.config.deployment.workers.lease_s * agents::CUT_OFF_LEASES);
         let listed = !self.cloud.unlisted().contains(name);
         listed && self.autoscaler.last_up_at.get(name).is_some_and(|at| self.now.saturating_sub(*at) < recent)
     }
@@ -158,7 +158,7 @@
         let policy = usize::from(saves_cost);
         let recent = self.secs(self.cloud.longest_startup_s() * RECENT_WAIT_BOOTS[policy]);
         let batch_waited = self.autoscaler.batch_waited_at.is_some_and(|at| self.now.saturating_sub(at) < recent);
-        let missed = batch_waited && self.service_levels.objectives.behind();
+        let missed = batch_waited && self.service_levels.objectives.any_missed_recently();
         if missed { MISSED_OBJECTIVES_KEEP_FACTOR[policy] } else { 1.0 }
     }
 
@@ -182,7 +182,8 @@
         least_free: &LeastFreeCores,
         saves_cost: bool,
     ) -> Vec<&'a MachineCapacity> {
-        let has_services = |name: &str| self.state.loads.get(name).is_some_and(|load| !load.standing.is_empty());
+        let has_services =
+            |name: &str| self.state.machine_loads.get(name).is_some_and(|load| !load.service_replicas.is_empty());
         let group_locked =
             |machine: &MachineRecord| self.transactions.is_locked(&records::machine_group_key(&machine.group));
         let mut removable: Vec<&MachineCapacity> = capacities
@@ -191,7 +192,7 @@
             .filter(|c| !has_services(&c.machine))
             .filter(|c| {
                 let machine = self.state.machines.get(&c.machine);
-                machine.is_some_and(|machine| !machine.rec.base && !group_locked(&machine.rec))
+                machine.is_some_and(|machine| !machine.rec.is_base && !group_locked(&machine.rec))
             })
             .collect();
         removable.sort_by(|a, b| {
@@ -270,9 +271,9 @@
         let key = records::machine_group_key(group);
         let stored = self.state.machine_groups.get(group).filter(|_| !self.transactions.is_locked(&key))?;
         let mut rec = self.state.with_current_grant(stored);
-        rec.drain.retain(|name| !names.contains(name));
+        rec.draining.retain(|name| !names.contains(name));
         if drain {
-            rec.drain.extend_from_slice(names);
+            rec.draining.extend_from_slice(names);
         }
         let conditions =
             [Condition { key: key.clone(), version: stored.version }, self.shard_condition_of(&stored.rec.owner)];
--- a/src/controller/autoscaler/scale_out.rs
+++ b/src/controller/autoscaler/scale_out.rs
@@ -122,14 +122,15 @@
         let same_offer = |group: &MachineGroupRecord| {
             group.machine_type == offer.machine_type && group.zone == offer.zone && group.spot == offer.spot
         };
-        let mut machine_groups =
-            self.state.machine_groups.iter().filter(|(_, stored)| {
-                !stored.rec.drain.is_empty() && same_offer(&stored.rec) && self.state.held(stored)
-            });
+        let mut machine_groups = self.state.machine_groups.iter().filter(|(_, stored)| {
+            !stored.rec.draining.is_empty() && same_offer(&stored.rec) && self.state.is_group_held(stored)
+        });
         machine_groups.find_map(|(group, stored)| {
-            let draining = stored.rec.drain.iter();
-            let kept: Vec<String> =
-                draining.filter(|name| self.state.placed.contains_key(*name) && !in_campaign(name)).cloned().collect();
+            let draining = stored.rec.draining.iter();
+            let kept: Vec<String> = draining
+                .filter(|name| self.state.placed_tasks.contains_key(*name) && !in_campaign(name))
+                .cloned()
+                .collect();
             let unlocked = !self.transactions.is_locked(&records::machine_group_key(group));
             (unlocked && !kept.is_empty()).then(|| (group.clone(), kept))
         })
@@ -144,7 +145,7 @@
     ) {
         self.autoscaler.requests_in_flight = self.autoscaler.requests_in_flight.saturating_sub(1);
         let Ok(reply) = result else { return };
-        let unavailable_until = self.now + self.secs(self.config.settings.workers.lease_s);
+        let unavailable_until = self.now + self.secs(self.config.deployment.workers.lease_s);
         match reply.status {
             200 => {
                 let names = decode::<RentResponse>(&reply.body).map(|body| body.machines).unwrap_or_default();
--- a/src/controller/capacity.rs
+++ b/src/controller/capacity.rs
@@ -29,7 +29,7 @@
 /// Which tasks count when capacity for the job is sought. A service with a start objective
 /// is placed where its image is, even if arrays have to be preempted there.
 pub(super) fn counted_tasks_for(spec: &JobSpec, objectives: &Objectives) -> CountedTasks {
-    let starts_soon = spec.kind == JobKind::Service && objectives.start_within(spec).is_some();
+    let starts_soon = spec.kind == JobKind::Service && objectives.start_limit_s(spec).is_some();
     if starts_soon { CountedTasks::ExceptArrays } else { CountedTasks::All }
 }
 
@@ -74,7 +74,7 @@
         let record = &machine.rec;
         let is_own = self.owns(machine);
         let machine_type = self.machine_type(&record.machine_type)?;
-        if record.drain || !is_own && !all_owners || !self.state.owned(record) || !self.is_up(name) {
+        if record.draining || !is_own && !all_owners || !self.state.is_machine_held(record) || !self.is_up(name) {
             return None;
         }
         let mut capacity = MachineCapacity::empty(name, machine_type, &record.zone, record.spot);
@@ -92,7 +92,7 @@
         self.subtract_unplaced_tasks(&mut capacity, agent);
         self.subtract_placed_tasks(&mut capacity, counted);
         capacity.images[1] = agent.images.clone();
-        if let Some(load) = self.state.loads.get(name) {
+        if let Some(load) = self.state.machine_loads.get(name) {
             capacity.fetching_gb = self.still_to_fetch_gb(agent, load, machine_type.pull_gb_per_s);
         }
         self.add_ended_tasks(&mut capacity, agent, counted);
@@ -114,7 +114,7 @@
     /// Subtracts tasks that run on the machine without being placed there. If the job of such
     /// a task is unknown, no cores count as free.
     fn subtract_unplaced_tasks(&self, capacity: &mut MachineCapacity, agent: &Machine) {
-        let placed = self.state.placed.get(&capacity.machine);
+        let placed = self.state.placed_tasks.get(&capacity.machine);
         for reported in agent.tasks.iter().filter(|reported| reported.state != TaskState::Exited) {
             let key = (reported.task.job.clone(), reported.task.index);
             if placed.is_some_and(|placed| placed.contains_key(&key)) {
@@ -129,14 +129,14 @@
 
     /// Subtracts what the `counted` tasks placed on the machine use.
     fn subtract_placed_tasks(&self, capacity: &mut MachineCapacity, counted: CountedTasks) {
-        let Some(load) = self.state.loads.get(&capacity.machine) else { return };
-        let mut used = load.all;
+        let Some(load) = self.state.machine_loads.get(&capacity.machine) else { return };
+        let mut used = load.total;
         if counted == CountedTasks::ExceptArrays {
-            used.cores -= load.arrays.cores;
-            used.gpus -= load.arrays.gpus;
-            used.mem_gb -= load.arrays.mem_gb;
+            used.cores -= load.array_tasks.cores;
+            used.gpus -= load.array_tasks.gpus;
+            used.mem_gb -= load.array_tasks.mem_gb;
         }
-        capacity.used_by_arrays = load.arrays;
+        capacity.used_by_arrays = load.array_tasks;
         capacity.cores -= used.cores;
         capacity.gpus -= used.gpus;
         capacity.mem_gb -= used.mem_gb;
@@ -157,7 +157,7 @@
     /// Adds back the capacity of tasks that have ended on the machine, so that it counts as
     /// free at once and not only when the exit is stored.
     fn add_ended_tasks(&self, capacity: &mut MachineCapacity, agent: &Machine, counted: CountedTasks) {
-        let Some(placed) = self.state.placed.get(&capacity.machine) else { return };
+        let Some(placed) = self.state.placed_tasks.get(&capacity.machine) else { return };
         for (uid, index, attempt) in agent.ended_attempts() {
             let Some(job) = self.state.jobs.get(uid) else { continue };
             let is_placed = placed.get(&(uid.clone(), *index)) == Some(attempt);
--- a/src/controller/cloud.rs
+++ b/src/controller/cloud.rs
@@ -296,7 +296,7 @@
         if !due || !self.may_call_cloud(RetryPurpose::Catalog) {
             return;
         }
-        let interval = self.secs(self.config.settings.workers.lease_s);
+        let interval = self.secs(self.config.deployment.workers.lease_s);
         self.cloud.begin_catalog_read(self.now, interval);
         let timeout = self.heartbeat_intervals(READ_TIMEOUT_INTERVALS);
         self.call(Target::Cloud, "GET", CATALOG.into(), None, timeout, CallPurpose::Catalog);
@@ -307,8 +307,8 @@
     pub(super) fn store_catalog(&mut self) {
         let stored = self.state.catalog.as_ref();
         let types = self.cloud.catalog();
-        let max_types = (self.config.settings.state.value_kb * 1024.0) as usize / MAX_CATALOG_ENTRY_BYTES;
-        let unchanged = stored.is_some_and(|catalog| catalog.rec.has(types));
+        let max_types = (self.config.deployment.state.value_kb * 1024.0) as usize / MAX_CATALOG_ENTRY_BYTES;
+        let unchanged = stored.is_some_and(|catalog| catalog.rec.has_same_types(types));
         if types.is_empty()
             || types.len() > max_types
             || unchanged
@@ -358,7 +358,7 @@
     }
 
     fn handle_list_answer(&mut self, result: Result<Reply, NoAnswer>) {
-        let interval = self.secs(self.config.settings.cloud.list_lag_s * LIST_INTERVAL_LAGS);
+        let interval = self.secs(self.config.deployment.cloud.list_lag_s * LIST_INTERVAL_LAGS);
         match self.cloud.receive_list_page(self.now, interval, result) {
             ListProgress::Stopped => {}
             ListProgress::NextPage(after) => self.request_list_page(&after),
@@ -372,7 +372,7 @@
     /// Updates the set of unlisted machines. The owners of newly unlisted machines are told
     /// of them, and confirm with the cloud that a machine is gone before they act on it.
     fn update_unlisted_machines(&mut self, read_at: Instant) {
-        let absence_proof = self.secs(self.config.settings.cloud.list_lag_s * ABSENCE_PROOF_LAGS);
+        let absence_proof = self.secs(self.config.deployment.cloud.list_lag_s * ABSENCE_PROOF_LAGS);
         if self.cloud.update_unlisted(self.now, read_at, absence_proof, &self.state.machines) {
             // The owners can then confirm it soon and start the machines' tasks elsewhere.
             self.connectivity.hasten_heartbeat(self.now);
--- a/src/controller/cloud/tests.rs
+++ b/src/controller/cloud/tests.rs
@@ -67,7 +67,7 @@
 fn a_machine_is_unlisted_once_a_stale_list_cannot_explain_its_absence() {
     let mut cloud = CloudAccess::new(10.0);
     let machine = MachineRecord {
-        granted: 1,
+        grant_revision: 1,
         group: "m-1".into(),
         machine_type: "std".into(),
         zone: "a".into(),
@@ -76,8 +76,8 @@
         incarnation: 1,
         term: 1,
         epoch: 0,
-        base: false,
-        drain: false,
+        is_base: false,
+        draining: false,
     };
     let recorded: Versions<MachineRecord> =
         [("m-1".to_string(), Versioned { rec: machine, version: 1 })].into_iter().collect();
--- a/src/controller/connectivity/heartbeats.rs
+++ b/src/controller/connectivity/heartbeats.rs
@@ -41,7 +41,7 @@
         self.add_images(&mut heartbeat, sent);
         let rotation = Rotation { heartbeats: sent, image_rounds: sent / HEARTBEATS_PER_IMAGE_ROUND };
         frame_fitting::fit_to_frame(&mut heartbeat, rotation, |machine| self.must_include(machine));
-        for other in &self.config.others {
+        for other in &self.config.peers {
             let frame = Frame::PeerHeartbeat(Box::new(heartbeat.clone()));
             self.outbox.push(Action::Send { member: other.member.clone(), frame });
         }
@@ -105,7 +105,7 @@
     /// that it is up.
     fn must_include(&self, machine: &str) -> bool {
         let is_own = self.owner_of(machine).is_some_and(|owner| *owner == self.process.member);
-        !is_own || self.connectivity.peers.any_reports(machine) || !self.state.loads.contains_key(machine)
+        !is_own || self.connectivity.peers.any_reports(machine) || !self.state.machine_loads.contains_key(machine)
     }
 
     /// Cancellations and grants that other controllers have not applied yet, as far as they report.
@@ -113,11 +113,11 @@
         if !self.store.session.is_following() || !self.state.has_applied_all_known() {
             return None;
         }
-        let recently = self.secs(self.config.settings.workers.lease_s);
+        let recently = self.secs(self.config.deployment.workers.lease_s);
         let since = self.connectivity.peers.min_applied_revision(self.now, recently).unwrap_or(self.state.revision);
         let to_pair = |(name, revision): (&String, u64)| (name.clone(), revision);
         let cancelled: Vec<(String, u64)> = self.state.cancelled_since(since).map(to_pair).collect();
-        let granted: Vec<(String, u64)> = self.state.granted_since(since).map(to_pair).collect();
+        let granted: Vec<(String, u64)> = self.state.machines_granted_since(since).map(to_pair).collect();
         let bytes_of = |list: &[(String, u64)]| -> usize {
             list.iter().map(|(name, _)| name.len() + size_of::<(u32, u64)>()).sum()
         };
@@ -134,7 +134,7 @@
         let (mut jobs, mut newest_revision) = (0, 0);
         for (uid, cancelled_at) in revocations.cancelled.iter().filter(|(_, at)| *at > revision) {
             if !self.state.must_not_run(uid) {
-                self.state.cancelled_elsewhere(uid, *cancelled_at);
+                self.state.apply_remote_cancellation(uid, *cancelled_at);
                 jobs += 1;
                 newest_revision = newest_revision.max(*cancelled_at);
             }
@@ -150,7 +150,10 @@
     pub(super) fn has_applied(&self, revocations: &Revocations) -> bool {
         let revision = self.state.revision;
         let is_own = |machine: &str, granted_at: u64| {
-            self.state.machines.get(machine).is_some_and(|known| self.owns(known) && known.rec.granted < granted_at)
+            self.state
+                .machines
+                .get(machine)
+                .is_some_and(|known| self.owns(known) && known.rec.grant_revision < granted_at)
         };
         revocations.cancelled.iter().all(|(uid, at)| *at <= revision || self.state.must_not_run(uid))
             && !revocations.granted.iter().any(|(machine, at)| *at > revision && is_own(machine, *at))
--- a/src/controller/connectivity/mod.rs
+++ b/src/controller/connectivity/mod.rs
@@ -168,7 +168,7 @@
     /// them all.
     pub(super) fn full_retry_round(&self) -> Duration {
         let round_s = super::agents::CONTROLLER_SWITCH_S * self.config.controllers() as f64;
-        self.secs(round_s.min(self.config.settings.workers.lease_s)).max(self.heartbeat_intervals(3.0))
+        self.secs(round_s.min(self.config.deployment.workers.lease_s)).max(self.heartbeat_intervals(3.0))
     }
 
     /// How many other controllers are live, and how many of them are connected in both directions.
@@ -181,7 +181,7 @@
     /// When this controller's replica was last known to be the newest: by its own read of the
     /// store, or because all other controllers attested it.
     pub(super) fn confirmed_fresh_at(&self) -> Option<Instant> {
-        let others = self.config.others.iter().map(|other| &other.member);
+        let others = self.config.peers.iter().map(|other| &other.member);
         let has_applied = |revocations: &_| self.has_applied(revocations);
         let confirmed_at = self.connectivity.peers.read_index_time(others, self.state.revision, has_applied);
         self.store.session.fresh_at.max(confirmed_at)
--- a/src/controller/connectivity/partitions.rs
+++ b/src/controller/connectivity/partitions.rs
@@ -28,13 +28,13 @@
 impl Connectivity {
     /// Updates the owners of all machines from the replica.
     fn update_ownership(&mut self, state: &ClusterState, now: Instant) {
-        if self.applied_records_version == Some(state.machines_changed) {
+        if self.applied_records_version == Some(state.machine_changes) {
             return;
         }
-        self.applied_records_version = Some(state.machines_changed);
+        self.applied_records_version = Some(state.machine_changes);
         self.ownership.retain(|name, _| state.machines.contains_key(name));
         for (name, machine) in &state.machines {
-            let (granted_revision, owner) = (machine.rec.granted, machine.rec.owner.clone());
+            let (granted_revision, owner) = (machine.rec.grant_revision, machine.rec.owner.clone());
             match self.ownership.get_mut(name) {
                 Some(ownership) if ownership.granted_revision == granted_revision => {}
                 Some(ownership) => {
@@ -79,7 +79,7 @@
         let diagnoses = self.diagnose_owners();
         let unreached = diagnoses.iter().flat_map(|diagnosis| &diagnosis.unreached).cloned();
         self.connectivity.record_unreached(unreached, now);
-        let pause = self.secs(self.config.settings.workers.lease_s);
+        let pause = self.secs(self.config.deployment.workers.lease_s);
         for OwnerDiagnosis { owner, reachability, unreached } in diagnoses {
             if self.connectivity.record_reachability(&owner, reachability, now, pause) {
                 tracing::info!(member = %owner, machines = unreached.len(), "controller cut off from its machines");
@@ -118,7 +118,7 @@
         let mut record = |machine: &str, member: &str, at: Instant| {
             let Some((name, machine)) = self.state.machines.get_key_value(machine) else { return };
             let is_own = machine.rec.owner == self.process.member;
-            if machine.rec.owner != member && (is_leader || is_own) && self.state.owned(&machine.rec) {
+            if machine.rec.owner != member && (is_leader || is_own) && self.state.is_machine_held(&machine.rec) {
                 let last = elsewhere.entry(name).or_default();
                 *last = (*last).max(at);
             }
--- a/src/controller/journal/compaction.rs
+++ b/src/controller/journal/compaction.rs
@@ -49,11 +49,11 @@
     range: u32,
     slot_version: u64,
 ) -> Result<Option<Checkpoint>, NotYet> {
-    let chunk = state.jobs.get(uid).and_then(|job: &Job| job.chunks.get(&range));
+    let chunk = state.jobs.get(uid).and_then(|job: &Job| job.task_states.get(&range));
     let Some(chunk) = chunk.filter(|chunk| chunk.rec.as_of_revision < slot_version) else { return Ok(None) };
     let key = records::checkpoint_key(uid, range);
     let is_busy = transactions.is_locked(&key) || transactions.is_outdated(&key);
-    if chunk.last > state.revision || is_busy {
+    if chunk.last_revision > state.revision || is_busy {
         return Err(NotYet);
     }
     let record = TaskRangeCheckpoint { as_of_revision: state.revision, ..chunk.rec.clone() };
@@ -69,7 +69,7 @@
         let slots = self.state.logs.get(&self.process.member).map(|log| &log.slots);
         let Some(slot) = slots.and_then(|slots| slots.get(&(next.seq % LOG_SLOTS))) else { return Ok(Vec::new()) };
         let mut checkpoints = Vec::new();
-        for (uid, range) in &slot.touched {
+        for (uid, range) in &slot.checkpoints {
             checkpoints.extend(checkpoint(&self.state, &self.transactions, uid, *range, slot.version)?);
         }
         Ok(checkpoints)
@@ -81,7 +81,7 @@
         if self.journal.compacting || spare < 1.0 || !self.may_write(1.0) {
             return;
         }
-        let limit = MAX_CHECKPOINTS_PER_TXN.min(spare as usize).min(self.config.settings.state.txn_ops);
+        let limit = MAX_CHECKPOINTS_PER_TXN.min(spare as usize).min(self.config.deployment.state.txn_ops);
         let checkpoints = self.checkpoints_of_old_slots(limit);
         if !checkpoints.is_empty() {
             self.send_checkpoints(checkpoints);
@@ -97,7 +97,7 @@
         let mut checkpoints: Vec<Checkpoint> = Vec::new();
         let mut seen = BTreeSet::new();
         for slot in slots {
-            for (uid, range) in &slot.touched {
+            for (uid, range) in &slot.checkpoints {
                 if checkpoints.len() < limit
                     && seen.insert((uid, *range))
                     && let Ok(Some(found)) = checkpoint(&self.state, &self.transactions, uid, *range, slot.version)
--- a/src/controller/journal/mod.rs
+++ b/src/controller/journal/mod.rs
@@ -20,7 +20,7 @@
 use crate::placement::Start;
 use crate::protocol::store::{Condition, Op, Txn};
 use crate::protocol::user::{JobKind, JobSpec};
-use crate::state::log_segment::{Facts, LOG_SLOTS, LogSegmentRecord};
+use crate::state::log_segment::{LOG_SLOTS, LogEntries, LogSegmentRecord};
 use crate::state::{ClusterState, records};
 use compaction::Checkpoint;
 pub(super) use exits::PendingExits;
@@ -55,7 +55,7 @@
     version: u64,
 }
 
-/// Interval at which facts that can wait are written, in heartbeat intervals.
+/// Interval at which entries that can wait are written, in heartbeat intervals.
 const SEGMENT_INTERVAL_HEARTBEATS: f64 = 1.0 / 16.0;
 /// How long the answer to a segment is waited for, in heartbeat intervals. The next segment then
 /// goes to the same slot, so that only one of the two can be carried out.
@@ -69,7 +69,7 @@
 const JOB_PREFIX: &str = "fq/j/";
 
 impl Journal {
-    /// Whether a segment with only facts that can wait is due.
+    /// Whether a segment with only entries that can wait is due.
     pub(super) fn is_due(&self, now: Instant) -> bool {
         self.writer.due(now)
     }
@@ -121,7 +121,7 @@
         self.compacting = false;
     }
 
-    /// Records that a segment was sent; one with facts that can wait is due again after `interval`.
+    /// Records that a segment was sent; one with entries that can wait is due again after `interval`.
     fn segment_sent(&mut self, now: Instant, interval: Duration) {
         self.writer.record_sent(now, interval);
     }
@@ -134,10 +134,10 @@
     }
 
     /// Takes back the exits of a segment that was not carried out, so that they are written again.
-    fn restore_exits(&mut self, uid: &str, facts: Facts, now: Instant) {
+    fn restore_exits(&mut self, uid: &str, entries: LogEntries, now: Instant) {
         let exits = self.pending_exits(uid, now);
-        exits.done.extend(facts.done);
-        exits.gone.extend(facts.gone);
+        exits.done.extend(entries.done);
+        exits.gone.extend(entries.gone);
     }
 }
 
@@ -162,7 +162,7 @@
     /// Assembles the next segment and sends it, unless checkpoints have to be stored first. `order`
     /// lists the jobs with something to write, most urgent first.
     pub(super) fn write_segment(&mut self, order: &[String], starts: BTreeMap<String, Vec<Start>>) {
-        let store = &self.config.settings.state;
+        let store = &self.config.deployment.state;
         let slot = LogSlot::next(&self.state, &self.process.member);
         let Ok(checkpoints) = self.checkpoints_for_slot(&slot) else {
             return self.scheduler.request_round();
@@ -200,7 +200,7 @@
         let mut keys = vec![slot.key.clone()];
         keys.extend(draft.conditions.keys().filter(|key| key.starts_with(JOB_PREFIX)).cloned());
         txn.conditions.push(Condition { key: slot.key.clone(), version: slot.version });
-        let data = records::to_value(&LogSegmentRecord::of(slot.seq, &draft.facts));
+        let data = records::to_value(&LogSegmentRecord::from_entries(slot.seq, &draft.entries));
         txn.ops.push(Op::Put { key: slot.key, data, lease: None });
         let mut reservations = Vec::new();
         for (team, taken) in quota {
@@ -221,14 +221,14 @@
         }
         self.journal.segment_sent(self.now, self.heartbeat_intervals(SEGMENT_INTERVAL_HEARTBEATS));
         let timeout = self.heartbeat_intervals(SEGMENT_TIMEOUT_HEARTBEATS);
-        self.transact_locking_within(txn, TxnPurpose::Segment { facts: draft.facts, reservations }, keys, timeout);
+        self.transact_locking_within(txn, TxnPurpose::Segment { facts: draft.entries, reservations }, keys, timeout);
     }
 
     /// Handles the answer to a segment, or that there was none.
     pub(super) fn handle_segment_result(
         &mut self,
         txn: &Txn,
-        facts: BTreeMap<String, Facts>,
+        entries: BTreeMap<String, LogEntries>,
         reservations: Vec<Reservation>,
         ended: &TxnOutcome,
     ) {
@@ -248,19 +248,19 @@
             self.quota.settle(reservation, slot_lost, self.now);
         }
         if carried_out {
-            self.push_starts(&facts);
+            self.push_starts(&entries);
         } else {
-            for (uid, facts) in facts {
+            for (uid, entries) in entries {
                 if self.state.jobs.contains_key(&uid) {
-                    self.journal.restore_exits(&uid, facts, self.now);
+                    self.journal.restore_exits(&uid, entries, self.now);
                 }
             }
         }
     }
 
     /// Sends commands to the machines of these starts, which are in the store now.
-    fn push_starts(&mut self, facts: &BTreeMap<String, Facts>) {
-        let places = facts.values().flat_map(|facts| &facts.starts);
+    fn push_starts(&mut self, entries: &BTreeMap<String, LogEntries>) {
+        let places = entries.values().flat_map(|entries| &entries.starts);
         let machines: BTreeSet<&String> = places.map(|place| &place.machine).collect();
         for machine in machines {
             self.push_commands(machine);
@@ -286,13 +286,13 @@
 
 /// Whether the job is a gang whose placements may not fit into one segment.
 pub(super) fn is_wide_gang(spec: &JobSpec, settings: &Settings) -> bool {
-    let max_ops = settings.settings.state.txn_ops;
+    let max_ops = settings.deployment.state.txn_ops;
     spec.kind == JobKind::Gang && may_exceed_segment(spec.task_count, max_ops, max_value_bytes(settings))
 }
 
 /// The largest size of a value in the store, in bytes.
 fn max_value_bytes(settings: &Settings) -> usize {
-    (settings.settings.state.value_kb * BYTES_PER_KB) as usize
+    (settings.deployment.state.value_kb * BYTES_PER_KB) as usize
 }
 
 #[cfg(test)]
--- a/src/controller/journal/segment.rs
+++ b/src/controller/journal/segment.rs
@@ -14,7 +14,7 @@
 use crate::placement::Start;
 use crate::protocol::store::Condition;
 use crate::protocol::user::{JobKind, JobSpec};
-use crate::state::log_segment::bytes;
+use crate::state::log_segment::max_bytes;
 use crate::state::records::{Placement, TeamRecord};
 use crate::state::{ClusterState, Job, Resources, records};
 use std::collections::BTreeMap;
@@ -42,11 +42,11 @@
 /// A segment that is ready to be sent.
 #[derive(Debug)]
 pub(super) struct DraftedSegment {
-    /// The facts of the segment, with their conditions.
+    /// The entries of the segment, with their conditions.
     pub(super) draft: SegmentBuilder,
     /// Quota that the starts take, by team.
     pub(super) quota: BTreeMap<String, TakenQuota>,
-    /// Whether some facts did not fit.
+    /// Whether some entries did not fit.
     pub(super) is_full: bool,
     /// Key and present version of the record of a team that comes near its limit. The record has
     /// to become strict before more of the team's tasks start.
@@ -127,7 +127,7 @@
     }
 }
 
-/// A segment while facts are added to it.
+/// A segment while entries are added to it.
 struct SegmentPlanner<'a> {
     inputs: SegmentInputs<'a>,
     /// Quota taken by earlier starts of this controller.
@@ -160,9 +160,9 @@
         if job.is_done(index, self.inputs.state.checkpoint_size) || job.cancelled() {
             return Ok(());
         }
-        self.take(uid, &[&FactRequirements { bytes: bytes::DONE, ..FactRequirements::default() }])?;
-        if let Some(facts) = self.draft.facts.get_mut(uid) {
-            facts.done.insert(index);
+        self.take(uid, &[&FactRequirements { bytes: max_bytes::COMPLETION, ..FactRequirements::default() }])?;
+        if let Some(entries) = self.draft.entries.get_mut(uid) {
+            entries.done.insert(index);
         }
         Ok(())
     }
@@ -170,12 +170,12 @@
     /// Adds the fact that an attempt is gone. It is dropped if this controller must not state it or
     /// it is stored already. If it still holds, it will be observed again.
     fn add_gone(&mut self, uid: &str, job: &Job, index: u32, attempt: u64) -> Result<(), Full> {
-        let place = job.place(index, self.inputs.state.checkpoint_size).filter(|place| place.attempt == attempt);
+        let place = job.placement(index, self.inputs.state.checkpoint_size).filter(|place| place.attempt == attempt);
         let proved = place.filter(|place| self.is_proved_gone(&place.machine, uid, index, attempt));
         let Some(conditions) = proved.and_then(|place| self.grant_conditions(&place.machine)) else { return Ok(()) };
-        self.take(uid, &[&FactRequirements { conditions, machine: None, bytes: bytes::GONE }])?;
-        if let Some(facts) = self.draft.facts.get_mut(uid) {
-            facts.gone.insert((index, attempt));
+        self.take(uid, &[&FactRequirements { conditions, machine: None, bytes: max_bytes::REMOVAL }])?;
+        if let Some(entries) = self.draft.entries.get_mut(uid) {
+            entries.gone.insert((index, attempt));
         }
         Ok(())
     }
@@ -207,7 +207,7 @@
         let planned_count = planned.len();
         let started = self.add_planned(uid, planned, as_a_whole);
         if let Some(quota) = quota.filter(|_| started > 0) {
-            self.take_quota(quota, Resources::of(&job.spec, started as f64));
+            self.take_quota(quota, Resources::of_tasks(&job.spec, started as f64));
         }
         if started < planned_count { Err(Full) } else { Ok(()) }
     }
@@ -226,7 +226,7 @@
         let attempt = next_attempt(job);
         let mut planned = Vec::new();
         for start in starts {
-            let is_free = !job.is_done(start.index, size) && job.place(start.index, size).is_none();
+            let is_free = !job.is_done(start.index, size) && job.placement(start.index, size).is_none();
             let Some(mut conditions) = self.grant_conditions(&start.machine).filter(|_| is_free) else {
                 if as_a_whole {
                     return None;
@@ -235,7 +235,7 @@
             };
             conditions.push((records::job_key(uid), job.rec.version));
             let place = Placement { index: start.index, machine: start.machine.clone(), attempt };
-            let need = FactRequirements { conditions, machine: Some(start.machine.clone()), bytes: bytes::START };
+            let need = FactRequirements { conditions, machine: Some(start.machine.clone()), bytes: max_bytes::START };
             planned.push(PlannedStart { place, need });
         }
         Some(planned)
@@ -257,8 +257,8 @@
                 "task start planned"
             );
             started += 1;
-            if let Some(facts) = self.draft.facts.get_mut(uid) {
-                facts.starts.push(place);
+            if let Some(entries) = self.draft.entries.get_mut(uid) {
+                entries.starts.push(place);
             }
         }
         started
@@ -267,13 +267,13 @@
     /// Counts the amounts as taken of the team's quota by this segment.
     fn take_quota(&mut self, quota: AdmittedQuota, amounts: Resources) {
         let new = TakenQuota { amounts: Resources::default(), new_record: quota.new_record };
-        self.quota.entry(quota.team).or_insert(new).amounts.plus(amounts, 1.0);
+        self.quota.entry(quota.team).or_insert(new).amounts.add_scaled(amounts, 1.0);
     }
 
     /// Decides whether the quota of the job's team admits the starts of `tasks` tasks.
     fn decide_quota(&mut self, spec: &JobSpec, tasks: usize) -> QuotaDecision {
         let inputs = self.inputs;
-        let teams = &inputs.settings.settings.teams;
+        let teams = &inputs.settings.deployment.teams;
         let Some(team) = teams.iter().find(|team| team.name == spec.team && has_limit(team)) else {
             return QuotaDecision::Unlimited;
         };
@@ -282,12 +282,12 @@
             return QuotaDecision::Deferred;
         }
         let quota_use = QuotaUse::of(team, inputs.state);
-        let mut need = Resources::of(spec, tasks as f64);
-        need.plus(self.quota.get(&team.name).map(|taken| taken.amounts).unwrap_or_default(), 1.0);
+        let mut need = Resources::of_tasks(spec, tasks as f64);
+        need.add_scaled(self.quota.get(&team.name).map(|taken| taken.amounts).unwrap_or_default(), 1.0);
         let record = inputs.state.teams.get(&team.name);
         let (is_strict, version) = record.map_or((false, 0), |record| (record.rec.strict, record.version));
         let controllers = inputs.settings.controllers();
-        let replica_age = Duration::from_secs_f64(inputs.settings.settings.workers.heartbeat_interval_s.max(0.0));
+        let replica_age = Duration::from_secs_f64(inputs.settings.deployment.workers.heartbeat_interval_s.max(0.0));
         let admitted = self.reservations.admits(&team.name, need, quota_use, controllers, inputs.now, replica_age);
         if !is_strict {
             if admitted {
@@ -312,12 +312,12 @@
         })
     }
 
-    /// The conditions for facts about a machine: that it belongs to this controller by a grant that
+    /// The conditions for entries about a machine: that it belongs to this controller by a grant that
     /// the replica has reached. `None` if it does not, or if a refused write has put that in doubt.
     fn grant_conditions(&self, machine: &str) -> Option<Vec<(String, u64)>> {
         let SegmentInputs { state, process, .. } = self.inputs;
         let machine = state.machines.get(machine)?;
-        if !process.owns(&machine.rec) || machine.rec.granted > state.revision {
+        if !process.owns(&machine.rec) || machine.rec.grant_revision > state.revision {
             return None;
         }
         let group = records::machine_group_key(&machine.rec.group);
@@ -341,7 +341,7 @@
             && agent.proven_ended.contains(&(uid.to_string(), index, attempt))
     }
 
-    /// Takes room in the segment for facts of the job.
+    /// Takes room in the segment for entries of the job.
     fn take(&mut self, uid: &str, needs: &[&FactRequirements]) -> Result<(), Full> {
         if self.draft.try_reserve(uid, needs) { Ok(()) } else { Err(Full) }
     }
@@ -361,6 +361,6 @@
 /// completed under the same attempt number, by which its tasks find each other. So is a wide
 /// gang, whose placements go into several segments.
 fn next_attempt(job: &Job) -> u64 {
-    let highest = job.chunks.values().map(|chunk| chunk.rec.highest_attempt).max().unwrap_or(0);
+    let highest = job.task_states.values().map(|chunk| chunk.rec.highest_attempt).max().unwrap_or(0);
     if job.spec.kind == JobKind::Gang && job.placed > 0 { highest } else { highest + 1 }
 }
--- a/src/controller/journal/tests.rs
+++ b/src/controller/journal/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the facts that are kept until they are stored.
+//! Tests of the entries that are kept until they are stored.
 
 use super::*;
 use crate::state::Resources;
--- a/src/controller/leadership.rs
+++ b/src/controller/leadership.rs
@@ -118,7 +118,7 @@
     /// if the leadership is vacant.
     pub(super) fn update_leadership(&mut self) {
         let interval = self.heartbeat_intervals(CHECK_INTERVALS);
-        if !self.leadership.check_due(self.now, self.state.members_changed, interval) {
+        if !self.leadership.check_due(self.now, self.state.member_changes, interval) {
             return;
         }
         if !self.is_leader() {
--- a/src/controller/maintenance.rs
+++ b/src/controller/maintenance.rs
@@ -100,7 +100,7 @@
 
     /// Whether the permit's replica is still placed on its machine.
     fn is_still_placed(&self, permit: &DisruptionPermit) -> bool {
-        let placed = self.state.placed.get(&permit.machine);
+        let placed = self.state.placed_tasks.get(&permit.machine);
         placed.and_then(|tasks| tasks.get(&(permit.job.clone(), permit.index))) == Some(&permit.attempt)
     }
 
@@ -141,7 +141,7 @@
     fn candidate(&self, name: &str) -> Candidate {
         let heard = self.recently_heard(name);
         let mut candidate = Candidate { name: name.to_string(), heard, ..Candidate::default() };
-        for ((uid, index), attempt) in self.state.placed.get(name).into_iter().flatten() {
+        for ((uid, index), attempt) in self.state.placed_tasks.get(name).into_iter().flatten() {
             let Some(job) = self.state.jobs.get(uid) else { continue };
             match job.spec.kind {
                 JobKind::Service => {
@@ -173,7 +173,7 @@
             replicas.wanted += job.spec.task_count;
             replicas.away += job.spec.task_count - job.placed.min(job.spec.task_count);
         }
-        let silent = self.state.placed.iter().filter(|(name, _)| !self.recently_heard(name));
+        let silent = self.state.placed_tasks.iter().filter(|(name, _)| !self.recently_heard(name));
         let on_silent = silent.flat_map(|(_, tasks)| tasks.keys()).map(|(uid, _)| uid);
         // Replicas with a permit on silent machines are counted in `on_silent` already. Replicas in
         // `starting` are placed again, but not known to run.
@@ -202,7 +202,7 @@
                 machine_groups.entry(machine.rec.group.clone()).or_default().push(name.clone());
             }
         }
-        let max_groups = self.config.settings.state.txn_ops - 1;
+        let max_groups = self.config.deployment.state.txn_ops - 1;
         for (index, (group, names)) in machine_groups.iter().enumerate() {
             let change = (index < max_groups).then(|| self.drain_change(group, names, drain)).flatten();
             match change {
@@ -306,7 +306,7 @@
     pub(super) fn replicas_leaving(&self) -> BTreeMap<&str, u32> {
         let mut leaving: BTreeMap<&str, u32> = BTreeMap::new();
         let wave = self.state.maintenance.iter().flat_map(|stored| &stored.rec.wave);
-        for ((uid, _), _) in wave.filter_map(|name| self.state.placed.get(name)).flatten() {
+        for ((uid, _), _) in wave.filter_map(|name| self.state.placed_tasks.get(name)).flatten() {
             *leaving.entry(uid).or_default() += 1;
         }
         leaving
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -92,8 +92,8 @@
 /// The shortest pause after a failed call, by the purpose of the call. Pauses are fractions
 /// of the intervals in the settings, of the lease's `ttl` and of the `read_interval` between reads.
 fn base_pauses(config: &Settings, ttl: Duration, read_interval: Duration) -> Vec<(RetryPurpose, Duration)> {
-    let heartbeat_interval = Duration::from_secs_f64(config.settings.workers.heartbeat_interval_s);
-    let list_lag = Duration::from_secs_f64(config.settings.cloud.list_lag_s);
+    let heartbeat_interval = Duration::from_secs_f64(config.deployment.workers.heartbeat_interval_s);
+    let list_lag = Duration::from_secs_f64(config.deployment.cloud.list_lag_s);
     vec![
         (RetryPurpose::Lease, read_interval * 2),
         (RetryPurpose::Renew, ttl / 16),
@@ -148,7 +148,7 @@
     /// A controller whose process has just started. `incarnation` distinguishes the process
     /// from earlier ones of the same name; `wall_clock` is the time of day at the start.
     pub fn new(config: Settings, incarnation: u64, wall_clock: Duration) -> Controller {
-        let platform = &config.settings;
+        let platform = &config.deployment;
         let controllers = config.controllers() as f64;
         // Each kind of steady read may use a quarter of the store's request limit.
         let read_interval = Duration::from_secs_f64(controllers / (platform.state.rps * 0.25));
@@ -267,7 +267,7 @@
     /// after an outage, when users crowd to all controllers alike. The leader alone
     /// provisions machines, so it has most of the requests to the cloud.
     fn update_rate_limits(&mut self) {
-        let platform = &self.config.settings;
+        let platform = &self.config.deployment;
         let others = (self.config.controllers() as f64 - 1.0).max(1.0);
         let live = (self.state.members.len() as f64).max(1.0);
         let (write_shares, cloud_fraction) =
@@ -289,7 +289,7 @@
 
     /// The duration of this many heartbeat intervals of the workers.
     fn heartbeat_intervals(&self, count: f64) -> Duration {
-        self.secs(self.config.settings.workers.heartbeat_interval_s * count)
+        self.secs(self.config.deployment.workers.heartbeat_interval_s * count)
     }
 
     /// The time of day in milliseconds.
@@ -301,7 +301,7 @@
     /// that a cancellation it has not seen yet still meets its deadline. A worker that is
     /// answered now stops its tasks at most `lease_s` later.
     fn may_act(&self) -> bool {
-        let workers = &self.config.settings.workers;
+        let workers = &self.config.deployment.workers;
         let margin_s = workers.heartbeat_interval_s;
         let max_age = self.secs((workers.cancel_s - workers.lease_s - margin_s) / MAX_CLOCK_RATE_RATIO);
         let is_recent = |at: Instant| self.now.saturating_sub(at) < max_age;
@@ -372,15 +372,15 @@
             let (wall_ms, startup_s) = (self.wall_ms(), self.cloud.shortest_startup_s());
             self.service_levels.record_first_machine(self.now, wall_ms, startup_s);
         }
-        for uid in std::mem::take(&mut self.state.complete) {
+        for uid in std::mem::take(&mut self.state.newly_complete) {
             if self.has_to_end(&uid) {
                 self.journal.mark_jobs_to_end([uid]);
             }
         }
-        for (spec, submitted_ms) in std::mem::take(&mut self.state.finished) {
+        for (spec, submitted_ms) in std::mem::take(&mut self.state.newly_done) {
             self.record_finished(&spec, submitted_ms);
         }
-        for uid in std::mem::take(&mut self.state.let_go) {
+        for uid in std::mem::take(&mut self.state.newly_cancelled) {
             self.stop_job(&uid);
         }
         self.retry_pending_heartbeats();
--- a/src/controller/registration.rs
+++ b/src/controller/registration.rs
@@ -43,9 +43,10 @@
             incarnation: self.process.incarnation,
             term: self.term(),
             epoch: 0,
-            base: self.is_cluster_bootstrapping() && !self.autoscaler.newly_provisioned().contains(&heartbeat.machine),
+            is_base: self.is_cluster_bootstrapping()
+                && !self.autoscaler.newly_provisioned().contains(&heartbeat.machine),
             machines: vec![heartbeat.machine.clone()],
-            drain: Vec::new(),
+            draining: Vec::new(),
         };
         let txn = Txn {
             conditions: vec![
@@ -82,7 +83,7 @@
             return;
         }
         let Some((offer, mut names)) = self.autoscaler.pop_unrecorded_rental() else { return };
-        let limits = &self.config.settings.state;
+        let limits = &self.config.deployment.state;
         let members = self.state.members.len().max(1);
         // The numbers of records and of conditions in one transaction are limited.
         names.truncate((limits.txn_ops * 4).saturating_sub(2));
@@ -109,9 +110,9 @@
                 incarnation: member.rec.incarnation,
                 term: self.term(),
                 epoch: 0,
-                base: false,
+                is_base: false,
                 machines: machines.to_vec(),
-                drain: Vec::new(),
+                draining: Vec::new(),
             };
             let key = records::machine_group_key(&machines[0]);
             txn.ops.push(Op::Put { key, data: records::to_value(&record), lease: None });
--- a/src/controller/scheduler/gangs.rs
+++ b/src/controller/scheduler/gangs.rs
@@ -28,7 +28,7 @@
     /// then withdraws its placements, with proof that the tasks do not run, and the gang is
     /// placed again.
     pub(in crate::controller) fn gang_placement_expired(&self, job: &Job, settings: &Settings, now: Instant) -> bool {
-        let lease = Duration::from_secs_f64(settings.settings.workers.lease_s.max(0.0));
+        let lease = Duration::from_secs_f64(settings.deployment.workers.lease_s.max(0.0));
         let since = self.queue.get(&job.spec.uid).and_then(|queued| queued.partly_placed_since());
         is_partly_placed(job, settings) && since.is_some_and(|since| now.saturating_sub(since) > lease)
     }
@@ -58,7 +58,7 @@
     let recent = round.heartbeat_intervals(MAX_HEARTBEAT_GAP_INTERVALS);
     let is_recent =
         |machine: &Machine| machine.heard_at.is_some_and(|heard_at| round.now.saturating_sub(heard_at) < recent);
-    job.chunks.values().flat_map(|chunk| &chunk.rec.on).all(|place| {
+    job.task_states.values().flat_map(|chunk| &chunk.rec.placements).all(|place| {
         round.agents.machine(&place.machine).is_some_and(|machine| is_recent(machine) && condition(machine, place))
     })
 }
--- a/src/controller/scheduler/mod.rs
+++ b/src/controller/scheduler/mod.rs
@@ -124,7 +124,7 @@
             return;
         }
         if !due && !order.urgent || !self.may_write_with_priority(order.priority) {
-            self.scheduler.request_round(); // more facts accumulate until then
+            self.scheduler.request_round(); // more entries accumulate until then
             return;
         }
         self.write_segment(&order.jobs, starts);
@@ -187,7 +187,7 @@
 pub(super) fn can_meet_deadline(job: &Job, objectives: &Objectives, wall_ms: u64) -> bool {
     let age_s = age_s(job, wall_ms);
     let run_s = job.spec.estimated_run_s * OPTIMISTIC_RUN_SHARE;
-    objectives.end_from(&job.spec, age_s, run_s).is_none_or(|deadline_s| deadline_s - age_s >= run_s)
+    objectives.next_completion_limit_s(&job.spec, age_s, run_s).is_none_or(|deadline_s| deadline_s - age_s >= run_s)
 }
 
 /// The cores that the job's waiting tasks need, by the controller that the tasks are assigned
@@ -202,7 +202,13 @@
 /// The change that ends a job: its record then has no specification and no task ranges, only
 /// the final status.
 pub(super) fn end_op(uid: &str, status: Status, task_count: u32) -> Op {
-    let record = records::JobRecord { spec: None, end: Some(status), task_count, at_ms: 0, task_ranges: Vec::new() };
+    let record = records::JobRecord {
+        spec: None,
+        final_status: Some(status),
+        task_count,
+        submitted_ms: 0,
+        task_ranges: Vec::new(),
+    };
     Op::Put { key: records::job_key(uid), data: records::to_value(&record), lease: None }
 }
 
--- a/src/controller/scheduler/preemption.rs
+++ b/src/controller/scheduler/preemption.rs
@@ -43,7 +43,7 @@
                 unplaced.push(UnplacedJob { uid, job, tasks: tasks - started });
             }
         }
-        unplaced.sort_by_key(|entry| entry.array().map(|job| job.rec.rec.at_ms));
+        unplaced.sort_by_key(|entry| entry.array().map(|job| job.rec.rec.submitted_ms));
         limit_array_tasks(&mut unplaced);
         unplaced
     }
@@ -130,7 +130,7 @@
         candidates: &[Candidate],
     ) -> f64 {
         let spec = &entry.job.spec;
-        let within_s = round.objectives.start_within(spec).unwrap_or(f64::INFINITY);
+        let within_s = round.objectives.start_limit_s(spec).unwrap_or(f64::INFINITY);
         let waited = self.queue.get(entry.uid).and_then(|queued| queued.waited(round.now)).unwrap_or_default();
         let can_be_met = candidates
             .iter()
@@ -149,7 +149,7 @@
 /// The number of the job's tasks that are assigned to this controller and have no placement,
 /// finished ones included.
 fn own_tasks_without_placement(round: &SchedulingRound, job: &Job) -> u32 {
-    let is_not_placed = |index: &u32| job.place(*index, round.state.checkpoint_size).is_none();
+    let is_not_placed = |index: &u32| job.placement(*index, round.state.checkpoint_size).is_none();
     let own_ranges = job.rec.rec.task_ranges.iter().filter(|range| range.member == round.member);
     own_ranges.map(|range| (range.from..=range.to).filter(is_not_placed).count() as u32).sum()
 }
@@ -177,7 +177,7 @@
     }
     let machine = round.agents.machine(&name)?;
     let mut victims = Vec::new();
-    for ((uid, index), attempt) in round.state.placed.get(&name).into_iter().flatten() {
+    for ((uid, index), attempt) in round.state.placed_tasks.get(&name).into_iter().flatten() {
         let Some(job) = round.state.jobs.get(uid) else { continue };
         let key = (uid.clone(), *index, *attempt);
         if machine.has_ended(&key) {
--- a/src/controller/scheduler/queue.rs
+++ b/src/controller/scheduler/queue.rs
@@ -122,7 +122,7 @@
 
 /// Seconds since the job was submitted; `wall_ms` is the time of day.
 pub(in crate::controller) fn age_s(job: &Job, wall_ms: u64) -> f64 {
-    wall_ms.saturating_sub(job.rec.rec.at_ms) as f64 / 1000.0
+    wall_ms.saturating_sub(job.rec.rec.submitted_ms) as f64 / 1000.0
 }
 
 #[cfg(test)]
--- a/src/controller/scheduler/round.rs
+++ b/src/controller/scheduler/round.rs
@@ -43,7 +43,7 @@
 impl<'a> SchedulingRound<'a> {
     /// The duration of `count` heartbeat intervals of the agents.
     pub(super) fn heartbeat_intervals(&self, count: f64) -> Duration {
-        Duration::from_secs_f64((self.settings.settings.workers.heartbeat_interval_s * count).max(0.0))
+        Duration::from_secs_f64((self.settings.deployment.workers.heartbeat_interval_s * count).max(0.0))
     }
 
     /// Seconds since the job was submitted.
@@ -77,12 +77,12 @@
     /// objective for its start, or for an array that can still meet its objective. Otherwise
     /// tasks that run on borrowed capacity for minutes would keep the job waiting as long.
     pub(super) fn may_preempt(&self, job: &Job) -> bool {
-        let has_start_objective = self.objectives.start_within(&job.spec).is_some();
+        let has_start_objective = self.objectives.start_limit_s(&job.spec).is_some();
         match job.spec.kind {
             JobKind::Gang => false,
             JobKind::Service => has_start_objective,
             JobKind::Array => {
-                let has_end_objective = self.objectives.end_within(&job.spec).is_some();
+                let has_end_objective = self.objectives.completion_limit_s(&job.spec).is_some();
                 has_end_objective && super::can_meet_deadline(job, self.objectives, self.wall_ms) || has_start_objective
             }
         }
@@ -94,7 +94,7 @@
     pub(super) fn would_miss_deadline_if_restarted(&self, job: &Job, ran_s: f64) -> bool {
         let age_s = self.age_s(job);
         let run_s = job.spec.estimated_run_s;
-        let deadline_s = self.objectives.end_within(&job.spec);
+        let deadline_s = self.objectives.completion_limit_s(&job.spec);
         deadline_s.is_some_and(|deadline_s| {
             deadline_s >= age_s + (run_s - ran_s).max(0.0) && deadline_s < age_s + run_s * 2.0
         })
--- a/src/controller/scheduler/starts.rs
+++ b/src/controller/scheduler/starts.rs
@@ -59,7 +59,7 @@
         let spec = &job.spec;
         let age_s = round.age_s(job);
         let run_s = spec.estimated_run_s * OPTIMISTIC_RUN_SHARE;
-        let deadline_s = round.objectives.end_from(spec, age_s, run_s);
+        let deadline_s = round.objectives.next_completion_limit_s(spec, age_s, run_s);
         let waited_s = queued.waited(round.now).unwrap_or_default().as_secs_f64();
         Some(WaitingJob {
             spec,
@@ -67,7 +67,7 @@
             tasks_by_zone: round.state.tasks_by_zone(job),
             slack_s: deadline_s.map_or(f64::INFINITY, |deadline_s| deadline_s - age_s - run_s),
             remaining_cpu_s: f64::from(spec.task_count - job.done) * spec.cores * spec.estimated_run_s,
-            start_within_s: round.objectives.start_within(spec),
+            start_within_s: round.objectives.start_limit_s(spec),
             misses_start_objective: false,
             end_objective_s: deadline_s,
             waiting_for_image: limits.images.tasks_to_keep_waiting(spec, tasks.len(), waited_s),
@@ -77,7 +77,7 @@
 
     /// The job's waiting tasks that this controller may start, regardless of quota.
     fn startable_tasks(&self, round: &SchedulingRound, uid: &str, job: &Job, queued: &QueuedJob) -> Vec<u32> {
-        let waiting = job.waiting(round.state.checkpoint_size);
+        let waiting = job.waiting_tasks(round.state.checkpoint_size);
         let all_wait = waiting.len() as u32 == job.spec.task_count;
         if job.spec.kind == JobKind::Gang && !all_wait && !self.gang_is_assembling(round, job) {
             return Vec::new();
@@ -132,7 +132,7 @@
 
 impl<'a> RoundLimits<'a> {
     fn new(round: &SchedulingRound<'a>, capacities: &[MachineCapacity]) -> RoundLimits<'a> {
-        let limited = round.settings.settings.teams.iter().filter(|team| has_limit(team));
+        let limited = round.settings.deployment.teams.iter().filter(|team| has_limit(team));
         let usable = capacities.iter().filter(|capacity| capacity.free_share() > 0.0);
         RoundLimits {
             quota: limited.map(|team| (team.name.as_str(), RemainingQuota::of(team, round.state))).collect(),
@@ -172,9 +172,9 @@
 impl<'a> ImageTurnover<'a> {
     fn new(round: &SchedulingRound<'a>) -> ImageTurnover<'a> {
         let mut running: HashMap<&str, f64> = HashMap::new();
-        for load in round.agents.machine_names().filter_map(|name| round.state.loads.get(name)) {
-            for (image, tasks) in load.by_image.iter().filter(|(_, tasks)| tasks.arrays > 0) {
-                *running.entry(image).or_default() += f64::from(tasks.arrays);
+        for load in round.agents.machine_names().filter_map(|name| round.state.machine_loads.get(name)) {
+            for (image, tasks) in load.by_image.iter().filter(|(_, tasks)| tasks.array_tasks > 0) {
+                *running.entry(image).or_default() += f64::from(tasks.array_tasks);
             }
         }
         let rates = round.machine_types.iter().map(|machine_type| machine_type.pull_gb_per_s);
--- a/src/controller/scheduler/write_order.rs
+++ b/src/controller/scheduler/write_order.rs
@@ -31,7 +31,7 @@
     /// The job was cancelled, or this controller's part of it is complete: its user, or the
     /// controllers with the other parts, wait for that.
     End,
-    /// Nobody waits for the job's facts.
+    /// Nobody waits for the job's entries.
     CanWait,
 }
 
@@ -81,7 +81,7 @@
 /// Whether, with these exits, no task of the job waits or is left on this controller's machines.
 fn completes_own_part(round: &SchedulingRound, job: &Job, exits: &PendingExits) -> bool {
     job.waiting_count() == 0
-        && job.chunks.values().flat_map(|chunk| &chunk.rec.on).all(|place| {
+        && job.task_states.values().flat_map(|chunk| &chunk.rec.placements).all(|place| {
             exits.done.contains(&place.index)
                 || exits.gone.contains(&(place.index, place.attempt))
                 || round.agents.machine(&place.machine).is_none()
--- a/src/controller/service_levels.rs
+++ b/src/controller/service_levels.rs
@@ -6,7 +6,7 @@
 use crate::placement::MachineCapacity;
 use crate::protocol::user::JobSpec;
 use crate::state::Job;
-use crate::state::service_levels::{HARDLY_SERVED_SHARE, Served, ServiceTally};
+use crate::state::service_levels::{HARDLY_SERVED_SHARE, ServiceLevelCounts, ServiceTally};
 
 /// Completed jobs and missed objectives as observed by this process.
 #[derive(Debug)]
@@ -14,7 +14,7 @@
     /// The objectives of the settings, and how well they have been met recently.
     pub(super) objectives: Objectives,
     /// Tallies of the jobs served, by class, by team and for the largest jobs.
-    served: Served,
+    served: ServiceLevelCounts,
     /// When the first machine was seen to be up, in wall-clock time.
     fleet_since_ms: Option<u64>,
     /// Whether the first machine came up so late that the fleet must have started empty.
@@ -42,7 +42,7 @@
     pub(super) fn new(objectives: Objectives) -> ServiceLevels {
         ServiceLevels {
             objectives,
-            served: Served::default(),
+            served: ServiceLevelCounts::default(),
             fleet_since_ms: None,
             fleet_started_empty: false,
             counted_missed: BTreeSet::new(),
@@ -73,14 +73,14 @@
     /// Records a job that completed or missed its objective `took_s` seconds after it was
     /// submitted at `submitted_ms`. `startup_s` is the boot time of the slowest machine type.
     fn record_end(&mut self, spec: &JobSpec, submitted_ms: u64, took_s: f64, startup_s: f64) {
-        if let Some(objective_s) = self.objectives.end_within(spec) {
-            self.served.note(spec, took_s <= objective_s);
+        if let Some(objective_s) = self.objectives.completion_limit_s(spec) {
+            self.served.record(spec, took_s <= objective_s);
         }
         // Jobs submitted while the first machines were still booting do not show whether the
         // fleet is large enough.
         let boot_ms = if self.fleet_started_empty { (startup_s * 1000.0) as u64 } else { 0 };
         if self.fleet_since_ms.is_some_and(|since| submitted_ms >= since + boot_ms) {
-            self.objectives.note_end(spec, took_s);
+            self.objectives.record_completion(spec, took_s);
         }
     }
 
@@ -88,13 +88,13 @@
     fn newly_overdue(&self, jobs: &BTreeMap<String, Job>, now_ms: u64) -> Vec<OverdueJob> {
         let uncounted = jobs.iter().filter(|(uid, job)| !job.cancelled() && !self.counted_missed.contains(*uid));
         let overdue = uncounted.filter(|(_, job)| {
-            let age_s = now_ms.saturating_sub(job.rec.rec.at_ms) as f64 / 1000.0;
-            self.objectives.end_within(&job.spec).is_some_and(|objective_s| age_s > objective_s)
+            let age_s = now_ms.saturating_sub(job.rec.rec.submitted_ms) as f64 / 1000.0;
+            self.objectives.completion_limit_s(&job.spec).is_some_and(|objective_s| age_s > objective_s)
         });
         let overdue_job = |(uid, job): (&String, &Job)| OverdueJob {
             uid: uid.clone(),
             spec: job.spec.clone(),
-            submitted_ms: job.rec.rec.at_ms,
+            submitted_ms: job.rec.rec.submitted_ms,
         };
         overdue.map(overdue_job).collect()
     }
@@ -138,7 +138,7 @@
             booting,
             cores = sum(|capacity| capacity.total_cores),
             free_cores = sum(MachineCapacity::free_cores),
-            behind = self.service_levels.objectives.behind(),
+            behind = self.service_levels.objectives.any_missed_recently(),
             "cluster summary"
         );
     }
@@ -147,7 +147,15 @@
     /// are hardly served.
     fn log_service_levels(&self) {
         for (who, tally) in self.service_levels.served.tallies(self.state.jobs.values(), self.wall_ms()) {
-            let ServiceTally { judged, in_time, live, untouched, waits_s, replicas, placed } = tally;
+            let ServiceTally {
+                judged,
+                in_time,
+                live,
+                not_started: untouched,
+                longest_wait_s: waits_s,
+                replicas,
+                placed,
+            } = tally;
             tracing::debug!(?who, judged, in_time, live, untouched, waits_s, replicas, placed, "service level");
             if let Some(share) = tally.least_share().filter(|share| *share < HARDLY_SERVED_SHARE) {
                 tracing::warn!(
@@ -171,7 +179,7 @@
     pub(super) fn record_finished(&mut self, spec: &JobSpec, submitted_ms: u64) {
         if self.is_leader() {
             let took_s = self.seconds_since(submitted_ms);
-            let objective_s = self.service_levels.objectives.end_within(spec);
+            let objective_s = self.service_levels.objectives.completion_limit_s(spec);
             tracing::debug!(job = %spec.uid, class = %spec.class, took_s, aim_s = objective_s, "job finished");
         }
         if !self.service_levels.counted_missed.remove(&spec.uid) {
--- a/src/controller/sharding.rs
+++ b/src/controller/sharding.rs
@@ -51,7 +51,7 @@
     /// Grants restarted controllers their shards again, and sends one transaction with the moves of
     /// machine groups that are most urgent, if any are due.
     pub(super) fn grant_shards(&mut self) {
-        for member in self.state.restarted() {
+        for member in self.state.restarted_members() {
             let key = records::shard_grant_key(&member);
             if self.transactions.is_locked(&key) || !self.may_write_with_priority(WritePriority::Critical) {
                 continue;
@@ -74,7 +74,7 @@
             return; // a controller that restarts meanwhile gets its whole shard back
         }
         let now = self.now;
-        let max_ops = self.config.settings.state.txn_ops;
+        let max_ops = self.config.deployment.state.txn_ops;
         let max_moves = max_ops.min(self.transactions.unspent_writes(self.now) as usize).max(1);
         let fleet_known = self.startup.fleet_known();
         let unreached = if fleet_known { self.unreached_machines() } else { Vec::new() };
@@ -127,7 +127,7 @@
             };
             let is_unreached = |machine: &&String| unreached.iter().any(|entry| entry.0 == **machine);
             for machine in old.rec.machines.iter().filter(is_unreached) {
-                let until = now + self.secs(self.config.settings.workers.lease_s * AVOID_UNREACHED_LEASES);
+                let until = now + self.secs(self.config.deployment.workers.lease_s * AVOID_UNREACHED_LEASES);
                 self.sharding.avoid_until.insert((machine.clone(), old.rec.owner.clone()), until);
             }
             tracing::debug!(
@@ -170,7 +170,7 @@
         if gangs.is_empty() {
             return Vec::new();
         }
-        gangs.sort_by_key(|job| job.rec.rec.at_ms);
+        gangs.sort_by_key(|job| job.rec.rec.submitted_ms);
         let capacities = self.capacities(true);
         let moves = gangs.into_iter().map(|job| shards::gather_for_gang(&self.state, &capacities, &job.spec));
         moves.into_iter().find(|moves| !moves.is_empty()).unwrap_or_default()
--- a/src/controller/store_sync.rs
+++ b/src/controller/store_sync.rs
@@ -305,17 +305,17 @@
         }
         // The watch repeats the changes that were made during the scan.
         let mut replica = std::mem::take(&mut self.store.snapshot);
-        replica.loaded();
+        replica.finish_loading();
         if replica.format_version() > records::FORMAT_VERSION {
             tracing::error!(
                 format_version = replica.format_version(),
                 known = records::FORMAT_VERSION,
                 "stored state has a later format than this program supports, starting nothing"
             );
-            self.store.session.restart_scan(self.now + self.secs(self.config.settings.workers.lease_s));
+            self.store.session.restart_scan(self.now + self.secs(self.config.deployment.workers.lease_s));
             return;
         }
-        replica.follows(&self.state);
+        replica.succeed(&self.state);
         self.state = replica;
         self.agents.invalidate_machines();
         self.store.session.sync_state = SyncState::Following;
@@ -344,7 +344,7 @@
         }
         for change in &changes.events {
             // Every earlier change has been applied by now.
-            self.state.reached(change.version.saturating_sub(1));
+            self.state.advance_to(change.version.saturating_sub(1));
             if let (Some(key), Some(data)) = (&change.put, &change.data) {
                 self.state.put(key, data, change.version);
                 self.transactions.observe_change(key, Some(data), change.version);
@@ -355,7 +355,7 @@
             }
         }
         self.scheduler.request_round_if(!changes.events.is_empty());
-        self.state.reached(changes.revision);
+        self.state.advance_to(changes.revision);
         self.store.session.record_revision(self.state.revision);
         self.resolve_transactions(false);
         self.replica_changed();
--- a/src/controller/task_ranges.rs
+++ b/src/controller/task_ranges.rs
@@ -67,8 +67,8 @@
                 conditions: vec![Condition { key, version: job.rec.version }],
                 ops: vec![end_op(&uid, status, job.spec.task_count)],
             };
-            let stored = job.chunks.iter().filter(|(_, chunk)| chunk.version > 0);
-            let max_deletes = self.config.settings.state.txn_ops - 1;
+            let stored = job.task_states.iter().filter(|(_, chunk)| chunk.version > 0);
+            let max_deletes = self.config.deployment.state.txn_ops - 1;
             txn.ops.extend(
                 stored.map(|(range, _)| Op::Delete { key: records::checkpoint_key(&uid, *range) }).take(max_deletes),
             );
@@ -100,7 +100,7 @@
             if !any_gone && !has_waited {
                 continue;
             }
-            let waiting = job.waiting(size);
+            let waiting = job.waiting_tasks(size);
             let is_lost = any_gone && waiting.iter().any(|index| assignee(*index).is_none_or(is_gone));
             let starts_soon = self.counted_tasks(&job.spec) == CountedTasks::ExceptArrays;
             let capacities = &capacities_by_kind[usize::from(starts_soon)];
@@ -183,7 +183,7 @@
         }
         let longest_name = members.iter().map(String::len).max().unwrap_or(0);
         let tasks_per_record = records::task_range_size(
-            self.config.settings.state.value_kb,
+            self.config.deployment.state.value_kb,
             longest_name,
             self.state.checkpoint_size,
             spec.task_count,
--- a/src/controller/transactions.rs
+++ b/src/controller/transactions.rs
@@ -4,7 +4,7 @@
 use super::*;
 use crate::coordination::in_flight_writes::Proof;
 use crate::requests::RequestKind;
-use crate::state::log_segment::Facts;
+use crate::state::log_segment::LogEntries;
 use ciborium::Value;
 
 /// The transactions in flight, the keys that they lock, and the limit of their rate.
@@ -188,7 +188,7 @@
     /// Appends a segment to this controller's log of starts and exits.
     Segment {
         /// What the segment says of each job.
-        facts: BTreeMap<String, Facts>,
+        facts: BTreeMap<String, LogEntries>,
         /// Parts of team limits that its starts reserve without changing the teams' records.
         reservations: Vec<super::quota::Reservation>,
     },
@@ -402,8 +402,8 @@
         match purpose {
             TxnPurpose::Accept(uid) => self.request_written(&uid, RequestKind::Submit, &ended),
             TxnPurpose::Cancel(uid) => self.request_written(&uid, RequestKind::Cancel, &ended),
-            TxnPurpose::Segment { facts, reservations } => {
-                self.handle_segment_result(&txn, facts, reservations, &ended)
+            TxnPurpose::Segment { facts: entries, reservations } => {
+                self.handle_segment_result(&txn, entries, reservations, &ended)
             }
             TxnPurpose::Fold => {
                 self.journal.compaction_ended();
--- a/src/coordination/in_flight_writes.rs
+++ b/src/coordination/in_flight_writes.rs
@@ -18,7 +18,7 @@
 
 use crate::effects::CallId;
 use crate::protocol::store::{Condition, Op, Txn};
-use crate::state::records::lasts;
+use crate::state::records::is_permanent;
 use ciborium::Value;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -94,7 +94,7 @@
 /// and may be deleted again.
 fn any_change_proves_void(txn: &Txn, condition: &Condition) -> bool {
     let deleted = txn.ops.iter().any(|op| matches!(op, Op::Delete { key } if *key == condition.key));
-    !deleted && (condition.version > 0 || lasts(&condition.key))
+    !deleted && (condition.version > 0 || is_permanent(&condition.key))
 }
 
 /// All transactions in flight that changes and reads of the store can resolve.
--- a/src/coordination/log_writer.rs
+++ b/src/coordination/log_writer.rs
@@ -13,7 +13,7 @@
 
 use crate::effects::Instant;
 use crate::protocol::store::Condition;
-use crate::state::log_segment::{Facts, bytes};
+use crate::state::log_segment::{LogEntries, max_bytes};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
@@ -22,12 +22,12 @@
 pub struct LogWriter {
     /// Whether a segment is in flight.
     pub segment_in_flight: bool,
-    /// The earliest time at which facts that can wait are sent.
+    /// The earliest time at which entries that can wait are sent.
     next_at: Instant,
 }
 
 impl LogWriter {
-    /// Whether facts that can wait may be sent now.
+    /// Whether entries that can wait may be sent now.
     pub fn due(&self, now: Instant) -> bool {
         now >= self.next_at
     }
@@ -71,12 +71,12 @@
     // Conditions are also needed for the slot, the job, the shard and the team, and for the
     // checkpoints that are written with the segment.
     let conditions = (txn_ops * 4).saturating_sub(txn_ops + 4);
-    let bytes_per_task = bytes::START + LONGEST_NAME_BYTES;
-    let bytes_for_tasks = byte_limits(value_limit).0.saturating_sub(bytes::FRAME + LONGEST_NAME_BYTES);
+    let bytes_per_task = max_bytes::START + LONGEST_NAME_BYTES;
+    let bytes_for_tasks = byte_limits(value_limit).0.saturating_sub(max_bytes::OVERHEAD + LONGEST_NAME_BYTES);
     task_count as usize > conditions.min(bytes_for_tasks / bytes_per_task)
 }
 
-/// The longest expected name of a machine or a job. A segment holds fewer facts if names are
+/// The longest expected name of a machine or a job. A segment holds fewer entries if names are
 /// longer.
 const LONGEST_NAME_BYTES: usize = 24;
 
@@ -89,7 +89,7 @@
     pub bytes: usize,
 }
 
-/// Collects the facts of the next segment.
+/// Collects the entries of the next segment.
 ///
 /// Invariant: the encoded segment and its conditions stay within the limits. Facts are counted
 /// with upper bounds of their sizes.
@@ -100,8 +100,8 @@
     bytes: usize,
     /// The versions that the transaction is conditional on, by key.
     pub conditions: BTreeMap<String, u64>,
-    /// The facts of each job.
-    pub facts: BTreeMap<String, Facts>,
+    /// The entries of each job.
+    pub entries: BTreeMap<String, LogEntries>,
     /// The machines that the segment names. Each name is stored once.
     machines: BTreeSet<String>,
 }
@@ -122,21 +122,21 @@
     pub fn new(limits: SegmentLimits) -> SegmentBuilder {
         SegmentBuilder {
             limits,
-            bytes: bytes::FRAME,
+            bytes: max_bytes::OVERHEAD,
             conditions: BTreeMap::new(),
-            facts: BTreeMap::new(),
+            entries: BTreeMap::new(),
             machines: BTreeSet::new(),
         }
     }
 
-    /// Whether the segment has no facts yet.
+    /// Whether the segment has no entries yet.
     pub fn is_empty(&self) -> bool {
-        self.facts.is_empty()
+        self.entries.is_empty()
     }
 
-    /// Reserves room for all the given facts of one job, or for none of them if they do not fit
+    /// Reserves room for all the given entries of one job, or for none of them if they do not fit
     /// together. Returns whether they fit. If they do, the caller adds them to the job's entry
-    /// in `facts`.
+    /// in `entries`.
     pub fn try_reserve(&mut self, uid: &str, requirements: &[&FactRequirements]) -> bool {
         let new_machines = self.new_machines(requirements);
         let size = self.added_bytes(uid, &new_machines, requirements);
@@ -151,7 +151,7 @@
         for (key, version) in requirements.iter().flat_map(|r| &r.conditions) {
             self.conditions.insert(key.clone(), *version);
         }
-        self.facts.entry(uid.to_string()).or_default();
+        self.entries.entry(uid.to_string()).or_default();
         true
     }
 
@@ -168,10 +168,10 @@
         machines.filter(|machine| !self.machines.contains(*machine)).collect()
     }
 
-    /// How many bytes the facts add to the segment, with all names that are new in it.
+    /// How many bytes the entries add to the segment, with all names that are new in it.
     fn added_bytes(&self, uid: &str, new_machines: &BTreeSet<&str>, requirements: &[&FactRequirements]) -> usize {
-        let job_name = if self.facts.contains_key(uid) { 0 } else { bytes::name(uid) };
-        let machine_names = new_machines.iter().map(|machine| bytes::name(machine)).sum::<usize>();
+        let job_name = if self.entries.contains_key(uid) { 0 } else { max_bytes::name(uid) };
+        let machine_names = new_machines.iter().map(|machine| max_bytes::name(machine)).sum::<usize>();
         job_name + machine_names + requirements.iter().map(|r| r.bytes).sum::<usize>()
     }
 
--- a/src/coordination/log_writer/tests.rs
+++ b/src/coordination/log_writer/tests.rs
@@ -7,7 +7,7 @@
 
 fn requirements(group: &str, machine: &str) -> FactRequirements {
     let conditions = vec![(group.to_string(), 7), ("fq/j/run-1".to_string(), 3)];
-    FactRequirements { conditions, machine: Some(machine.into()), bytes: bytes::START }
+    FactRequirements { conditions, machine: Some(machine.into()), bytes: max_bytes::START }
 }
 
 /// The store refuses a transaction over a limit as malformed, at every attempt.
@@ -20,10 +20,10 @@
     let mut taken = 0;
     while segment.try_reserve("run-1", &[&requirements("fq/h/p", &format!("host-{taken:06}"))]) {
         let place = Placement { index: u32::MAX, machine: format!("host-{taken:06}"), attempt: u64::MAX };
-        segment.facts.get_mut("run-1").unwrap().starts.push(place);
+        segment.entries.get_mut("run-1").unwrap().starts.push(place);
         taken += 1;
     }
-    let size = encode(&LogSegmentRecord::of(u64::MAX, &segment.facts)).len();
+    let size = encode(&LogSegmentRecord::from_entries(u64::MAX, &segment.entries)).len();
     assert!(taken > 15 && size <= 1024, "{taken} starts in {size} bytes");
 }
 
--- a/src/coordination/quota_reservation.rs
+++ b/src/coordination/quota_reservation.rs
@@ -87,27 +87,27 @@
     fn reserved(&self) -> Resources {
         let mut recent = Resources::default();
         for (_, amounts) in &self.recent {
-            recent.plus(*amounts, 1.0);
+            recent.add_scaled(*amounts, 1.0);
         }
         let mut sum = self.in_flight;
-        sum.plus(self.unresolved, 1.0);
-        sum.plus(recent, 1.0);
+        sum.add_scaled(self.unresolved, 1.0);
+        sum.add_scaled(recent, 1.0);
         sum
     }
 
     /// Records that a start that takes `amounts` is sent.
     pub fn record_sent(&mut self, amounts: Resources) {
-        self.in_flight.plus(amounts, 1.0);
+        self.in_flight.add_scaled(amounts, 1.0);
     }
 
     /// Records the outcome of a start that takes `amounts`. `carried_out` is `None` if there was
     /// no answer.
     pub fn record_outcome(&mut self, amounts: Resources, carried_out: Option<bool>, now: Instant) {
-        self.in_flight.plus(amounts, -1.0);
+        self.in_flight.add_scaled(amounts, -1.0);
         match carried_out {
             Some(true) => self.recent.push_back((now, amounts)),
             Some(false) => {}
-            None => self.unresolved.plus(amounts, 1.0),
+            None => self.unresolved.add_scaled(amounts, 1.0),
         }
     }
 
--- a/src/coordination/shards/machine_moves.rs
+++ b/src/coordination/shards/machine_moves.rs
@@ -150,7 +150,7 @@
         let group = state
             .machine_groups
             .iter()
-            .filter(|(_, group)| fits(&group.rec) && state.held(group))
+            .filter(|(_, group)| fits(&group.rec) && state.is_group_held(group))
             .filter(|(_, group)| group.rec.machines.iter().all(|machine| reaches(machine, smallest)))
             .min_by_key(|(_, group)| placed_tasks(state, &group.rec))?;
         Some(GroupMove { group: group.0.clone(), to: smallest.to_string() })
@@ -159,7 +159,7 @@
 
 /// The number of tasks that are placed on the group's machines.
 fn placed_tasks(state: &ClusterState, group: &MachineGroupRecord) -> usize {
-    group.machines.iter().map(|machine| state.placed.get(machine).map_or(0, |placed| placed.len())).sum()
+    group.machines.iter().map(|machine| state.placed_tasks.get(machine).map_or(0, |placed| placed.len())).sum()
 }
 
 /// The number of one job's tasks for which each member's shard has room.
@@ -225,7 +225,8 @@
         if missing == 0 {
             break;
         }
-        let Some(record) = state.machines.get(&capacity.machine).filter(|record| state.owned(&record.rec)) else {
+        let Some(record) = state.machines.get(&capacity.machine).filter(|record| state.is_machine_held(&record.rec))
+        else {
             continue;
         };
         if !moves.iter().any(|m| m.group == record.rec.group) {
--- a/src/state/cluster_state.rs
+++ b/src/state/cluster_state.rs
@@ -34,7 +34,7 @@
     /// The live controllers, by name.
     pub members: Versions<MemberRecord>,
     /// The number of changes of members and of the leader that this replica has applied.
-    pub members_changed: u64,
+    pub member_changes: u64,
     /// The current leader.
     pub leader: Option<Versioned<LeaderRecord>>,
     /// The newest term, and the format of all records.
@@ -46,34 +46,34 @@
     /// The machine groups, by the name of their first machine.
     pub machine_groups: Versions<MachineGroupRecord>,
     /// The shard grants, by member.
-    pub shards: Versions<ShardGrantRecord>,
+    pub shard_grants: Versions<ShardGrantRecord>,
     /// The machines of all groups, by name, with the version of their group.
     pub machines: Versions<MachineRecord>,
     /// The version of `MACHINE_GROUPS_KEY`, which changes with every group of several
     /// machines.
     pub machine_groups_version: u64,
     /// The number of changes of `machines` that this replica has applied.
-    pub machines_changed: u64,
+    pub machine_changes: u64,
     /// The jobs that are not over, and cancelled ones that may still have tasks on machines,
     /// by uid.
     pub jobs: BTreeMap<String, Job>,
     /// The results of the jobs that are over, by uid.
-    pub ended: HashMap<Box<str>, EndedJob>,
+    pub ended_jobs: HashMap<Box<str>, EndedJob>,
     /// The tasks placed on each machine.
-    pub placed: HashMap<String, PlacedTasks>,
+    pub placed_tasks: HashMap<String, PlacedTasks>,
     /// The total load of the placed tasks, by machine.
-    pub loads: HashMap<String, MachineLoad>,
+    pub machine_loads: HashMap<String, MachineLoad>,
     /// Jobs that were recorded as done: the specification, and the time of submission in
     /// milliseconds since the Unix epoch. The controller drains this queue.
-    pub finished: Vec<(JobSpec, u64)>,
+    pub newly_done: Vec<(JobSpec, u64)>,
     /// The controllers' logs, by member.
     pub logs: BTreeMap<String, MemberLog>,
     /// The uids of jobs that are complete and whose end is to be recorded. The controller
     /// drains this queue.
-    pub complete: Vec<String>,
+    pub newly_complete: Vec<String>,
     /// The uids of newly cancelled jobs, whose tasks are to be stopped. The controller drains
     /// this queue.
-    pub let_go: Vec<String>,
+    pub newly_cancelled: Vec<String>,
     /// Whether the task starts of teams with a quota limit are serialized, by team.
     pub teams: Versions<TeamRecord>,
     /// The segments collected so far, while the whole store is being read; `None` otherwise.
@@ -89,7 +89,7 @@
     }
 
     /// Creates a replica to be filled by reading the whole store page by page, the first page
-    /// at `revision`. `loaded` completes the read.
+    /// at `revision`. `finish_loading` completes the read.
     pub fn loading(checkpoint_size: u32, revision: u64) -> ClusterState {
         ClusterState { snapshot: Some(SnapshotSegments::new(revision)), ..ClusterState::new(checkpoint_size) }
     }
@@ -101,7 +101,7 @@
     }
 
     /// Records that every change up to `revision` has been applied.
-    pub fn reached(&mut self, revision: u64) {
+    pub fn advance_to(&mut self, revision: u64) {
         self.revision = self.revision.max(revision);
         self.observe_revision(revision);
     }
@@ -119,7 +119,7 @@
     /// Makes this replica the successor of an older one. Responses of the store may have
     /// arrived while this one was read, and what the controller answered because of them
     /// cannot be taken back.
-    pub fn follows(&mut self, older: &ClusterState) {
+    pub fn succeed(&mut self, older: &ClusterState) {
         self.observe_revision(older.known_revision);
         self.predecessor_revision = older.known_revision;
     }
@@ -137,11 +137,11 @@
         match key {
             Key::Term => update(&mut self.term, data, version),
             Key::Leader => {
-                self.members_changed += 1;
+                self.member_changes += 1;
                 update(&mut self.leader, data, version);
             }
             Key::Member(name) => {
-                self.members_changed += 1;
+                self.member_changes += 1;
                 update_named(&mut self.members, name, data, version);
             }
             Key::MachineGroup(name) => self.put_machine_group(name, data, version),
@@ -183,11 +183,11 @@
         match key {
             Key::Term => remove(&mut self.term, version),
             Key::Leader => {
-                self.members_changed += 1;
+                self.member_changes += 1;
                 remove(&mut self.leader, version);
             }
             Key::Member(name) => {
-                self.members_changed += 1;
+                self.member_changes += 1;
                 remove_named(&mut self.members, name, version);
             }
             Key::MachineGroup(name) => self.delete_machine_group(name, version),
--- a/src/state/cluster_state/tests.rs
+++ b/src/state/cluster_state/tests.rs
@@ -13,21 +13,21 @@
     let mut older = ClusterState::new(8);
     let rec = JobRecord {
         spec: Some(JobSpec::example("run-1")),
-        end: None,
+        final_status: None,
         task_count: 1,
-        at_ms: 0,
+        submitted_ms: 0,
         task_ranges: Vec::new(),
     };
     older.put("fq/j/run-1", &to_value(&rec), 4);
-    older.reached(8);
+    older.advance_to(8);
     let mut newer = ClusterState::loading(8, 9);
     newer.put("fq/j/run-1", &to_value(&rec), 4);
     // The response arrived between the pages and the end of the read.
-    older.put("fq/j/run-1", &to_value(&JobRecord { end: Some(Status::Cancelled), ..rec }), 10);
-    newer.loaded();
-    newer.follows(&older);
+    older.put("fq/j/run-1", &to_value(&JobRecord { final_status: Some(Status::Cancelled), ..rec }), 10);
+    newer.finish_loading();
+    newer.succeed(&older);
     assert_eq!((newer.revision, newer.known_revision(), newer.cancelled_since(8).count()), (9, 10, 0));
     assert!(!newer.has_applied_all_known() && older.has_applied_all_known());
-    newer.reached(10);
+    newer.advance_to(10);
     assert!(newer.has_applied_all_known());
 }
--- a/src/state/job.rs
+++ b/src/state/job.rs
@@ -3,7 +3,7 @@
 #![warn(missing_docs)]
 
 use super::index_ranges::{add_to_ranges, in_ranges};
-use super::log_segment::Facts;
+use super::log_segment::LogEntries;
 use super::records::{JobRecord, TaskRangeCheckpoint};
 use super::task_placement::Placement;
 use super::versioned::Versioned;
@@ -20,7 +20,7 @@
     pub rec: Versioned<JobRecord>,
     /// The state of the job's tasks, by checkpoint number. A checkpoint has no entry as long as
     /// none of its tasks has started.
-    pub chunks: BTreeMap<u32, TaskRangeState>,
+    pub task_states: BTreeMap<u32, TaskRangeState>,
     /// The number of completed tasks.
     pub done: u32,
     /// The number of tasks that have a placement.
@@ -45,7 +45,7 @@
     /// The version of the checkpoint in the store; 0 if there is none.
     pub version: u64,
     /// The revision of the newest segment or checkpoint that `rec` contains.
-    pub last: u64,
+    pub last_revision: u64,
 }
 
 /// The changes that the entries of a segment made to the tasks of one checkpoint.
@@ -62,7 +62,7 @@
 impl Job {
     /// Creates a job none of whose tasks has started.
     pub(super) fn new(spec: JobSpec, rec: Versioned<JobRecord>) -> Job {
-        Job { spec, rec, chunks: BTreeMap::new(), done: 0, placed: 0 }
+        Job { spec, rec, task_states: BTreeMap::new(), done: 0, placed: 0 }
     }
 
     /// The number of checkpoints, of `size` tasks each, that cover the job's tasks.
@@ -72,7 +72,7 @@
 
     /// Whether the job has been cancelled.
     pub fn cancelled(&self) -> bool {
-        self.rec.rec.end == Some(Status::Cancelled)
+        self.rec.rec.final_status == Some(Status::Cancelled)
     }
 
     /// Whether no task is left to start or to wait for, so that the job's end can be
@@ -83,31 +83,31 @@
 
     /// Whether the task has completed. Checkpoints have `size` tasks each.
     pub fn is_done(&self, index: u32, size: u32) -> bool {
-        let range = self.chunks.get(&(index / size));
+        let range = self.task_states.get(&(index / size));
         range.is_some_and(|range| in_ranges(&range.rec.done, index))
     }
 
     /// The placement of the task, if it was started and has not ended. Checkpoints have `size`
     /// tasks each.
-    pub fn place(&self, index: u32, size: u32) -> Option<&Placement> {
-        let range = self.chunks.get(&(index / size))?;
-        range.rec.on.iter().find(|placement| placement.index == index)
+    pub fn placement(&self, index: u32, size: u32) -> Option<&Placement> {
+        let range = self.task_states.get(&(index / size))?;
+        range.rec.placements.iter().find(|placement| placement.index == index)
     }
 
     /// The indexes of the tasks that are neither completed nor started, in ascending order.
     /// Empty if the job is cancelled. Checkpoints have `size` tasks each.
-    pub fn waiting(&self, size: u32) -> Vec<u32> {
+    pub fn waiting_tasks(&self, size: u32) -> Vec<u32> {
         if self.cancelled() || self.done + self.placed >= self.spec.task_count {
             return Vec::new();
         }
         let mut taken = vec![false; self.spec.task_count as usize];
-        for (number, range) in &self.chunks {
+        for (number, range) in &self.task_states {
             let end = ((number + 1) * size).min(self.spec.task_count);
             for (from, to) in &range.rec.done {
                 let to = (to + 1).min(end);
                 taken[(*from).min(to) as usize..to as usize].fill(true);
             }
-            for placement in range.rec.on.iter().filter(|placement| placement.index < end) {
+            for placement in range.rec.placements.iter().filter(|placement| placement.index < end) {
                 taken[placement.index as usize] = true;
             }
         }
@@ -129,14 +129,14 @@
 
     /// All placements of the job's tasks, in the order of checkpoints.
     pub(super) fn placements(&self) -> impl Iterator<Item = &Placement> {
-        self.chunks.values().flat_map(|range| &range.rec.on)
+        self.task_states.values().flat_map(|range| &range.rec.placements)
     }
 }
 
 impl TaskRangeState {
     /// Applies the log entries about the tasks with these indexes, and returns the changes that
     /// they made.
-    pub(super) fn replay(&mut self, entries: &Facts, indexes: Range<u32>) -> TaskRangeChanges {
+    pub(super) fn replay(&mut self, entries: &LogEntries, indexes: Range<u32>) -> TaskRangeChanges {
         let mut changes = TaskRangeChanges::default();
         self.replay_completions(entries, indexes.clone(), &mut changes);
         self.replay_removals(entries, indexes.clone(), &mut changes);
@@ -144,7 +144,7 @@
         changes
     }
 
-    fn replay_completions(&mut self, entries: &Facts, indexes: Range<u32>, changes: &mut TaskRangeChanges) {
+    fn replay_completions(&mut self, entries: &LogEntries, indexes: Range<u32>, changes: &mut TaskRangeChanges) {
         for index in entries.done.range(indexes) {
             if !in_ranges(&self.rec.done, *index) {
                 add_to_ranges(&mut self.rec.done, *index);
@@ -154,29 +154,29 @@
         }
     }
 
-    fn replay_removals(&mut self, entries: &Facts, indexes: Range<u32>, changes: &mut TaskRangeChanges) {
+    fn replay_removals(&mut self, entries: &LogEntries, indexes: Range<u32>, changes: &mut TaskRangeChanges) {
         for (index, attempt) in entries.gone.range((indexes.start, 0)..(indexes.end, 0)) {
             let is_attempt = |placement: &Placement| (placement.index, placement.attempt) == (*index, *attempt);
             changes.removed.extend(self.remove_placement(is_attempt));
         }
     }
 
-    fn replay_starts(&mut self, entries: &Facts, indexes: Range<u32>, changes: &mut TaskRangeChanges) {
+    fn replay_starts(&mut self, entries: &LogEntries, indexes: Range<u32>, changes: &mut TaskRangeChanges) {
         for start in entries.starts.iter().filter(|start| indexes.contains(&start.index)) {
             self.rec.highest_attempt = self.rec.highest_attempt.max(start.attempt);
             let is_known = |placement: &Placement| placement.index == start.index && placement.attempt >= start.attempt;
-            if self.rec.on.iter().any(is_known) || in_ranges(&self.rec.done, start.index) {
+            if self.rec.placements.iter().any(is_known) || in_ranges(&self.rec.done, start.index) {
                 continue;
             }
             changes.removed.extend(self.remove_placement(|placement| placement.index == start.index));
-            self.rec.on.push(start.clone());
+            self.rec.placements.push(start.clone());
             changes.started.push(start.clone());
         }
     }
 
     /// Removes and returns the first placement that matches.
     fn remove_placement(&mut self, matches: impl Fn(&Placement) -> bool) -> Option<Placement> {
-        let at = self.rec.on.iter().position(matches)?;
-        Some(self.rec.on.swap_remove(at))
+        let at = self.rec.placements.iter().position(matches)?;
+        Some(self.rec.placements.swap_remove(at))
     }
 }
--- a/src/state/job_table.rs
+++ b/src/state/job_table.rs
@@ -23,9 +23,9 @@
 
     /// Applies a cancellation that another controller has reported. It was stored at
     /// `revision`, which this replica may not have applied yet.
-    pub fn cancelled_elsewhere(&mut self, uid: &str, revision: u64) {
+    pub fn apply_remote_cancellation(&mut self, uid: &str, revision: u64) {
         let Some(job) = self.jobs.get(uid).filter(|job| !job.cancelled()) else { return };
-        let record = JobRecord { end: Some(Status::Cancelled), ..job.rec.rec.clone() };
+        let record = JobRecord { final_status: Some(Status::Cancelled), ..job.rec.rec.clone() };
         self.observe_revision(revision);
         self.put_job(uid, record, revision);
     }
@@ -39,7 +39,7 @@
     /// The status of a job, and the numbers of its completed and of its placed tasks. `None` if
     /// the job is unknown.
     pub fn status(&self, uid: &str) -> Option<(Status, u32, u32)> {
-        if let Some(ended) = self.ended.get(uid) {
+        if let Some(ended) = self.ended_jobs.get(uid) {
             let done = if ended.status == Status::Done { ended.task_count } else { 0 };
             return Some((ended.status, done, 0));
         }
@@ -67,7 +67,7 @@
     /// The record of a cancelled job keeps its specification until the last of its tasks
     /// is known to be gone: they still take up resources and count for their team.
     pub(super) fn put_job(&mut self, uid: &str, record: JobRecord, version: u64) {
-        if self.ended.contains_key(uid) {
+        if self.ended_jobs.contains_key(uid) {
             return;
         }
         match record.spec.clone() {
@@ -79,15 +79,15 @@
 
     /// Applies the record of a job that is over.
     fn end_job(&mut self, uid: &str, record: &JobRecord) {
-        let Some(status) = record.end else { return };
+        let Some(status) = record.final_status else { return };
         if status == Status::Done
             && let Some(job) = self.jobs.get(uid)
         {
-            self.finished.push((job.spec.clone(), job.rec.rec.at_ms));
+            self.newly_done.push((job.spec.clone(), job.rec.rec.submitted_ms));
         }
         self.drop_job(uid);
         let ended = EndedJob { status, task_count: record.task_count };
-        self.ended.insert(uid.into(), ended);
+        self.ended_jobs.insert(uid.into(), ended);
     }
 
     /// Applies a newer record of a known job, and queues the job if it is newly cancelled or has
@@ -97,7 +97,7 @@
         let was_cancelled = job.cancelled();
         job.rec = Versioned { rec: record, version };
         if job.cancelled() && !was_cancelled {
-            self.let_go.push(uid.to_string());
+            self.newly_cancelled.push(uid.to_string());
         }
         self.queue_if_complete(uid);
     }
@@ -116,7 +116,7 @@
     fn drop_job(&mut self, uid: &str) {
         if let Some(job) = self.jobs.remove(uid) {
             for placement in job.placements() {
-                remove_placement(&mut self.placed, &mut self.loads, &job.spec, placement);
+                remove_placement(&mut self.placed_tasks, &mut self.machine_loads, &job.spec, placement);
             }
         }
         self.checkpoints_without_job.remove(uid);
@@ -125,7 +125,7 @@
     /// Queues the job to have its end recorded if it is complete.
     pub(super) fn queue_if_complete(&mut self, uid: &str) {
         if self.jobs.get(uid).is_some_and(Job::complete) {
-            self.complete.push(uid.to_string());
+            self.newly_complete.push(uid.to_string());
         }
     }
 }
--- a/src/state/keys.rs
+++ b/src/state/keys.rs
@@ -131,7 +131,7 @@
 }
 
 /// Whether a key of this form is never deleted once it exists; false for unknown keys.
-pub fn lasts(key: &str) -> bool {
+pub fn is_permanent(key: &str) -> bool {
     match parse_key(key) {
         Some(Key::Leader | Key::Member(_) | Key::MachineGroup(_) | Key::TaskRangeCheckpoint(..)) | None => false,
         Some(
--- a/src/state/log_replay.rs
+++ b/src/state/log_replay.rs
@@ -9,7 +9,7 @@
 use super::cluster_state::ClusterState;
 use super::index_ranges::count_ranges;
 use super::job::{Job, TaskRangeChanges};
-use super::log_segment::{Facts, LogSegmentRecord};
+use super::log_segment::{LogEntries, LogSegmentRecord};
 use super::machine_load::{MachineLoad, PlacedTasks, add_placement, remove_placement};
 use super::records::TaskRangeCheckpoint;
 use super::versioned::Versioned;
@@ -34,7 +34,7 @@
     pub seq: u64,
     /// The checkpoints on whose tasks the segment has entries: the job's uid and the
     /// checkpoint's number.
-    pub touched: Vec<(String, u32)>,
+    pub checkpoints: Vec<(String, u32)>,
 }
 
 /// The segments collected while the whole store is being read.
@@ -64,13 +64,13 @@
 impl ClusterState {
     /// Completes a read of the whole store. Segments up to the revision at which the read
     /// began are replayed in the order of their revisions; the watch delivers later ones.
-    pub fn loaded(&mut self) {
+    pub fn finish_loading(&mut self) {
         let Some(SnapshotSegments { revision, mut segments }) = self.snapshot.take() else { return };
         segments.sort_by_key(|segment| segment.version);
         for UnreplayedSegment { version, member, slot, record } in segments {
             self.put_segment(&member, slot, record, version);
         }
-        self.reached(revision);
+        self.advance_to(revision);
     }
 
     /// Applies a log segment. While the whole store is being read, the segment is collected
@@ -86,13 +86,13 @@
         if log.slots.get(&slot).is_some_and(|known| known.version >= version) {
             return;
         }
-        let entries = record.facts(TASKS_LIMIT).unwrap_or_else(|error| {
+        let entries = record.entries_by_job(TASKS_LIMIT).unwrap_or_else(|error| {
             tracing::error!(%member, slot, %error, "invalid log segment");
             BTreeMap::new()
         });
         log.seq = log.seq.max(record.seq);
-        let touched = touched_checkpoints(&entries, self.checkpoint_size);
-        log.slots.insert(slot, LogSlot { version, seq: record.seq, touched });
+        let checkpoints = touched_checkpoints(&entries, self.checkpoint_size);
+        log.slots.insert(slot, LogSlot { version, seq: record.seq, checkpoints });
         for (uid, job_entries) in &entries {
             self.replay_job_entries(uid, job_entries, version);
         }
@@ -100,20 +100,20 @@
 
     /// Replays the entries of a segment about one job's tasks. Entries are skipped where the
     /// checkpoint already contains the segment, and for a job that is over.
-    fn replay_job_entries(&mut self, uid: &str, entries: &Facts, version: u64) {
+    fn replay_job_entries(&mut self, uid: &str, entries: &LogEntries, version: u64) {
         let size = self.checkpoint_size;
         let Some(job) = self.jobs.get_mut(uid) else { return };
         let task_count = job.spec.task_count;
         let range_count = job.checkpoint_count(size);
-        for number in entries.chunks(size).into_iter().filter(|number| *number < range_count) {
-            let range = job.chunks.entry(number).or_default();
+        for number in entries.checkpoint_numbers(size).into_iter().filter(|number| *number < range_count) {
+            let range = job.task_states.entry(number).or_default();
             if version <= range.rec.as_of_revision {
                 continue;
             }
-            range.last = range.last.max(version);
+            range.last_revision = range.last_revision.max(version);
             let indexes = number * size..((number + 1) * size).min(task_count);
             let changes = range.replay(entries, indexes);
-            apply_changes(job, &mut self.placed, &mut self.loads, &changes);
+            apply_changes(job, &mut self.placed_tasks, &mut self.machine_loads, &changes);
         }
         self.queue_if_complete(uid);
     }
@@ -122,7 +122,7 @@
     /// matters only to a replica that lacks some of them: while the store is being read, and
     /// for records written by versions without task logs.
     pub(super) fn put_checkpoint(&mut self, uid: &str, number: u32, record: TaskRangeCheckpoint, version: u64) {
-        if self.ended.contains_key(uid) {
+        if self.ended_jobs.contains_key(uid) {
             return;
         }
         let Some(job) = self.jobs.get_mut(uid) else {
@@ -131,14 +131,14 @@
             return;
         };
         let Some(replaced) = replace_checkpoint(job, number, record, version) else { return };
-        let current = &job.chunks[&number].rec;
+        let current = &job.task_states[&number].rec;
         job.done = job.done + count_ranges(&current.done) - count_ranges(&replaced.done);
-        job.placed = job.placed + current.on.len() as u32 - replaced.on.len() as u32;
-        for placement in &replaced.on {
-            remove_placement(&mut self.placed, &mut self.loads, &job.spec, placement);
+        job.placed = job.placed + current.placements.len() as u32 - replaced.placements.len() as u32;
+        for placement in &replaced.placements {
+            remove_placement(&mut self.placed_tasks, &mut self.machine_loads, &job.spec, placement);
         }
-        for placement in &current.on {
-            add_placement(&mut self.placed, &mut self.loads, &job.spec, placement);
+        for placement in &current.placements {
+            add_placement(&mut self.placed_tasks, &mut self.machine_loads, &job.spec, placement);
         }
         self.queue_if_complete(uid);
     }
@@ -152,7 +152,7 @@
     mut record: TaskRangeCheckpoint,
     version: u64,
 ) -> Option<TaskRangeCheckpoint> {
-    let range = job.chunks.entry(number).or_default();
+    let range = job.task_states.entry(number).or_default();
     if range.version >= version {
         return None;
     }
@@ -160,11 +160,11 @@
     if record.as_of_revision == 0 {
         record.as_of_revision = version;
     }
-    if range.last > record.as_of_revision {
+    if range.last_revision > record.as_of_revision {
         range.rec.as_of_revision = record.as_of_revision;
         return None;
     }
-    range.last = record.as_of_revision;
+    range.last_revision = record.as_of_revision;
     Some(std::mem::replace(&mut range.rec, record))
 }
 
@@ -188,12 +188,12 @@
 
 /// The checkpoints, of `size` tasks each, on whose tasks a segment has entries: the job's uid
 /// and the checkpoint's number.
-fn touched_checkpoints(entries: &BTreeMap<&str, Facts>, size: u32) -> Vec<(String, u32)> {
-    let mut touched = Vec::new();
+fn touched_checkpoints(entries: &BTreeMap<&str, LogEntries>, size: u32) -> Vec<(String, u32)> {
+    let mut checkpoints = Vec::new();
     for (uid, job_entries) in entries {
-        touched.extend(job_entries.chunks(size).into_iter().map(|number| (uid.to_string(), number)));
+        checkpoints.extend(job_entries.checkpoint_numbers(size).into_iter().map(|number| (uid.to_string(), number)));
     }
-    touched
+    checkpoints
 }
 
 #[cfg(test)]
--- a/src/state/log_replay/tests.rs
+++ b/src/state/log_replay/tests.rs
@@ -47,16 +47,17 @@
 /// The state of all tasks of a replica, in a form that can be compared.
 fn task_states(replica: &ClusterState) -> Vec<String> {
     let range_state = |(number, range): (&u32, &TaskRangeState)| {
-        let mut on = range.rec.on.clone();
+        let mut on = range.rec.placements.clone();
         on.sort_by_key(|placement| placement.index);
         format!("{number} {:?} {on:?} {}", range.rec.done, range.rec.highest_attempt)
     };
     let jobs = replica.jobs.iter().map(|(uid, job)| {
-        let ranges: Vec<String> = job.chunks.iter().filter(|(_, range)| range.last > 0).map(range_state).collect();
+        let ranges: Vec<String> =
+            job.task_states.iter().filter(|(_, range)| range.last_revision > 0).map(range_state).collect();
         format!("{uid} {} {} {ranges:?}", job.done, job.placed)
     });
     let mut placed: Vec<String> =
-        replica.placed.iter().map(|(machine, tasks)| format!("{machine} {tasks:?}")).collect();
+        replica.placed_tasks.iter().map(|(machine, tasks)| format!("{machine} {tasks:?}")).collect();
     placed.sort();
     jobs.chain(placed).collect()
 }
@@ -84,25 +85,25 @@
         for (key, (data, version)) in store.keys.range((Bound::Excluded(after), Bound::Unbounded)) {
             self.replica.put(key, data, *version);
         }
-        self.replica.loaded();
+        self.replica.finish_loading();
     }
 }
 
 /// Random entries of one controller about a job: the controller starts tasks in its half of
 /// the indexes, and ends some of the tasks that its machines run.
-fn random_entries(rng: &mut StdRng, job: &Job, writer: usize, step: u32) -> Facts {
-    let mut entries = Facts::default();
-    let highest_attempt = job.chunks.values().map(|range| range.rec.highest_attempt).max().unwrap_or(0);
+fn random_entries(rng: &mut StdRng, job: &Job, writer: usize, step: u32) -> LogEntries {
+    let mut entries = LogEntries::default();
+    let highest_attempt = job.task_states.values().map(|range| range.rec.highest_attempt).max().unwrap_or(0);
     for _ in 0..3 {
         let index = rng.random_range(0..TASK_COUNT / 2) + writer as u32 * TASK_COUNT / 2;
         let taken = entries.starts.iter().any(|placement| placement.index == index);
-        if !taken && !job.is_done(index, CHECKPOINT_SIZE) && job.place(index, CHECKPOINT_SIZE).is_none() {
+        if !taken && !job.is_done(index, CHECKPOINT_SIZE) && job.placement(index, CHECKPOINT_SIZE).is_none() {
             let machine = format!("m-{}{}", MEMBERS[rng.random_range(0..2)], index % 3);
             entries.starts.push(Placement { index, machine, attempt: highest_attempt + 1 });
         }
     }
     let own_prefix = ["m-a", "m-b"][writer];
-    let placements = job.chunks.values().flat_map(|range| &range.rec.on);
+    let placements = job.task_states.values().flat_map(|range| &range.rec.placements);
     for placement in placements.filter(|p| p.machine.starts_with(own_prefix) && rng.random_bool(0.5)) {
         if placement.index % 7 == 0 && step > 900 {
             entries.done.insert(placement.index);
@@ -119,10 +120,10 @@
         return;
     };
     store.deliver_changes(replica);
-    for (uid, number) in &slot.touched {
-        let range = &replica.jobs[uid].chunks[number];
+    for (uid, number) in &slot.checkpoints {
+        let range = &replica.jobs[uid].task_states[number];
         if range.rec.as_of_revision < slot.version {
-            assert!(range.last <= replica.revision);
+            assert!(range.last_revision <= replica.revision);
             let checkpoint = TaskRangeCheckpoint { as_of_revision: replica.revision, ..range.rec.clone() };
             store.put(checkpoint_key(uid, *number), to_value(&checkpoint));
             store.deliver_changes(replica);
@@ -166,7 +167,7 @@
             let (member, seq) = (MEMBERS[writer], seqs[writer]);
             checkpoint_overwritten_segment(&mut store, replica, member, seq);
             let key = log_key(member, seq);
-            let segment = to_value(&LogSegmentRecord::of(seq, &[(uid.to_string(), entries)].into()));
+            let segment = to_value(&LogSegmentRecord::from_entries(seq, &[(uid.to_string(), entries)].into()));
             let version = store.put(key.clone(), segment.clone());
             replica.put(&key, &segment, version);
             // A read gets its first page now, and the rest some steps later.
@@ -180,7 +181,7 @@
             }
         }
         store.deliver_changes(&mut watcher);
-        assert!(watcher.jobs["run-1"].done > 0 && !watcher.placed.is_empty());
+        assert!(watcher.jobs["run-1"].done > 0 && !watcher.placed_tasks.is_empty());
         for replica in &mut writers {
             store.deliver_changes(replica);
             assert_eq!(task_states(replica), task_states(&watcher), "seed {seed}: a writer");
@@ -197,7 +198,7 @@
 
 fn job_record(uid: &str, task_count: u32) -> JobRecord {
     let spec = JobSpec { task_count, ..JobSpec::example(uid) };
-    JobRecord { spec: Some(spec), end: None, task_count, at_ms: 0, task_ranges: Vec::new() }
+    JobRecord { spec: Some(spec), final_status: None, task_count, submitted_ms: 0, task_ranges: Vec::new() }
 }
 
 /// State written by versions without task logs can be read: a checkpoint without a revision
@@ -206,16 +207,24 @@
 fn records_of_earlier_versions_are_read() {
     let mut state = ClusterState::loading(8, 20);
     let spec = JobSpec::example("run-1");
-    let rec = JobRecord { task_count: spec.task_count, spec: Some(spec), end: None, at_ms: 0, task_ranges: Vec::new() };
+    let rec = JobRecord {
+        task_count: spec.task_count,
+        spec: Some(spec),
+        final_status: None,
+        submitted_ms: 0,
+        task_ranges: Vec::new(),
+    };
     state.put("fq/j/run-1", &to_value(&rec), 1);
     let old = cbor!({"done" => [], "on" => [{"i" => 0, "m" => "m", "a" => 1}], "tries" => 1}).unwrap();
     state.put("fq/t/run-1/0", &old, 7);
     state.put("fq/term", &cbor!({"term" => 4}).unwrap(), 2);
-    let gone = Facts { gone: [(0, 1)].into(), ..Facts::default() };
-    let segment = |seq, f: &Facts| to_value(&LogSegmentRecord::of(seq, &[("run-1".to_string(), f.clone())].into()));
+    let gone = LogEntries { gone: [(0, 1)].into(), ..LogEntries::default() };
+    let segment = |seq, f: &LogEntries| {
+        to_value(&LogSegmentRecord::from_entries(seq, &[("run-1".to_string(), f.clone())].into()))
+    };
     // The checkpoint already contains the segments that are older than itself.
     state.put("fq/l/a/1", &segment(1, &gone), 5);
-    state.loaded();
+    state.finish_loading();
     assert_eq!((state.jobs["run-1"].placed, state.format_version(), state.revision), (1, 0, 20));
     state.put("fq/l/a/2", &segment(2, &gone), 21);
     assert_eq!(state.jobs["run-1"].placed, 0);
--- a/src/state/log_segment.rs
+++ b/src/state/log_segment.rs
@@ -46,7 +46,7 @@
 /// The entries of a segment about one job's tasks. They apply in the order of the fields:
 /// completions and removals first, then starts.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Facts {
+pub struct LogEntries {
     /// The indexes of tasks that completed.
     pub done: BTreeSet<u32>,
     /// Attempts that are gone from their machines: index and attempt.
@@ -55,9 +55,9 @@
     pub starts: Vec<Placement>,
 }
 
-impl Facts {
+impl LogEntries {
     /// The numbers of the checkpoints, of `size` tasks each, whose tasks the entries are about.
-    pub fn chunks(&self, size: u32) -> BTreeSet<u32> {
+    pub fn checkpoint_numbers(&self, size: u32) -> BTreeSet<u32> {
         let done = self.done.iter().copied();
         let gone = self.gone.iter().map(|(index, _)| *index);
         let started = self.starts.iter().map(|placement| placement.index);
@@ -72,16 +72,16 @@
 pub struct InvalidSegment(u64);
 
 /// Upper bounds of the bytes that each part of a segment takes in its CBOR encoding.
-pub mod bytes {
+pub mod max_bytes {
     /// A completed range: the array head, and numbers of at most 5, 5 and 5 bytes.
-    pub const DONE: usize = 1 + 5 + 5 + 5;
+    pub const COMPLETION: usize = 1 + 5 + 5 + 5;
     /// A removal: the array head, and numbers of at most 5, 5 and 9 bytes.
-    pub const GONE: usize = 1 + 5 + 5 + 9;
+    pub const REMOVAL: usize = 1 + 5 + 5 + 9;
     /// A start: the array head, and numbers of at most 5, 5, 5 and 9 bytes.
     pub const START: usize = 1 + 5 + 5 + 5 + 9;
     /// The rest of the segment: the map, its keys, the heads of its lists and the segment's
     /// number.
-    pub const FRAME: usize = 64;
+    pub const OVERHEAD: usize = 64;
 
     /// A name in one of the lists, with the head of the string.
     pub fn name(name: &str) -> usize {
@@ -91,10 +91,10 @@
 
 impl LogSegmentRecord {
     /// The stored form, as segment number `seq`, of these entries by job.
-    pub fn of(seq: u64, facts: &BTreeMap<String, Facts>) -> LogSegmentRecord {
+    pub fn from_entries(seq: u64, entries_by_job: &BTreeMap<String, LogEntries>) -> LogSegmentRecord {
         let mut segment = LogSegmentRecord { seq, ..LogSegmentRecord::default() };
         let mut machine_numbers: BTreeMap<&str, u32> = BTreeMap::new();
-        for (uid, entries) in facts {
+        for (uid, entries) in entries_by_job {
             let job = segment.jobs.len() as u32;
             segment.jobs.push(uid.clone());
             segment.add_completions(job, &entries.done);
@@ -130,8 +130,8 @@
     ///
     /// # Errors
     /// `InvalidSegment` if an entry refers to a name that the segment does not list.
-    pub fn facts(&self, max_index: u32) -> Result<BTreeMap<&str, Facts>, InvalidSegment> {
-        let mut by_job: BTreeMap<&str, Facts> = BTreeMap::new();
+    pub fn entries_by_job(&self, max_index: u32) -> Result<BTreeMap<&str, LogEntries>, InvalidSegment> {
+        let mut by_job: BTreeMap<&str, LogEntries> = BTreeMap::new();
         for (job, from, to) in &self.done {
             by_job.entry(self.job_name(*job)?).or_default().done.extend(*from..=(*to).min(max_index));
         }
--- a/src/state/machine_groups.rs
+++ b/src/state/machine_groups.rs
@@ -33,7 +33,7 @@
     /// Applies a put of a shard grant, which may change the grant of each of the member's
     /// machine groups.
     pub(super) fn put_shard_grant(&mut self, member: &str, data: &Value, version: u64) {
-        update_named(&mut self.shards, member, data, version);
+        update_named(&mut self.shard_grants, member, data, version);
         let groups = self.machine_groups.iter().filter(|(_, group)| group.rec.owner == member);
         let names: Vec<String> = groups.map(|(name, _)| name.clone()).collect();
         for name in names {
@@ -48,7 +48,7 @@
 
     /// Updates `machines` from a group that consisted of the machines `previous` before.
     fn rebuild_group_machines(&mut self, name: &str, previous: &[String]) {
-        self.machines_changed += 1;
+        self.machine_changes += 1;
         let group = self.machine_groups.get(name);
         for machine in previous {
             if group.is_none_or(|group| !group.rec.machines.contains(machine)) {
@@ -58,7 +58,7 @@
         let Some(group) = group else { return };
         let grant = self.effective_grant(group);
         for machine in &group.rec.machines {
-            let rec = group.rec.host(name, machine, grant.revision, &grant.record);
+            let rec = group.rec.machine_record(name, machine, grant.revision, &grant.record);
             self.machines.insert(machine.clone(), Versioned { rec, version: group.version });
         }
     }
@@ -70,7 +70,7 @@
     /// written later: the machines have already seen the higher token.
     fn effective_grant(&self, group: &Versioned<MachineGroupRecord>) -> EffectiveGrant {
         let has_higher_token = |shard: &ShardGrantRecord| (shard.term, shard.epoch) > (group.rec.term, group.rec.epoch);
-        let shard = self.shards.get(&group.rec.owner);
+        let shard = self.shard_grants.get(&group.rec.owner);
         match shard.filter(|shard| shard.version > group.version && has_higher_token(&shard.rec)) {
             Some(shard) => EffectiveGrant { revision: shard.version, record: shard.rec.clone() },
             None => {
@@ -90,16 +90,16 @@
     }
 
     /// Whether the group's owner is live, in the incarnation to which the group is granted.
-    pub fn held(&self, group: &Versioned<MachineGroupRecord>) -> bool {
+    pub fn is_group_held(&self, group: &Versioned<MachineGroupRecord>) -> bool {
         self.is_live(&group.rec.owner, self.effective_grant(group).record.incarnation)
     }
 
     /// Live members that own groups which are granted to another incarnation of theirs, because
     /// they have restarted since. Sorted by name.
-    pub fn restarted(&self) -> Vec<String> {
+    pub fn restarted_members(&self) -> Vec<String> {
         let mut names = BTreeSet::new();
         for group in self.machine_groups.values() {
-            if self.members.contains_key(&group.rec.owner) && !self.held(group) {
+            if self.members.contains_key(&group.rec.owner) && !self.is_group_held(group) {
                 names.insert(&group.rec.owner);
             }
         }
@@ -108,13 +108,13 @@
 
     /// The version of a member's shard grant; 0 if there is none.
     pub fn shard_grant_version(&self, member: &str) -> u64 {
-        self.shards.get(member).map_or(0, |grant| grant.version)
+        self.shard_grants.get(member).map_or(0, |grant| grant.version)
     }
 
     /// Machines that were granted after revision `since`, each with the revision of its grant.
-    pub fn granted_since(&self, since: u64) -> impl Iterator<Item = (&String, u64)> {
-        let machines = self.machines.iter().filter(move |(_, machine)| machine.rec.granted > since);
-        machines.map(|(name, machine)| (name, machine.rec.granted))
+    pub fn machines_granted_since(&self, since: u64) -> impl Iterator<Item = (&String, u64)> {
+        let machines = self.machines.iter().filter(move |(_, machine)| machine.rec.grant_revision > since);
+        machines.map(|(name, machine)| (name, machine.rec.grant_revision))
     }
 
     /// Whether the member is live in this incarnation: its record, which is attached to its
@@ -124,7 +124,7 @@
     }
 
     /// Whether the machine's owner is live, in the incarnation to which the machine is granted.
-    pub fn owned(&self, machine: &MachineRecord) -> bool {
+    pub fn is_machine_held(&self, machine: &MachineRecord) -> bool {
         self.is_live(&machine.owner, machine.incarnation)
     }
 }
--- a/src/state/machine_groups/tests.rs
+++ b/src/state/machine_groups/tests.rs
@@ -17,9 +17,9 @@
         incarnation,
         term: 1,
         epoch: 0,
-        base: false,
+        is_base: false,
         machines: names,
-        drain: vec!["m-2".into()],
+        draining: vec!["m-2".into()],
     };
     to_value(&rec)
 }
@@ -31,20 +31,20 @@
     let mut state = ClusterState::new(8);
     state.put("fq/m/a", &to_value(&MemberRecord { incarnation: 7 }), 3);
     state.put("fq/h/m-1", &group("a", 5), 4);
-    assert!(!state.owned(&state.machines["m-1"].rec));
-    assert_eq!(state.restarted(), ["a"]);
+    assert!(!state.is_machine_held(&state.machines["m-1"].rec));
+    assert_eq!(state.restarted_members(), ["a"]);
     state.put("fq/b/a", &to_value(&ShardGrantRecord { incarnation: 7, term: 2, epoch: 9 }), 6);
     let machine = &state.machines["m-2"];
-    assert!(state.owned(&machine.rec) && machine.rec.drain);
-    assert_eq!((machine.version, machine.rec.granted, machine.rec.term, machine.rec.epoch), (4, 6, 2, 9));
-    assert!(state.restarted().is_empty());
+    assert!(state.is_machine_held(&machine.rec) && machine.rec.draining);
+    assert_eq!((machine.version, machine.rec.grant_revision, machine.rec.term, machine.rec.epoch), (4, 6, 2, 9));
+    assert!(state.restarted_members().is_empty());
     // Marking a machine of the group for draining rewrites the group. If that wrote its own
     // old grant, the group would go back to the earlier incarnation, and the whole shard would
     // be granted again and again.
     let marked = state.with_current_grant(&state.machine_groups["m-1"]);
     state.put("fq/h/m-1", &to_value(&marked), 7);
     let machine = &state.machines["m-2"];
-    assert!(state.owned(&machine.rec) && state.restarted().is_empty());
+    assert!(state.is_machine_held(&machine.rec) && state.restarted_members().is_empty());
     assert_eq!((machine.rec.term, machine.rec.epoch), (2, 9));
     state.put("fq/h/m-1", &group("b", 1), 8);
     assert_eq!((state.machines["m-1"].rec.owner.as_str(), state.machines["m-1"].rec.term), ("b", 1));
@@ -63,6 +63,6 @@
     state.put("fq/h/m-1", &to_value(&rec), 5);
     state.put("fq/b/a", &to_value(&ShardGrantRecord { incarnation: 7, term: 2, epoch: 5 }), 6);
     let machine = &state.machines["m-1"].rec;
-    assert!(state.owned(machine));
-    assert_eq!((machine.granted, machine.term, machine.epoch), (5, 2, 6));
+    assert!(state.is_machine_held(machine));
+    assert_eq!((machine.grant_revision, machine.term, machine.epoch), (5, 2, 6));
 }
--- a/src/state/machine_load.rs
+++ b/src/state/machine_load.rs
@@ -21,11 +21,11 @@
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct MachineLoad {
     /// The resources of all tasks.
-    pub all: Resources,
-    /// The part of `all` that belongs to array tasks, which can be preempted.
-    pub arrays: Resources,
+    pub total: Resources,
+    /// The part of `total` that belongs to array tasks, which can be preempted.
+    pub array_tasks: Resources,
     /// The number of service replicas by job class.
-    pub standing: BTreeMap<String, u32>,
+    pub service_replicas: BTreeMap<String, u32>,
     /// The tasks that use each image, by the image's name.
     pub by_image: BTreeMap<String, ImageLoad>,
     /// The names of the images in use, which are the keys of `by_image`.
@@ -38,30 +38,30 @@
     /// The number of tasks.
     tasks: u32,
     /// The number of array tasks among them.
-    pub arrays: u32,
+    pub array_tasks: u32,
     /// The size of the image, in GB.
     pub image_gb: f64,
 }
 
 impl MachineLoad {
     fn add_task(&mut self, spec: &JobSpec) {
-        self.all.add(spec, 1.0);
+        self.total.add(spec, 1.0);
         if spec.kind == JobKind::Array {
-            self.arrays.add(spec, 1.0);
+            self.array_tasks.add(spec, 1.0);
         }
         if spec.kind == JobKind::Service {
-            increment(&mut self.standing, &spec.class);
+            increment(&mut self.service_replicas, &spec.class);
         }
         self.add_image_user(spec);
     }
 
     fn remove_task(&mut self, spec: &JobSpec) {
-        self.all.add(spec, -1.0);
+        self.total.add(spec, -1.0);
         if spec.kind == JobKind::Array {
-            self.arrays.add(spec, -1.0);
+            self.array_tasks.add(spec, -1.0);
         }
         if spec.kind == JobKind::Service {
-            decrement(&mut self.standing, &spec.class);
+            decrement(&mut self.service_replicas, &spec.class);
         }
         self.remove_image_user(spec);
     }
@@ -75,14 +75,14 @@
             }
         };
         image.tasks += 1;
-        image.arrays += u32::from(spec.kind == JobKind::Array);
+        image.array_tasks += u32::from(spec.kind == JobKind::Array);
         image.image_gb = spec.image_gb;
     }
 
     fn remove_image_user(&mut self, spec: &JobSpec) {
         let Some(image) = self.by_image.get_mut(&spec.image) else { return };
         image.tasks -= 1;
-        image.arrays -= u32::from(spec.kind == JobKind::Array);
+        image.array_tasks -= u32::from(spec.kind == JobKind::Array);
         if image.tasks == 0 {
             self.by_image.remove(&spec.image);
             Rc::make_mut(&mut self.images).remove(&spec.image);
--- a/src/state/objectives.rs
+++ b/src/state/objectives.rs
@@ -43,20 +43,20 @@
     }
 
     /// Seconds from submission within which the job should start, by its tightest objective.
-    pub fn start_within(&self, spec: &JobSpec) -> Option<f64> {
+    pub fn start_limit_s(&self, spec: &JobSpec) -> Option<f64> {
         self.matching(START_WAIT, &spec.class).filter_map(|objective| objective.within_s).reduce(f64::min)
     }
 
     /// Seconds from submission within which the job should complete, by its tightest objective
     /// or deadline. `None` for services.
-    pub fn end_within(&self, spec: &JobSpec) -> Option<f64> {
+    pub fn completion_limit_s(&self, spec: &JobSpec) -> Option<f64> {
         if spec.kind == JobKind::Service {
             return None;
         }
         let completion = self.matching(COMPLETION, &spec.class).filter_map(|objective| objective.within_s);
         let completion_s = completion.reduce(f64::min);
         let deadline_factor = || {
-            let factors = self.matching(DEADLINE, &spec.class).filter_map(|objective| objective.times);
+            let factors = self.matching(DEADLINE, &spec.class).filter_map(|objective| objective.deadline_factor);
             factors.fold(1.0, f64::max)
         };
         let deadline_s = spec.deadline_s.map(|deadline_s| deadline_s * deadline_factor());
@@ -67,8 +67,8 @@
     /// `age_s` can still meet if it needs `needs_s` more seconds. A job that has missed one
     /// objective thus still has the next one to meet. The last limit if the job is too late for
     /// all of them.
-    pub fn end_from(&self, spec: &JobSpec, age_s: f64, needs_s: f64) -> Option<f64> {
-        let first = self.end_within(spec)?;
+    pub fn next_completion_limit_s(&self, spec: &JobSpec, age_s: f64, needs_s: f64) -> Option<f64> {
+        let first = self.completion_limit_s(spec)?;
         let completion = self.matching(COMPLETION, &spec.class).filter_map(|objective| objective.within_s);
         let later = completion.filter(|within_s| *within_s > first);
         let mut limits: Vec<f64> = later.chain([first]).collect();
@@ -77,12 +77,12 @@
     }
 
     /// Records a job that completed `took_s` seconds after its submission.
-    pub fn note_end(&mut self, spec: &JobSpec, took_s: f64) {
+    pub fn record_completion(&mut self, spec: &JobSpec, took_s: f64) {
         for (objective, met_share) in self.objectives.iter().zip(&mut self.met_shares) {
             if objective.class.as_deref() != Some(&spec.class) {
                 continue;
             }
-            let Some(within_s) = completion_limit_s(objective, spec) else { continue };
+            let Some(within_s) = objective_limit_s(objective, spec) else { continue };
             let met = if took_s <= within_s { 1.0 } else { 0.0 };
             let missed_share = 1.0 - objective.share.unwrap_or(0.0);
             let window_jobs = MISSES_PER_WINDOW / missed_share.max(MIN_MISSED_SHARE);
@@ -92,7 +92,7 @@
 
     /// Whether the recent share of any objective is below its target, which makes it worthwhile
     /// to keep idle machines.
-    pub fn behind(&self) -> bool {
+    pub fn any_missed_recently(&self) -> bool {
         let mut objectives = self.objectives.iter().zip(&self.met_shares);
         objectives.any(|(objective, met_share)| objective.share.is_some_and(|share| *met_share < share))
     }
@@ -100,10 +100,10 @@
 
 /// Seconds from submission within which the objective requires the job to complete. `None` if
 /// the objective says nothing about the completion of this job.
-fn completion_limit_s(objective: &Objective, spec: &JobSpec) -> Option<f64> {
+fn objective_limit_s(objective: &Objective, spec: &JobSpec) -> Option<f64> {
     match objective.kind.as_str() {
         COMPLETION => objective.within_s,
-        DEADLINE => spec.deadline_s.map(|deadline_s| deadline_s * objective.times.unwrap_or(1.0)),
+        DEADLINE => spec.deadline_s.map(|deadline_s| deadline_s * objective.deadline_factor.unwrap_or(1.0)),
         _ => None,
     }
 }
--- a/src/state/objectives/tests.rs
+++ b/src/state/objectives/tests.rs
@@ -9,7 +9,7 @@
         class: Some("c".into()),
         within_s: Some(within_s),
         share: Some(0.8),
-        times: None,
+        deadline_factor: None,
     }
 }
 
@@ -18,16 +18,16 @@
 fn recent_misses_count_until_later_jobs_are_in_time() {
     let mut objectives = Objectives::new(vec![completion_within(10.0)]);
     let spec = JobSpec::example("run-1");
-    assert_eq!(objectives.end_within(&spec), Some(10.0));
-    assert!(!objectives.behind());
+    assert_eq!(objectives.completion_limit_s(&spec), Some(10.0));
+    assert!(!objectives.any_missed_recently());
     for _ in 0..3 {
-        objectives.note_end(&spec, 11.0);
+        objectives.record_completion(&spec, 11.0);
     }
-    assert!(objectives.behind());
+    assert!(objectives.any_missed_recently());
     for _ in 0..9 {
-        objectives.note_end(&spec, 9.0);
+        objectives.record_completion(&spec, 9.0);
     }
-    assert!(!objectives.behind());
+    assert!(!objectives.any_missed_recently());
 }
 
 /// If a job that misses the first of two objectives counted as too late for both, it would
@@ -36,7 +36,7 @@
 fn a_job_that_missed_one_objective_has_the_next_to_meet() {
     let objectives = Objectives::new(vec![completion_within(40.0), completion_within(20.0)]);
     let spec = JobSpec::example("run-1");
-    let from = |age_s| objectives.end_from(&spec, age_s, 7.0);
+    let from = |age_s| objectives.next_completion_limit_s(&spec, age_s, 7.0);
     assert_eq!((from(0.0), from(14.0), from(50.0)), (Some(20.0), Some(40.0), Some(40.0)));
-    assert_eq!(Objectives::new(Vec::new()).end_from(&spec, 0.0, 7.0), None);
+    assert_eq!(Objectives::new(Vec::new()).next_completion_limit_s(&spec, 0.0, 7.0), None);
 }
--- a/src/state/records.rs
+++ b/src/state/records.rs
@@ -5,7 +5,7 @@
 pub use super::index_ranges::{add_to_ranges, count_ranges, in_ranges};
 pub use super::keys::{
     BARRIER_KEY, CATALOG_KEY, Key, LEADER_KEY, MACHINE_GROUPS_KEY, MAINTENANCE_KEY, PREFIX, SHARD_GRANTS_PREFIX,
-    TEAMS_PREFIX, TERM_KEY, checkpoint_key, job_key, lasts, log_key, machine_group_key, member_key, parse_key,
+    TEAMS_PREFIX, TERM_KEY, checkpoint_key, is_permanent, job_key, log_key, machine_group_key, member_key, parse_key,
     shard_grant_key, team_key,
 };
 pub use super::sizing::{checkpoint_bytes, checkpoint_size, task_range_size};
@@ -61,7 +61,7 @@
 impl CatalogRecord {
     /// Whether the catalog consists of these types. Spot prices are not compared, since they
     /// change constantly.
-    pub fn has(&self, types: &[MachineType]) -> bool {
+    pub fn has_same_types(&self, types: &[MachineType]) -> bool {
         let without_price = |machine_type: &MachineType| MachineType { spot_price: 0.0, ..machine_type.clone() };
         self.types.len() == types.len()
             && self.types.iter().zip(types).all(|(known, other)| without_price(known) == without_price(other))
@@ -89,14 +89,14 @@
     pub spec: Option<JobSpec>,
     /// The final status, `Done` or `Cancelled`. A cancelled job has it already while its last
     /// tasks are being stopped.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub end: Option<Status>,
+    #[serde(rename = "end", default, skip_serializing_if = "Option::is_none")]
+    pub final_status: Option<Status>,
     /// The number of tasks of the job; `parcels` in the store.
     #[serde(rename = "parcels")]
     pub task_count: u32,
     /// The time of submission, in milliseconds since the Unix epoch.
-    #[serde(default)]
-    pub at_ms: u64,
+    #[serde(rename = "at_ms", default)]
+    pub submitted_ms: u64,
     /// The ranges of tasks that controllers are assigned to start; `shares` in the store.
     #[serde(default)]
     #[serde(rename = "shares")]
@@ -112,8 +112,8 @@
     #[serde(default)]
     pub done: Vec<(u32, u32)>,
     /// The placements of started tasks that have not ended.
-    #[serde(default)]
-    pub on: Vec<Placement>,
+    #[serde(rename = "on", default)]
+    pub placements: Vec<Placement>,
     /// The highest attempt number that any of the tasks has used; `tries` in the store.
     #[serde(default)]
     #[serde(rename = "tries")]
@@ -156,22 +156,29 @@
     pub epoch: u64,
     /// Whether the machines were running when the cluster was set up. They are the minimum size
     /// that the operators chose, below which the fleet is not scaled in.
-    #[serde(default)]
-    pub base: bool,
+    #[serde(rename = "base", default)]
+    pub is_base: bool,
     /// The names of all machines of the group. The name of the first one is the group's name.
     pub machines: Vec<String>,
     /// The machines that are draining: they take no new tasks and are released once they are
     /// empty.
-    #[serde(default)]
-    pub drain: Vec<String>,
+    #[serde(rename = "drain", default)]
+    pub draining: Vec<String>,
 }
 
 impl MachineGroupRecord {
-    /// The machine `name` of this group under a grant that was written at revision `granted`.
+    /// The machine `name` of this group under a grant that was written at revision
+    /// `grant_revision`.
     /// `group` is the name of the group.
-    pub fn host(&self, group: &str, name: &str, granted: u64, grant: &ShardGrantRecord) -> MachineRecord {
+    pub fn machine_record(
+        &self,
+        group: &str,
+        name: &str,
+        grant_revision: u64,
+        grant: &ShardGrantRecord,
+    ) -> MachineRecord {
         MachineRecord {
-            granted,
+            grant_revision,
             group: group.to_string(),
             machine_type: self.machine_type.clone(),
             zone: self.zone.clone(),
@@ -180,16 +187,16 @@
             incarnation: grant.incarnation,
             term: grant.term,
             epoch: grant.epoch,
-            base: self.base,
-            drain: self.drain.iter().any(|machine| machine == name),
+            is_base: self.is_base,
+            draining: self.draining.iter().any(|machine| machine == name),
         }
     }
 
     /// The record without the machines `names`; `None` if no machine remains.
-    pub fn without(&self, names: &[String]) -> Option<MachineGroupRecord> {
+    pub fn without_machines(&self, names: &[String]) -> Option<MachineGroupRecord> {
         let mut rec = self.clone();
         rec.machines.retain(|machine| !names.contains(machine));
-        rec.drain.retain(|machine| !names.contains(machine));
+        rec.draining.retain(|machine| !names.contains(machine));
         (!rec.machines.is_empty()).then_some(rec)
     }
 }
@@ -212,7 +219,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct MachineRecord {
     /// The revision at which the grant was written.
-    pub granted: u64,
+    pub grant_revision: u64,
     /// The name of the machine's group.
     pub group: String,
     /// The machine type.
@@ -230,9 +237,9 @@
     /// The number of the grant within the term, the second part of the fencing token.
     pub epoch: u64,
     /// Whether the machine was running when the cluster was set up.
-    pub base: bool,
+    pub is_base: bool,
     /// Whether the machine is draining.
-    pub drain: bool,
+    pub draining: bool,
 }
 
 /// Whether task starts of a team with a quota limit are serialized. Key: `team_key`; if the
--- a/src/state/resources.rs
+++ b/src/state/resources.rs
@@ -17,18 +17,18 @@
 
 impl Resources {
     /// The resources that `tasks` tasks of the job require.
-    pub fn of(spec: &JobSpec, tasks: f64) -> Resources {
+    pub fn of_tasks(spec: &JobSpec, tasks: f64) -> Resources {
         Resources { cores: spec.cores * tasks, gpus: spec.gpus * tasks, mem_gb: spec.mem_gb * tasks }
     }
 
     /// Adds the resources that `tasks` tasks of the job require. A negative number subtracts
     /// them.
     pub fn add(&mut self, spec: &JobSpec, tasks: f64) {
-        self.plus(Resources::of(spec, tasks), 1.0);
+        self.add_scaled(Resources::of_tasks(spec, tasks), 1.0);
     }
 
     /// Adds `other` multiplied by `factor`.
-    pub fn plus(&mut self, other: Resources, factor: f64) {
+    pub fn add_scaled(&mut self, other: Resources, factor: f64) {
         self.cores += other.cores * factor;
         self.gpus += other.gpus * factor;
         self.mem_gb += other.mem_gb * factor;
--- a/src/state/service_levels.rs
+++ b/src/state/service_levels.rs
@@ -78,9 +78,9 @@
     /// The number of live jobs.
     pub live: u32,
     /// The number of live jobs none of whose tasks has started.
-    pub untouched: u32,
-    /// How long the oldest of the `untouched` jobs has waited, in seconds.
-    pub waits_s: u64,
+    pub not_started: u32,
+    /// How long the oldest of the `not_started` jobs has waited, in seconds.
+    pub longest_wait_s: u64,
     /// The number of replicas that live services want.
     pub replicas: u32,
     /// The number of replicas of live services that are placed.
@@ -94,7 +94,7 @@
     pub fn least_share(&self) -> Option<f64> {
         let shares = [
             share(self.in_time, self.judged),
-            share(self.live - self.untouched.min(self.live), self.live),
+            share(self.live - self.not_started.min(self.live), self.live),
             share(self.placed.min(self.replicas), self.replicas),
         ];
         shares.into_iter().flatten().reduce(f64::min)
@@ -116,13 +116,13 @@
 
 /// Counts of the jobs that ended since this process started, by group.
 #[derive(Debug, Default)]
-pub struct Served {
+pub struct ServiceLevelCounts {
     ended: BTreeMap<JobGroup, EndedCount>,
     /// The sizes of these jobs, by class.
     sizes: BTreeMap<String, JobSizes>,
 }
 
-impl Served {
+impl ServiceLevelCounts {
     /// The groups that a job belongs to.
     fn groups(sizes: &BTreeMap<String, JobSizes>, spec: &JobSpec) -> Vec<JobGroup> {
         let mut groups = vec![JobGroup::Class(spec.class.clone()), JobGroup::Team(spec.team.clone())];
@@ -134,9 +134,9 @@
 
     /// Records a job with an objective that has ended or has missed it. The caller records each
     /// job once.
-    pub fn note(&mut self, spec: &JobSpec, in_time: bool) {
+    pub fn record(&mut self, spec: &JobSpec, in_time: bool) {
         self.sizes.entry(spec.class.clone()).or_insert_with(JobSizes::new).record(spec);
-        for group in Served::groups(&self.sizes, spec) {
+        for group in ServiceLevelCounts::groups(&self.sizes, spec) {
             let count = self.ended.entry(group).or_default();
             count.judged += 1;
             count.in_time += u32::from(in_time);
@@ -157,7 +157,7 @@
             sizes.entry(job.spec.class.clone()).or_insert_with(JobSizes::new).record(&job.spec);
         }
         for job in live {
-            for group in Served::groups(&sizes, &job.spec) {
+            for group in ServiceLevelCounts::groups(&sizes, &job.spec) {
                 add_live_job(tallies.entry(group).or_default(), job, now_ms);
             }
         }
@@ -169,9 +169,9 @@
 fn add_live_job(counts: &mut ServiceTally, job: &Job, now_ms: u64) {
     counts.live += 1;
     if job.placed == 0 && job.done == 0 {
-        let age_s = now_ms.saturating_sub(job.rec.rec.at_ms) / 1000;
-        counts.untouched += 1;
-        counts.waits_s = counts.waits_s.max(age_s);
+        let age_s = now_ms.saturating_sub(job.rec.rec.submitted_ms) / 1000;
+        counts.not_started += 1;
+        counts.longest_wait_s = counts.longest_wait_s.max(age_s);
     }
     if job.spec.kind == JobKind::Service {
         counts.replicas += job.spec.task_count;
--- a/src/state/service_levels/tests.rs
+++ b/src/state/service_levels/tests.rs
@@ -10,12 +10,12 @@
 /// share of the class alone would hide that the team is not served.
 #[test]
 fn an_unserved_team_is_seen_although_its_class_is_served_well() {
-    let mut served = Served::default();
+    let mut served = ServiceLevelCounts::default();
     for _ in 0..20 {
-        served.note(&spec("scores", "risk"), true);
+        served.record(&spec("scores", "risk"), true);
     }
     for _ in 0..9 {
-        served.note(&spec("scores", "treasury"), false);
+        served.record(&spec("scores", "treasury"), false);
     }
     let tallies = served.tallies(std::iter::empty(), 0);
     assert!(tallies[&JobGroup::Class("scores".into())].least_share().unwrap() > HARDLY_SERVED_SHARE);
@@ -28,30 +28,30 @@
 /// by its memory.
 #[test]
 fn unserved_large_jobs_are_seen_although_their_class_is_served_well() {
-    let mut served = Served::default();
+    let mut served = ServiceLevelCounts::default();
     let sized = |task_count, mem_gb| JobSpec { task_count, mem_gb, ..spec("scores", "risk") };
     for n in 0..100 {
-        served.note(&sized(1 + n % 5, 1.0), true);
+        served.record(&sized(1 + n % 5, 1.0), true);
         if n % 4 == 0 {
-            served.note(&sized(200, 1.0), false);
-            served.note(&sized(1, 900.0), false);
+            served.record(&sized(200, 1.0), false);
+            served.record(&sized(1, 900.0), false);
         }
     }
     let tallies = served.tallies(std::iter::empty(), 0);
     assert!(tallies[&JobGroup::Class("scores".into())].least_share().unwrap() > HARDLY_SERVED_SHARE);
     let largest = tallies[&JobGroup::Largest("scores".into())];
     assert!(largest.judged >= 20 && largest.least_share().unwrap() < HARDLY_SERVED_SHARE, "{largest:?}");
-    let mut alike = Served::default();
-    (0..20).for_each(|_| alike.note(&sized(3, 1.0), false));
+    let mut alike = ServiceLevelCounts::default();
+    (0..20).for_each(|_| alike.record(&sized(3, 1.0), false));
     assert!(!alike.tallies(std::iter::empty(), 0).contains_key(&JobGroup::Largest("scores".into())));
 }
 
 /// No share is reported for a few jobs, and the smallest of several shares is reported.
 #[test]
 fn a_share_is_reported_only_for_enough_jobs() {
-    let mut served = Served::default();
-    (0..MIN_JOBS_FOR_SHARE - 1).for_each(|_| served.note(&spec("scores", "risk"), false));
+    let mut served = ServiceLevelCounts::default();
+    (0..MIN_JOBS_FOR_SHARE - 1).for_each(|_| served.record(&spec("scores", "risk"), false));
     assert_eq!(served.tallies(std::iter::empty(), 0)[&JobGroup::Class("scores".into())].least_share(), None);
-    let services = ServiceTally { replicas: 10, placed: 4, live: 10, untouched: 2, ..ServiceTally::default() };
+    let services = ServiceTally { replicas: 10, placed: 4, live: 10, not_started: 2, ..ServiceTally::default() };
     assert_eq!(services.least_share(), Some(0.4), "the smallest share counts");
 }
--- a/src/state/sizing/tests.rs
+++ b/src/state/sizing/tests.rs
@@ -12,7 +12,7 @@
     let placement = |index| Placement { index, machine: "host-000231".into(), attempt: 100_000 };
     let full = TaskRangeCheckpoint {
         done: (0..size / 2).map(|i| (99_000 + i * 2, 99_000 + i * 2)).collect(),
-        on: (0..size).map(|i| placement(99_000 + i)).collect(),
+        placements: (0..size).map(|i| placement(99_000 + i)).collect(),
         highest_attempt: 100_000,
         as_of_revision: u64::MAX,
     };
--- a/src/transport/event_loop.rs
+++ b/src/transport/event_loop.rs
@@ -59,12 +59,12 @@
 impl EventLoop {
     /// Creates the controller and its network, on listeners that are already bound.
     fn new(settings: Settings, operator_path: Option<PathBuf>, poll: Poll, listeners: Listeners) -> EventLoop {
-        let workers = &settings.settings.workers;
+        let workers = &settings.deployment.workers;
         let tick_interval = tick_interval(workers);
         let heartbeat_interval = Duration::from_secs_f64(workers.heartbeat_interval_s);
         let operator_file =
-            operator_path.map(|path| OperatorFile::new(path, settings.settings.teams.clone(), heartbeat_interval));
-        tracing::info!(member = %settings.member, others = settings.others.len(), "controller started");
+            operator_path.map(|path| OperatorFile::new(path, settings.deployment.teams.clone(), heartbeat_interval));
+        tracing::info!(member = %settings.member, others = settings.peers.len(), "controller started");
         let network = Network::new(&settings, poll);
         let wall_clock = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let controller = Controller::new(settings, rand::random(), wall_clock);
--- a/src/transport/network.rs
+++ b/src/transport/network.rs
@@ -74,9 +74,9 @@
 impl Network {
     /// Returns a network without connections, which registers its sockets with `poll`.
     pub(super) fn new(settings: &Settings, poll: Poll) -> Network {
-        let workers = &settings.settings.workers;
-        let limits = &settings.settings.machine_limits;
-        let peers = settings.others.iter().map(|other| (other.member.clone(), PeerConnection::new(other.peer_addr)));
+        let workers = &settings.deployment.workers;
+        let limits = &settings.deployment.machine_limits;
+        let peers = settings.peers.iter().map(|other| (other.member.clone(), PeerConnection::new(other.peer_addr)));
         Network {
             poll,
             started_at: std::time::Instant::now(),
@@ -87,8 +87,8 @@
             queued_calls: VecDeque::new(),
             peers: peers.collect(),
             member: settings.member.clone(),
-            store_address: settings.outside.state,
-            cloud_address: settings.outside.cloud,
+            store_address: settings.external.state,
+            cloud_address: settings.external.cloud,
             server_connections: 0,
             max_server_connections: limits.max_connections * 3 / 4,
             max_connections: limits.max_connections - limits.max_connections / RESERVED_SOCKETS_DIVISOR,
--- a/tests/forms/configuration.rs
+++ b/tests/forms/configuration.rs
@@ -23,33 +23,35 @@
     assert_eq!(settings.zone, "zone-a");
     assert_eq!(settings.public_addr.to_string(), "10.0.0.1:8080");
     assert_eq!(settings.peer_bind.to_string(), "10.0.0.1:8081");
-    assert_eq!(settings.outside.cloud.to_string(), "10.2.0.2:8443");
-    assert_eq!(settings.outside.state.to_string(), "10.2.0.1:2379");
-    let others = settings.others.iter().map(|o| (o.member.as_str(), o.zone.as_str(), o.peer_addr.to_string()));
+    assert_eq!(settings.external.cloud.to_string(), "10.2.0.2:8443");
+    assert_eq!(settings.external.state.to_string(), "10.2.0.1:2379");
+    let others = settings.peers.iter().map(|o| (o.member.as_str(), o.zone.as_str(), o.peer_addr.to_string()));
     let expected = [("perch-1", "zone-b", "10.0.0.2:8081".into()), ("perch-2", "zone-c", "10.0.0.3:8081".into())];
     assert_eq!(others.collect::<Vec<_>>(), expected);
-    assert_eq!(settings.settings.zones, ["zone-a", "zone-b", "zone-c"]);
+    assert_eq!(settings.deployment.zones, ["zone-a", "zone-b", "zone-c"]);
 }
 
 #[test]
 fn teams_are_read() {
-    let teams = settings().settings.teams;
+    let teams = settings().deployment.teams;
     let values: Vec<_> = teams.iter().map(|t| (t.name.as_str(), t.cpus, t.cpus_max, t.gpus, t.gpus_max)).collect();
     assert_eq!(values, [("search", 100.0, 200.0, 4.0, 8.0), ("open", 0.0, 0.0, 0.0, 0.0)]);
 }
 
 #[test]
 fn objectives_are_read() {
-    let objectives = settings().settings.objectives;
-    let values: Vec<_> =
-        objectives.iter().map(|o| (o.kind.as_str(), o.class.as_deref(), o.within_s, o.share, o.times)).collect();
+    let objectives = settings().deployment.objectives;
+    let values: Vec<_> = objectives
+        .iter()
+        .map(|o| (o.kind.as_str(), o.class.as_deref(), o.within_s, o.share, o.deadline_factor))
+        .collect();
     let expected = [("start", Some("nightly"), Some(30.0), Some(0.95), Some(3.0)), ("cost", None, None, None, None)];
     assert_eq!(values, expected);
 }
 
 #[test]
 fn limits_are_read() {
-    let params = settings().settings;
+    let params = settings().deployment;
     let workers = params.workers;
     assert_eq!((workers.heartbeat_interval_s, workers.lease_s), (2.0, 18.0));
     assert_eq!((workers.gang_wait_s, workers.gang_peer_s, workers.cancel_s), (40.0, 4.0, 48.0));
@@ -106,5 +108,8 @@
     let text =
         format!("{}{}{}", &SETTINGS_FILE[..others.start], &SETTINGS_FILE[others.end..start], &SETTINGS_FILE[end..]);
     let settings = parse(&text).unwrap();
-    assert_eq!((settings.others.len(), settings.settings.teams.len(), settings.settings.objectives.len()), (0, 0, 0));
+    assert_eq!(
+        (settings.peers.len(), settings.deployment.teams.len(), settings.deployment.objectives.len()),
+        (0, 0, 0)
+    );
 }
--- a/tests/forms/operator_file.rs
+++ b/tests/forms/operator_file.rs
@@ -12,7 +12,7 @@
 /// Returns the teams in the settings of the platform.
 fn teams() -> Vec<Team> {
     let platform = Settings::parse(include_str!("fixtures/settings.toml"), Path::new("settings.toml"));
-    platform.unwrap().settings.teams
+    platform.unwrap().deployment.teams
 }
 
 /// Loads an operator's file with this text, or returns the error message.
--- a/tests/forms/stored_keys.rs
+++ b/tests/forms/stored_keys.rs
@@ -3,8 +3,8 @@
 
 use finchquay::state::log_segment::LOG_SLOTS;
 use finchquay::state::records::{
-    self, Key, checkpoint_key, job_key, lasts, log_key, machine_group_key, member_key, parse_key, shard_grant_key,
-    team_key,
+    self, Key, checkpoint_key, is_permanent, job_key, log_key, machine_group_key, member_key, parse_key,
+    shard_grant_key, team_key,
 };
 
 #[test]
@@ -59,7 +59,7 @@
         ("fq/q/search", Key::Team("search"), true),
     ] {
         assert_eq!(parse_key(key), Some(expected), "{key}");
-        assert_eq!(lasts(key), permanent, "{key}");
+        assert_eq!(is_permanent(key), permanent, "{key}");
     }
 }
 
@@ -67,6 +67,6 @@
 fn other_keys_are_not_parsed() {
     for key in ["fq/none", "fq/", "fq/x/a", "fq/t/run-000412", "fq/t/run-000412/x", "fq/l/perch-0", "other/m/a", ""] {
         assert_eq!(parse_key(key), None, "{key}");
-        assert!(!lasts(key), "{key}");
+        assert!(!is_permanent(key), "{key}");
     }
 }
--- a/tests/forms/stored_records.rs
+++ b/tests/forms/stored_records.rs
@@ -63,7 +63,13 @@
 
 /// Returns the record of a job that is done.
 fn ended_job() -> JobRecord {
-    JobRecord { spec: None, end: Some(Status::Done), task_count: 70_000, at_ms: 0, task_ranges: Vec::new() }
+    JobRecord {
+        spec: None,
+        final_status: Some(Status::Done),
+        task_count: 70_000,
+        submitted_ms: 0,
+        task_ranges: Vec::new(),
+    }
 }
 
 /// Returns a checkpoint with a value in each field.
@@ -71,7 +77,7 @@
     let placement = Placement { index: 9, machine: "host-000231".into(), attempt: 5_000_000_000 };
     TaskRangeCheckpoint {
         done: vec![(0, 3), (7, 7)],
-        on: vec![placement],
+        placements: vec![placement],
         highest_attempt: 5_000_000_001,
         as_of_revision: 17,
     }
@@ -87,9 +93,9 @@
         incarnation: 7,
         term: 8,
         epoch: 9,
-        base: true,
+        is_base: true,
         machines: vec!["host-000231".into(), "host-000232".into()],
-        drain: vec!["host-000232".into()],
+        draining: vec!["host-000232".into()],
     }
 }
 
@@ -124,13 +130,13 @@
 fn records_of_jobs_are_unchanged() {
     let living = JobRecord {
         spec: Some(spec()),
-        end: None,
+        final_status: None,
         task_count: 70_000,
-        at_ms: 1_700_000_000_000,
+        submitted_ms: 1_700_000_000_000,
         task_ranges: vec![task_range()],
     };
     assert_stored_form("record-job-living", &living);
-    let cancelled = JobRecord { end: Some(Status::Cancelled), ..living.clone() };
+    let cancelled = JobRecord { final_status: Some(Status::Cancelled), ..living.clone() };
     assert_stored_form("record-job-withdrawn", &cancelled);
     assert_stored_form("record-job-ended", &ended_job());
     let sparse = JobSpec { machine_types: None, zone: None, deadline_s: None, ..spec() };
@@ -158,7 +164,7 @@
 #[test]
 fn records_of_machines_are_unchanged() {
     assert_stored_form("record-pack", &full_machine_group());
-    let plain = MachineGroupRecord { base: false, drain: Vec::new(), spot: false, ..full_machine_group() };
+    let plain = MachineGroupRecord { is_base: false, draining: Vec::new(), spot: false, ..full_machine_group() };
     assert_stored_form("record-pack-without-options", &plain);
     let older = cbor!({
         "build" => "std", "site" => "zone-a", "spot" => false, "owner" => "perch-0", "incarnation" => 7,
