--- a/crates/protocol/src/cloud.rs
+++ b/crates/protocol/src/cloud.rs
@@ -1,19 +1,20 @@
-//! Messages between controllers and the cloud provider: the catalog of machine types,
-//! the list of machines, and scaling out (rent) and in (release).
+//! Messages and request paths between controllers and the cloud provider: the catalog of
+//! machine types, the list of machines, and requests to rent machines (scale out) and to
+//! release them (scale in).
 
-use crate::amount;
+use crate::number;
 use serde::{Deserialize, Serialize};
 use std::borrow::Cow;
 
-/// Most machines one [`RentRequest`] may ask for.
+/// Maximum number of machines in one [`RentRequest`].
 pub const RENT_LIMIT: u32 = 50;
-/// Most machines one [`ReleaseRequest`] may hold.
+/// Maximum number of machines in one [`ReleaseRequest`].
 pub const RELEASE_LIMIT: usize = 100;
 
 /// Response to a catalog request.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Catalog {
-    /// Machine types on offer; `builds` on the wire.
+    /// Machine types that the cloud offers; `builds` on the wire.
     #[serde(rename = "builds")]
     pub machine_types: Vec<MachineType>,
 }
@@ -21,35 +22,35 @@
 /// A machine type that the cloud offers.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachineType {
-    /// Name of the type.
+    /// Name of the machine type.
     pub label: String,
-    /// CPU cores.
-    #[serde(deserialize_with = "amount")]
+    /// Number of CPU cores.
+    #[serde(deserialize_with = "number")]
     pub cores: f64,
-    /// GPUs.
-    #[serde(deserialize_with = "amount")]
+    /// Number of GPUs.
+    #[serde(deserialize_with = "number")]
     pub gpus: f64,
     /// Memory, in GB.
-    #[serde(deserialize_with = "amount")]
+    #[serde(deserialize_with = "number")]
     pub mem_gb: f64,
     /// Local disk for images, in GB; `local_gb` on the wire.
-    #[serde(deserialize_with = "amount")]
+    #[serde(deserialize_with = "number")]
     #[serde(rename = "local_gb")]
     pub disk_gb: f64,
-    /// Rate at which it pulls images, in GB per second.
-    #[serde(deserialize_with = "amount")]
+    /// Rate at which the machine pulls images, in GB per second.
+    #[serde(deserialize_with = "number")]
     pub pull_gb_per_s: f64,
-    /// Price of an hour on demand; `hourly` on the wire.
-    #[serde(deserialize_with = "amount")]
+    /// Price per hour of an on-demand instance; `hourly` on the wire.
+    #[serde(deserialize_with = "number")]
     #[serde(rename = "hourly")]
     pub on_demand_price: f64,
-    /// Price of an hour as a spot instance.
-    #[serde(deserialize_with = "amount")]
+    /// Price per hour of a spot instance.
+    #[serde(deserialize_with = "number")]
     pub spot_price: f64,
-    /// Seconds that a machine usually takes to boot.
-    #[serde(deserialize_with = "amount")]
+    /// Usual boot time of a machine, in seconds.
+    #[serde(deserialize_with = "number")]
     pub startup_s: f64,
-    /// Zones that offer it; `sites` on the wire.
+    /// Zones that offer the machine type; `sites` on the wire.
     #[serde(rename = "sites")]
     pub zones: Vec<String>,
 }
@@ -57,35 +58,35 @@
 /// Request for new machines.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct RentRequest<'a> {
-    /// Makes the request idempotent: a repeated one returns the machines of the first;
-    /// `charter` on the wire.
+    /// Idempotency key: a repeated request with the same id returns the machines of the
+    /// first. `charter` on the wire.
     #[serde(rename = "charter")]
     pub request_id: Cow<'a, str>,
-    /// Machine type; `build` on the wire.
+    /// Type of the machines; `build` on the wire.
     #[serde(rename = "build")]
     pub machine_type: Cow<'a, str>,
-    /// Zone; `site` on the wire.
+    /// Zone of the machines; `site` on the wire.
     #[serde(rename = "site")]
     pub zone: Cow<'a, str>,
-    /// Whether spot instances are asked for; `loaners` on the wire.
+    /// Whether spot instances are requested; `loaners` on the wire.
     #[serde(rename = "loaners")]
     pub spot: bool,
-    /// How many, [`RENT_LIMIT`] at most.
+    /// Number of machines, at most [`RENT_LIMIT`].
     pub number: u32,
 }
 
 /// Response to a [`RentRequest`].
 #[derive(Debug, Serialize, Deserialize)]
 pub struct RentResponse {
-    /// Ids of the new machines, which may be fewer than asked for; `perches` on the wire.
+    /// Ids of the new machines, possibly fewer than requested; `perches` on the wire.
     #[serde(rename = "perches")]
     pub machines: Vec<String>,
 }
 
-/// Request to return machines to the cloud.
+/// Request to release machines, which returns them to the cloud.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct ReleaseRequest<'a> {
-    /// Ids of the machines, [`RELEASE_LIMIT`] at most; `perches` on the wire.
+    /// Ids of the machines, at most [`RELEASE_LIMIT`]; `perches` on the wire.
     #[serde(rename = "perches")]
     pub machines: Cow<'a, [String]>,
 }
@@ -94,11 +95,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Phase {
-    /// It was rented, and its worker does not run yet.
+    /// The machine was rented, and its worker does not run yet.
     Booting,
-    /// It is up.
+    /// The machine is up.
     Running,
-    /// It is lost.
+    /// The machine is lost.
     Failed,
     /// A phase that this version does not know.
     #[serde(other)]
@@ -110,67 +111,68 @@
 pub struct ListedMachine {
     /// Id of the machine.
     pub uid: String,
-    /// Address of the machine's worker; controllers learn it from heartbeats.
+    /// Address of the machine's worker; may be empty, since controllers learn the address
+    /// from heartbeats.
     #[serde(default)]
     pub addr: String,
-    /// Machine type; `build` on the wire.
+    /// Type of the machine; `build` on the wire.
     #[serde(rename = "build")]
     pub machine_type: String,
-    /// Zone; `site` on the wire.
+    /// Zone of the machine; `site` on the wire.
     #[serde(rename = "site")]
     pub zone: String,
-    /// Whether it is a spot instance; `loaners` on the wire.
+    /// Whether the machine is a spot instance; `loaners` on the wire.
     #[serde(rename = "loaners")]
     pub spot: bool,
     /// Lifecycle phase; `status` on the wire.
     #[serde(rename = "status")]
     pub phase: Phase,
-    /// Seconds since it was rented; `held_s` on the wire.
-    #[serde(deserialize_with = "amount")]
+    /// Seconds since the machine was rented; `held_s` on the wire.
+    #[serde(deserialize_with = "number")]
     #[serde(rename = "held_s")]
     pub rented_s: f64,
 }
 
-/// One page of the list of machines, by id.
+/// One page of the list of machines, which is sorted by machine id.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Page {
-    /// Machines of the page; `perches` on the wire.
+    /// Machines on the page; `perches` on the wire.
     #[serde(rename = "perches")]
     pub machines: Vec<ListedMachine>,
-    /// Whether more follow.
+    /// Whether more machines follow after this page.
     #[serde(default)]
     pub truncated: bool,
 }
 
-/// Most machines that one page of the list holds.
-pub const LIST_LIMIT: usize = 500;
+/// Maximum number of machines on one page of the list.
+pub const MAX_LIST_PAGE_MACHINES: usize = 500;
 
-/// Path of the catalog.
+/// Path of the catalog (GET).
 pub const CATALOG: &str = "/catalog";
-/// Path to rent (POST) and to list (GET) machines.
+/// Path to rent machines (POST) and to list them (GET).
 pub const RENT: &str = "/hosts";
-/// Path to return machines.
+/// Path to release machines (POST).
 pub const RELEASE: &str = "/hosts/release";
 
-/// What a request to the cloud asks for.
+/// Operation that a request to the cloud selects by its method and path.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Route<'a> {
-    /// The catalog of machine types.
+    /// Read the catalog of machine types.
     Catalog,
-    /// New machines; the body is a [`RentRequest`].
+    /// Rent machines; the body is a [`RentRequest`].
     Rent,
-    /// Return machines; the body is a [`ReleaseRequest`].
+    /// Release machines; the body is a [`ReleaseRequest`].
     Release,
-    /// One page of the list of machines.
+    /// Read one page of the list of machines.
     List {
-        /// The machines after this id; empty for the first page.
+        /// Only machines with ids after this one; empty for the first page.
         after: &'a str,
-        /// Most machines of the page.
+        /// Maximum number of machines on the page.
         page: usize,
     },
 }
 
-/// Tells what a request asks for, by its method and path; none where that is not served.
+/// Parses the method and path of a request; `None` if the cloud does not serve them.
 pub fn route<'a>(method: &str, path: &'a str) -> Option<Route<'a>> {
     let (path, query) = path.split_once('?').unwrap_or((path, ""));
     match (method, path) {
@@ -178,18 +180,22 @@
         ("POST", RENT) => Some(Route::Rent),
         ("POST", RELEASE) => Some(Route::Release),
         ("GET", RENT) => {
-            let page = crate::query(query, "page").map_or(Ok(LIST_LIMIT), str::parse).ok()?;
-            Some(Route::List { after: crate::query(query, "after").unwrap_or(""), page: page.clamp(1, LIST_LIMIT) })
+            let page = crate::query(query, "page").map_or(Ok(MAX_LIST_PAGE_MACHINES), str::parse).ok()?;
+            Some(Route::List {
+                after: crate::query(query, "after").unwrap_or(""),
+                page: page.clamp(1, MAX_LIST_PAGE_MACHINES),
+            })
         }
         _ => None,
     }
 }
 
-/// Path of the page of machines after this id; `after` is empty for the first page.
+/// Returns the path of the page of machines after the id `after`, which is empty for the
+/// first page.
 pub fn list_path(after: &str) -> String {
     if after.is_empty() {
-        format!("{RENT}?page={LIST_LIMIT}")
+        format!("{RENT}?page={MAX_LIST_PAGE_MACHINES}")
     } else {
-        format!("{RENT}?after={after}&page={LIST_LIMIT}")
+        format!("{RENT}?after={after}&page={MAX_LIST_PAGE_MACHINES}")
     }
 }
--- a/crates/protocol/src/peer.rs
+++ b/crates/protocol/src/peer.rs
@@ -1,126 +1,133 @@
-//! Frames between controllers, in borsh behind a length prefix of four bytes in network
-//! byte order. Borsh writes no names: the order of fields and variants is the format.
+//! Frames between controllers: a length prefix of four bytes in network byte order, then
+//! the frame encoded with borsh. Borsh writes no names, so the order of fields and
+//! variants is the format.
 
 use borsh::{BorshDeserialize, BorshSerialize};
 use thiserror::Error;
 
-/// Largest frame that is accepted, in bytes, without its length prefix.
+/// Maximum size of a frame, in bytes, without its length prefix.
 pub const FRAME_LIMIT: usize = 256 * 1024;
-/// Bytes of the length prefix.
-const PREFIX_BYTES: usize = size_of::<u32>();
+/// Size of the length prefix, in bytes.
+const LENGTH_PREFIX_BYTES: usize = size_of::<u32>();
 
-/// Why a stream of frames cannot be read further.
+/// The error after which no more frames can be read from a stream.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum FrameError {
-    /// The length prefix is above [`FRAME_LIMIT`].
-    #[error("a frame of {0} bytes is above the limit")]
+    /// The length prefix exceeds [`FRAME_LIMIT`].
+    #[error("a frame of {0} bytes exceeds the limit")]
     TooLong(usize),
-    /// The bytes are not a frame.
+    /// The bytes after the length prefix are not a valid frame.
     #[error("not a frame: {0}")]
     Malformed(String),
 }
 
-/// One message between controllers.
+/// A message between controllers.
 #[derive(Debug, Clone, PartialEq, BorshSerialize, BorshDeserialize)]
 pub enum Frame {
-    /// First on every connection: who dialled.
+    /// The first frame on every connection, sent by the controller that opened it.
     Hello {
-        /// Name of the controller.
+        /// Name of the sender.
         member: String,
     },
-    /// Sent to every other controller at a steady interval.
+    /// A heartbeat, sent to every other controller at a steady interval.
     PeerHeartbeat(Box<PeerHeartbeat>),
 }
 
-/// The newest heartbeat that the sender received from one controller.
+/// The newest heartbeat that the sender of the frame has received from one controller.
 #[derive(Debug, Clone, Default, PartialEq, BorshSerialize, BorshDeserialize)]
 pub struct Acknowledgement {
-    /// Name of that controller.
+    /// Name of the controller that sent the heartbeat.
     pub member: String,
     /// Incarnation (process) of that controller.
     pub incarnation: u64,
-    /// Sequence number of its heartbeat.
+    /// Sequence number of the heartbeat.
     pub seq: u64,
 }
 
-/// A machine whose worker sent a heartbeat to the sender recently.
+/// A machine whose worker recently sent a heartbeat to the sender of the frame.
 #[derive(Debug, Clone, Default, PartialEq, BorshSerialize, BorshDeserialize)]
 pub struct RecentMachine {
     /// Id of the machine.
     pub machine: String,
-    /// Milliseconds between its last message and this heartbeat.
+    /// Milliseconds between the worker's last message and this controller heartbeat.
     pub ago_ms: u64,
-    /// Agent epoch of its last message. With `heartbeat_seq` it lets others recognize a
-    /// delayed copy of an older message.
+    /// Agent epoch of the worker's last message. Together with `heartbeat_seq` it lets
+    /// other controllers recognize a delayed copy of an older message.
     pub agent_epoch: u64,
-    /// Heartbeat sequence number of its last message.
+    /// Heartbeat sequence number of the worker's last message.
     pub heartbeat_seq: u64,
 }
 
-/// Which of the changes after a revision matter to a controller that has not applied
-/// them: it must stop the jobs, and must not act for the machines, that are listed.
+/// The changes after a revision that restrict a controller that has not applied them yet:
+/// it must stop the listed jobs, and it must not act for the listed machines.
 #[derive(Debug, Clone, Default, PartialEq, BorshSerialize, BorshDeserialize)]
 pub struct Revocations {
-    /// Of all changes after this revision that the sender knows of, none but the listed
-    /// ones matter.
+    /// Revision after which the lists are complete: of all later changes that the sender
+    /// knows of, only the listed ones restrict the receiver.
     pub since: u64,
-    /// Jobs that were cancelled and may have tasks left, with the revision of each.
+    /// Jobs that were cancelled and may still have tasks, each with the revision of its
+    /// cancellation.
     pub cancelled: Vec<(String, u64)>,
-    /// Machines that were granted, with the revision of each.
+    /// Machines that were granted to a controller, each with the revision of its grant.
     pub granted: Vec<(String, u64)>,
 }
 
-/// Heartbeat of a controller to the others, with what it observes. All of it is
-/// advisory except `revision`, `known_revision` and `revocations`, on which the read
-/// index rests: its proof stands in `connectivity`, at `attested`.
+/// Heartbeat of a controller to the other controllers, with its observations. All fields
+/// are advisory except `revision`, `known_revision` and `revocations`, which the read
+/// index depends on. The proof of the read index is at `attested` in `connectivity`.
 #[derive(Debug, Clone, Default, PartialEq, BorshSerialize, BorshDeserialize)]
 pub struct PeerHeartbeat {
     /// Incarnation (process) of the sender.
     pub incarnation: u64,
-    /// Counts the heartbeats of this incarnation, from 1.
+    /// Sequence number of the heartbeat within the incarnation, from 1.
     pub seq: u64,
-    /// The newest heartbeats that the sender had received: they bound the time at which
-    /// this was sent from below, and show that the sender receives ours.
+    /// The newest heartbeat that the sender had received from each controller. An
+    /// acknowledgement of the receiver's own heartbeat proves that the sender receives
+    /// them, and that this heartbeat was sent no earlier than that one.
     pub acknowledgements: Vec<Acknowledgement>,
-    /// Revision up to which the sender's replica of the store is complete; none while it
-    /// has no replica.
+    /// Revision up to which the sender's replica of the store is complete; `None` while
+    /// it has no replica.
     pub revision: Option<u64>,
-    /// The newest revision that the sender knows of, by its watch, a read or the response
-    /// to a write. Whatever it told users, and whatever it acts on, is no newer.
+    /// The newest revision that the sender knows of, from its watch, a read or the
+    /// response to a write. No answer that it gave to a user, and no state that it acts
+    /// on, is newer.
     pub known_revision: u64,
-    /// Changes that must be known to others that have not applied them; none where the
-    /// sender cannot tell.
+    /// Changes that controllers which have not applied them must know of; `None` if the
+    /// sender cannot tell which these are.
     pub revocations: Option<Revocations>,
-    /// Live controllers and their incarnations; empty unless the sender's replica is fresh.
+    /// Live controllers with their incarnations; empty unless the sender's replica is
+    /// fresh.
     pub members: Vec<(String, u64)>,
-    /// Milliseconds since the sender's replica was known to be fresh.
+    /// Milliseconds since the sender's replica was last known to be fresh.
     pub stale_ms: u64,
-    /// Machines that sent a heartbeat to the sender recently.
+    /// Machines whose workers recently sent a heartbeat to the sender.
     pub recent_machines: Vec<RecentMachine>,
-    /// Machines of the sender's shard that stopped sending heartbeats, and the addresses
-    /// of their workers: other controllers probe them.
+    /// Machines of the sender's shard that stopped sending heartbeats, each with the
+    /// address of its worker, which other controllers probe.
     pub unresponsive: Vec<(String, String)>,
-    /// Machines that answered a probe of the sender, and how many milliseconds ago.
+    /// Machines that answered a probe by the sender, each with the milliseconds since the
+    /// answer.
     pub probe_answers: Vec<(String, u64)>,
     /// Machines of any shard that the cloud no longer lists, or lists as failed.
     pub unlisted: Vec<String>,
-    /// Machines that the sender provisioned while the cluster started up.
+    /// Machines that the sender provisioned during the startup of the cluster.
     pub provisioned: Vec<String>,
-    /// Some machines and the images that are cached on them, as indices into `images`.
-    /// Successive heartbeats cover different machines.
+    /// Machines with the images that are cached on them, as indices into `images`. Each
+    /// heartbeat covers some of the machines, and successive ones cover different ones.
     pub image_indices: Vec<(String, Vec<u16>)>,
     /// Names of the images that `image_indices` refers to.
     pub images: Vec<String>,
 }
 
 impl PeerHeartbeat {
-    /// Adds a machine and the images that are cached on it.
+    /// Adds a machine and the images that are cached on it. Images whose index does not
+    /// fit into 16 bits are left out.
     pub fn add_cached_images<'a>(&mut self, machine: &str, images: impl Iterator<Item = &'a String>) {
         let indices = images.filter_map(|image| u16::try_from(self.image_index(image)).ok()).collect();
         self.image_indices.push((machine.to_string(), indices));
     }
 
-    /// The index of an image in the list of names, to which it is added if it is new.
+    /// Returns the index of an image in the list of names, adding it if it is missing.
     fn image_index(&mut self, image: &String) -> usize {
         self.images.iter().position(|name| name == image).unwrap_or_else(|| {
             self.images.push(image.clone());
@@ -128,8 +135,8 @@
         })
     }
 
-    /// Machines and the images that are cached on them. Indices that refer to no name are
-    /// ignored.
+    /// Iterates over the machines and the images that are cached on them. Indices without
+    /// a name are ignored.
     pub fn cached_images(&self) -> impl Iterator<Item = (&str, Vec<&String>)> {
         let name = |index: &u16| self.images.get(usize::from(*index));
         self.image_indices
@@ -141,27 +148,30 @@
 /// Encodes a frame with its length prefix.
 pub fn encode(frame: &Frame) -> Vec<u8> {
     let body = borsh::to_vec(frame).expect("writing to memory does not fail");
-    let mut out = (body.len() as u32).to_be_bytes().to_vec();
-    out.extend(body);
-    out
+    let mut bytes = (body.len() as u32).to_be_bytes().to_vec();
+    bytes.extend(body);
+    bytes
 }
 
-/// Decodes the frame at the front of the buffer and removes its bytes; none while it is
-/// not complete. After an error the rest of the stream cannot be read.
+/// Removes the frame at the front of the buffer and decodes it. Returns `None`, and leaves
+/// the buffer as it is, while the frame is incomplete.
+///
+/// # Errors
+/// [`FrameError`], after which the rest of the stream cannot be read.
 pub fn decode(buffer: &mut Vec<u8>) -> Result<Option<Frame>, FrameError> {
-    let Some(prefix) = buffer.first_chunk::<PREFIX_BYTES>() else {
+    let Some(prefix) = buffer.first_chunk::<LENGTH_PREFIX_BYTES>() else {
         return Ok(None);
     };
     let length = u32::from_be_bytes(*prefix) as usize;
     if length > FRAME_LIMIT {
         return Err(FrameError::TooLong(length));
     }
-    let end = PREFIX_BYTES + length;
+    let end = LENGTH_PREFIX_BYTES + length;
     if buffer.len() < end {
         return Ok(None);
     }
-    let frame =
-        borsh::from_slice(&buffer[PREFIX_BYTES..end]).map_err(|error| FrameError::Malformed(error.to_string()))?;
+    let frame = borsh::from_slice(&buffer[LENGTH_PREFIX_BYTES..end])
+        .map_err(|error| FrameError::Malformed(error.to_string()))?;
     buffer.drain(..end);
     Ok(Some(frame))
 }
--- a/crates/protocol/src/store.rs
+++ b/crates/protocol/src/store.rs
@@ -1,30 +1,31 @@
-//! Messages between controllers and the store, a consensus-backed key-value store:
-//! reads, compare-and-swap transactions, leases and watches; and the request paths.
+//! Messages and request paths between controllers and the store, a consensus-backed
+//! key-value store with range reads, compare-and-swap transactions, leases and watches.
 
 use ciborium::Value;
 use serde::{Deserialize, Deserializer, Serialize, Serializer, de::Error, ser::SerializeMap};
 
-/// Condition of a transaction: the key has this version.
+/// Condition of a transaction: the key must have this version.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Condition {
     /// Key to compare.
     pub key: String,
-    /// Version it must have, 0 for a key that must not exist; `entry_no` on the wire.
+    /// Required version, or 0 if the key must not exist; `entry_no` on the wire.
     #[serde(rename = "entry_no")]
     pub version: u64,
 }
 
-/// Operation of a transaction. On the wire a map with `put` or `delete`, which holds
-/// the key.
+/// Operation of a transaction. On the wire it is a map with either `put` or `delete`,
+/// whose value is the key.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Op {
     /// Write a key.
     Put {
         /// Key to write.
         key: String,
-        /// Its new value.
+        /// New value of the key.
         data: Value,
-        /// Lease whose expiry deletes the key, if any; `tenure` on the wire.
+        /// Lease that the key is attached to, if any: the key is deleted when the lease
+        /// expires. `tenure` on the wire.
         lease: Option<u64>,
     },
     /// Delete a key.
@@ -35,8 +36,8 @@
 }
 
 impl Serialize for Op {
-    fn serialize<S: Serializer>(&self, s: S) -> Result<S::Ok, S::Error> {
-        let mut map = s.serialize_map(None)?;
+    fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
+        let mut map = serializer.serialize_map(None)?;
         match self {
             Op::Put { key, data, lease } => {
                 map.serialize_entry("put", key)?;
@@ -51,7 +52,7 @@
     }
 }
 
-/// An operation as it stands on the wire, before it is known to be one of the two.
+/// The fields of an operation on the wire, before they are checked to be a put or a delete.
 #[derive(Deserialize)]
 struct WireOp {
     #[serde(default)]
@@ -66,41 +67,42 @@
 }
 
 impl<'de> Deserialize<'de> for Op {
-    fn deserialize<D: Deserializer<'de>>(d: D) -> Result<Op, D::Error> {
-        match WireOp::deserialize(d)? {
+    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Op, D::Error> {
+        match WireOp::deserialize(deserializer)? {
             WireOp { put: Some(key), delete: None, data: Some(data), lease } => Ok(Op::Put { key, data, lease }),
             WireOp { put: None, delete: Some(key), .. } => Ok(Op::Delete { key }),
-            _ => Err(D::Error::custom("an op is either a put with data or a delete")),
+            _ => Err(D::Error::custom("an operation is either a put with data or a delete")),
         }
     }
 }
 
-/// A compare-and-swap transaction: all operations are carried out if all conditions
-/// hold, and else none.
+/// A compare-and-swap transaction: if all conditions hold, all operations are applied,
+/// otherwise none.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Txn {
-    /// Conditions; `if` on the wire.
+    /// Conditions that must all hold; `if` on the wire.
     #[serde(rename = "if", default)]
     pub conditions: Vec<Condition>,
-    /// Operations; `then` on the wire.
+    /// Operations that are applied together; `then` on the wire.
     #[serde(rename = "then", default)]
     pub ops: Vec<Op>,
 }
 
 impl Txn {
-    /// Whether it writes the key, rather than only compare or delete it.
+    /// Whether the transaction puts the key. Comparing or deleting it does not count.
     pub fn puts(&self, key: &str) -> bool {
         self.ops.iter().any(|op| matches!(op, Op::Put { key: written, .. } if written == key))
     }
 }
 
-/// Response to a transaction; other responses are read as one for their revision.
+/// Response to a transaction. Other responses of the store can be decoded as this type
+/// too, to read their revision.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct TxnResponse {
-    /// Revision of the store after it; `ledger_no` on the wire.
+    /// Revision of the store after the transaction; `ledger_no` on the wire.
     #[serde(rename = "ledger_no")]
     pub revision: u64,
-    /// Of a refused transaction: the keys whose conditions did not hold.
+    /// Keys whose conditions did not hold; empty if the transaction was applied.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub failed: Vec<String>,
 }
@@ -108,15 +110,15 @@
 /// A key and its value.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Row {
-    /// Key.
+    /// Key of the row.
     pub key: String,
-    /// Value.
+    /// Value of the key.
     pub data: Value,
-    /// Version: the revision of its last write; `entry_no` on the wire.
+    /// Version of the key: the revision of its last write; `entry_no` on the wire.
     #[serde(rename = "entry_no")]
     pub version: u64,
-    /// Lease whose expiry deletes the key; only in the response to a read of one key.
-    /// `tenure` on the wire.
+    /// Lease that the key is attached to, if any; present only in the response to a read of
+    /// one key. `tenure` on the wire.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[serde(rename = "tenure")]
     pub lease: Option<u64>,
@@ -125,9 +127,9 @@
 /// One page of a range read.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Rows {
-    /// Rows of the page, by key.
+    /// Rows on the page, sorted by key.
     pub rows: Vec<Row>,
-    /// Whether more follow.
+    /// Whether more rows follow after this page.
     #[serde(default)]
     pub truncated: bool,
     /// Revision at which the page was read; `ledger_no` on the wire.
@@ -135,16 +137,16 @@
     pub revision: u64,
 }
 
-/// A change of one key: either `put` or `delete` is present.
+/// A change of one key; exactly one of `put` and `delete` is present.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct WatchEvent {
-    /// Key that was written.
+    /// Key that was put.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub put: Option<String>,
     /// Key that was deleted.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub delete: Option<String>,
-    /// Value that was written.
+    /// New value, if the key was put.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub data: Option<Value>,
     /// Version of the key: the revision of this change; `entry_no` on the wire.
@@ -166,7 +168,8 @@
 /// Request for a new lease.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct LeaseRequest {
-    /// Time after which it expires unless it is renewed, in milliseconds, see [`TTL_MS`].
+    /// Time after which the lease expires unless it is renewed, in milliseconds; within
+    /// [`TTL_MS`].
     pub ttl_ms: u64,
 }
 
@@ -178,38 +181,40 @@
     pub id: u64,
 }
 
-/// Longest key, in bytes.
-pub const KEY_LIMIT: usize = 200;
-/// Most rows in one page of a read.
+/// Maximum length of a key, in bytes.
+pub const MAX_KEY_BYTES: usize = 200;
+/// Maximum number of rows on one page of a range read.
 pub const PAGE_LIMIT: usize = 1000;
-/// Most bytes in one page of a read.
+/// Maximum size of one page of a range read, in bytes.
 pub const PAGE_BYTES: usize = 512 * 1024;
-/// Changes that the store keeps for watches; one that starts further back is refused.
+/// Number of changes that the store keeps for watches. A watch that starts further back is
+/// refused.
 pub const WATCH_WINDOW: usize = 10_000;
-/// Longest that a watch may wait, in milliseconds.
-pub const HOLD_LIMIT_MS: u64 = 60_000;
-/// Shortest and longest time of a lease, in milliseconds.
+/// Maximum time that a watch waits for a change, in milliseconds.
+pub const MAX_WATCH_WAIT_MS: u64 = 60_000;
+/// Range that the time to live of a lease must be in, in milliseconds.
 pub const TTL_MS: std::ops::RangeInclusive<u64> = 100..=600_000;
-/// Conditions that a transaction may have for each operation that it may have.
+/// Ratio of the maximum number of conditions in a transaction to the maximum number of
+/// operations.
 pub const CONDITIONS_PER_OP: usize = 4;
 
-/// Whether a key may be stored: 1 to 200 bytes without spaces.
+/// Whether a key may be stored: it has 1 to [`MAX_KEY_BYTES`] bytes and no spaces.
 pub fn valid_key(key: &str) -> bool {
-    (1..=KEY_LIMIT).contains(&key.len()) && !key.contains(' ')
+    (1..=MAX_KEY_BYTES).contains(&key.len()) && !key.contains(' ')
 }
 
-/// What a request to the store asks for.
+/// Operation that a request to the store selects by its method and path.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Route<'a> {
     /// Read one key: `GET /store/<key>`.
     Get(&'a str),
     /// Read a range of keys: `GET /store`.
     Scan {
-        /// Prefix of the keys; `starts` on the wire.
+        /// Prefix of the keys to read; `starts` on the wire.
         prefix: &'a str,
         /// Only keys after this one; empty for the first page.
         after: &'a str,
-        /// Most rows of the page.
+        /// Maximum number of rows on the page.
         page: usize,
     },
     /// Run a transaction: `POST /multi`.
@@ -222,16 +227,17 @@
     Revoke(u64),
     /// Wait for changes: `GET /follow`.
     Watch {
-        /// Prefix of the keys; `starts` on the wire.
+        /// Prefix of the keys to watch; `starts` on the wire.
         prefix: &'a str,
         /// Only changes after this revision.
         after: u64,
-        /// How long to wait for a change, in milliseconds.
+        /// Maximum time to wait for a change, in milliseconds.
         hold_ms: u64,
     },
 }
 
-/// Tells what a request asks for, by its method and path; none is one that gets 400.
+/// Parses the method and path of a request; `None` if the store answers them with status
+/// 400.
 pub fn route<'a>(method: &str, path: &'a str) -> Option<Route<'a>> {
     let (path, query) = path.split_once('?').unwrap_or((path, ""));
     let parameter = |name| crate::query(query, name);
@@ -246,7 +252,7 @@
         ("GET", "/follow") => {
             let hold_ms: u64 = parameter("hold_ms").map_or(Ok(0), str::parse).ok()?;
             let after = parameter("after")?.parse().ok()?;
-            Some(Route::Watch { prefix: parameter("starts")?, after, hold_ms: hold_ms.min(HOLD_LIMIT_MS) })
+            Some(Route::Watch { prefix: parameter("starts")?, after, hold_ms: hold_ms.min(MAX_WATCH_WAIT_MS) })
         }
         _ => match (method, path.strip_prefix("/holds/")) {
             ("POST", Some(rest)) => Some(Route::Extend(rest.strip_suffix("/extend")?.parse().ok()?)),
@@ -257,17 +263,18 @@
     }
 }
 
-/// Path of transactions.
+/// Path of transactions (POST).
 pub const TXN: &str = "/multi";
-/// Path of leases.
+/// Path to grant leases (POST).
 pub const LEASES: &str = "/holds";
 
-/// Path to read one key.
+/// Returns the path to read one key.
 pub fn key_path(key: &str) -> String {
     format!("/store/{key}")
 }
 
-/// Path of the page of keys with this prefix after `after`, which is empty for the first.
+/// Returns the path of the page of keys with this prefix after the key `after`, which is
+/// empty for the first page.
 pub fn scan_path(prefix: &str, after: &str) -> String {
     let page = PAGE_LIMIT;
     if after.is_empty() {
@@ -277,13 +284,13 @@
     }
 }
 
-/// Path of a watch on keys with this prefix for changes after a revision, which waits
-/// `hold_ms` milliseconds at most.
+/// Returns the path of a watch on the keys with this prefix for changes after the revision
+/// `after`. The watch waits at most `hold_ms` milliseconds for a change.
 pub fn watch_path(prefix: &str, after: u64, hold_ms: u64) -> String {
     format!("/follow?starts={prefix}&after={after}&hold_ms={hold_ms}")
 }
 
-/// Path to renew a lease.
+/// Returns the path to renew a lease.
 pub fn renew_path(id: u64) -> String {
     format!("/holds/{id}/extend")
 }
--- a/crates/protocol/src/user.rs
+++ b/crates/protocol/src/user.rs
@@ -1,17 +1,18 @@
-//! Messages between users and controllers: submissions, status queries and
-//! cancellations; and the request paths that a controller serves.
+//! Messages between users and controllers (submissions, status queries and
+//! cancellations), and the request paths that a controller serves to users, workers and
+//! load balancers.
 
-use crate::{amount, amount_or_null};
+use crate::{number, optional_number};
 use serde::{Deserialize, Serialize};
 use std::borrow::Cow;
 
-/// Longest name (team, class, image, machine type, zone) that is accepted.
-const NAME_LIMIT: usize = 128;
-/// Digits of a job id.
-const UID_DIGITS: std::ops::RangeInclusive<usize> = 1..=18;
-/// Most machine types one job may list.
-const MACHINE_TYPES_LIMIT: usize = 32;
-/// Most tasks one job may have.
+/// Maximum length of a name (team, class, image, machine type, zone), in bytes.
+const MAX_NAME_BYTES: usize = 128;
+/// Range of the number of digits in a job id.
+const JOB_ID_DIGITS: std::ops::RangeInclusive<usize> = 1..=18;
+/// Maximum number of machine types that a job may list.
+const MAX_MACHINE_TYPES: usize = 32;
+/// Maximum number of tasks of a job.
 pub const TASKS_LIMIT: u32 = 100_000;
 
 /// How the tasks of a job run; `form` on the wire.
@@ -28,33 +29,34 @@
     Service,
 }
 
-/// Scheduling priority, `urgency` on the wire. Ordered from the lowest to the highest.
+/// Scheduling priority; `urgency` on the wire. The order of the variants is the order of
+/// the priorities, from the lowest to the highest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Priority {
-    /// Runs on capacity that nothing else asks for; `idle` on the wire.
+    /// Runs only on capacity that no other work needs; `idle` on the wire.
     #[serde(rename = "idle")]
     Low,
     /// The usual priority; `standard` on the wire.
     #[serde(rename = "standard")]
     Normal,
-    /// Before the usual work; `urgent` on the wire.
+    /// Runs before work of normal priority; `urgent` on the wire.
     #[serde(rename = "urgent")]
     High,
-    /// Before all other work.
+    /// Runs before all other work.
     #[serde(rename = "production")]
     Production,
 }
 
-/// Specification of a job: the body of a submission, and the part of it that the job
-/// record keeps.
+/// Specification of a job. It is the body of a submission, and the job record in the store
+/// contains it while the job is live.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
-    /// Id of the job, which the user chooses; a repeated submission is idempotent by it.
+    /// Id of the job, chosen by the user. It makes submissions idempotent.
     pub uid: String,
     /// Class of the job; `docket` on the wire.
     #[serde(rename = "docket")]
     pub class: String,
-    /// Team that the job is charged to; `desk` on the wire.
+    /// Team whose quota the job uses; `desk` on the wire.
     #[serde(rename = "desk")]
     pub team: String,
     /// How the tasks run; `form` on the wire.
@@ -66,59 +68,60 @@
     /// Number of tasks; `parcels` on the wire.
     #[serde(rename = "parcels")]
     pub task_count: u32,
-    /// CPU cores of each task.
-    #[serde(deserialize_with = "amount")]
+    /// CPU cores that each task needs.
+    #[serde(deserialize_with = "number")]
     pub cores: f64,
-    /// GPUs of each task.
-    #[serde(deserialize_with = "amount")]
+    /// GPUs that each task needs.
+    #[serde(deserialize_with = "number")]
     pub gpus: f64,
-    /// Memory of each task, in GB.
-    #[serde(deserialize_with = "amount")]
+    /// Memory that each task needs, in GB.
+    #[serde(deserialize_with = "number")]
     pub mem_gb: f64,
     /// Image that each task runs; `bundle` on the wire.
     #[serde(rename = "bundle")]
     pub image: String,
     /// Size of the image, in GB; `size_gb` on the wire.
-    #[serde(deserialize_with = "amount")]
+    #[serde(deserialize_with = "number")]
     #[serde(rename = "size_gb")]
     pub image_gb: f64,
-    /// Machine types that may run it, any where none are given; `builds` on the wire.
+    /// Machine types that tasks may run on; `None` for any. `builds` on the wire.
     #[serde(default)]
     #[serde(rename = "builds")]
     pub machine_types: Option<Vec<String>>,
-    /// Zone that all tasks must be in, any where none is given; `site` on the wire.
+    /// Zone that all tasks must run in; `None` for any. `site` on the wire.
     #[serde(default)]
     #[serde(rename = "site")]
     pub zone: Option<String>,
-    /// Whether all tasks must be in one zone; `together` on the wire.
+    /// Whether all tasks must run in the same zone; `together` on the wire.
     #[serde(rename = "together")]
     pub zone_affinity: bool,
     /// Whether the tasks must be spread over zones; `apart` on the wire.
     #[serde(rename = "apart")]
     pub zone_anti_affinity: bool,
-    /// Whether its tasks may run on spot instances; `loaners` on the wire.
+    /// Whether tasks may run on spot instances; `loaners` on the wire.
     #[serde(rename = "loaners")]
     pub spot_allowed: bool,
     /// Estimated run time of a task, in seconds; `expected_s` on the wire.
-    #[serde(deserialize_with = "amount")]
+    #[serde(deserialize_with = "number")]
     #[serde(rename = "expected_s")]
     pub estimated_run_s: f64,
-    /// Seconds between checkpoints, 0 where tasks take none; `stamp_every_s` on the wire.
-    #[serde(deserialize_with = "amount")]
+    /// Seconds between the checkpoints of a task, 0 if tasks take none; `stamp_every_s` on
+    /// the wire.
+    #[serde(deserialize_with = "number")]
     #[serde(rename = "stamp_every_s")]
     pub checkpoint_interval_s: f64,
-    /// Seconds that one checkpoint takes; `stamp_s` on the wire.
-    #[serde(deserialize_with = "amount")]
+    /// Seconds that a checkpoint takes; `stamp_s` on the wire.
+    #[serde(deserialize_with = "number")]
     #[serde(rename = "stamp_s")]
     pub checkpoint_duration_s: f64,
-    /// Deadline, in seconds after the submission; `due_s` on the wire.
-    #[serde(default, deserialize_with = "amount_or_null")]
+    /// Deadline for the whole job, in seconds after its submission; `due_s` on the wire.
+    #[serde(default, deserialize_with = "optional_number")]
     #[serde(rename = "due_s")]
     pub deadline_s: Option<f64>,
 }
 
 impl JobSpec {
-    /// A small array that any machine can run; for examples and tests.
+    /// Returns a small array job that any machine can run, for examples and tests.
     pub fn example(uid: &str) -> JobSpec {
         JobSpec {
             uid: uid.into(),
@@ -144,14 +147,14 @@
         }
     }
 
-    /// Seconds that a running task needs for a checkpoint when it is stopped; none where
-    /// its tasks take no checkpoints.
+    /// Seconds that a running task needs to write a checkpoint when it is stopped; `None`
+    /// if the tasks take no checkpoints.
     pub fn saves_in(&self) -> Option<f64> {
         (self.checkpoint_interval_s > 0.0).then_some(self.checkpoint_duration_s)
     }
 
-    /// Whether the submission is well formed. Whether its machine types exist is not
-    /// checked here.
+    /// Whether all values are within their limits. It does not check that the machine types
+    /// exist.
     pub fn well_formed(&self) -> bool {
         let amounts = [
             self.cores,
@@ -172,33 +175,36 @@
     }
 }
 
-/// Whether a name (team, class, image, machine type, zone) is neither empty nor too long.
+/// Whether a name (team, class, image, machine type, zone) is not empty and not longer than
+/// [`MAX_NAME_BYTES`].
 fn valid_name(name: &str) -> bool {
-    (1..=NAME_LIMIT).contains(&name.len())
+    (1..=MAX_NAME_BYTES).contains(&name.len())
 }
 
+/// Whether a list of machine types is not too long and all its names are valid.
 fn valid_machine_types(names: &[String]) -> bool {
-    names.len() <= MACHINE_TYPES_LIMIT && names.iter().all(|name| valid_name(name))
+    names.len() <= MAX_MACHINE_TYPES && names.iter().all(|name| valid_name(name))
 }
 
-/// Whether this is a job id: `run-` and 1 to 18 digits, like `run-000412`.
+/// Whether this is a valid job id: `run-` and 1 to 18 digits, for example `run-000412`.
 pub fn valid_uid(uid: &str) -> bool {
     let digits = uid.strip_prefix("run-");
-    digits.is_some_and(|digits| UID_DIGITS.contains(&digits.len()) && digits.bytes().all(|byte| byte.is_ascii_digit()))
+    digits
+        .is_some_and(|digits| JOB_ID_DIGITS.contains(&digits.len()) && digits.bytes().all(|byte| byte.is_ascii_digit()))
 }
 
 /// Status of a job, as users see it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Status {
-    /// None of its tasks runs; `pending` on the wire.
+    /// The job is not complete and none of its tasks runs; `pending` on the wire.
     #[serde(rename = "pending")]
     Queued,
     /// At least one task runs.
     Running,
     /// All tasks ran to completion.
     Done,
-    /// The user cancelled it; `withdrawn` on the wire.
+    /// The user cancelled the job; `withdrawn` on the wire.
     #[serde(rename = "withdrawn")]
     Cancelled,
 }
@@ -210,33 +216,34 @@
     pub uid: Cow<'a, str>,
     /// Status of the job.
     pub status: Status,
-    /// Tasks that ran to completion.
+    /// Number of tasks that ran to completion.
     #[serde(default)]
     pub done: u32,
-    /// Tasks that run now.
+    /// Number of tasks that are running.
     #[serde(default)]
     pub running: u32,
 }
 
-/// Body of a response that refuses a request.
+/// Body of a response to a refused request.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct ErrorBody<'a> {
-    /// Why, in words.
+    /// Reason for the refusal, in plain text.
     pub error: Cow<'a, str>,
 }
 
-/// What a request of a user, worker or load balancer asks for.
+/// Operation that a request of a user, worker or load balancer selects by its method and
+/// path.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Route<'a> {
     /// Submit a job: `POST /work`.
     Submit,
-    /// Query the status of the job with this id: `GET /work/<id>`.
+    /// Read the status of the job with this id: `GET /work/<id>`.
     Poll(&'a str),
     /// Cancel the job with this id: `POST /work/<id>/withdraw`.
     Cancel(&'a str),
-    /// Health check of a load balancer: `GET /healthz`.
+    /// Answer the health check of a load balancer: `GET /healthz`.
     Health,
-    /// Heartbeat of a worker: `POST /checkin`.
+    /// Process the heartbeat of a worker: `POST /checkin`.
     Heartbeat,
     /// The path is served, but not with this method.
     WrongMethod,
@@ -244,17 +251,17 @@
     Unknown,
 }
 
-/// Tells what a request asks for, by its method and path.
+/// Parses the method and path of a request.
 pub fn route<'a>(method: &str, path: &'a str) -> Route<'a> {
-    let want = |expected: &str, route: Route<'a>| if method == expected { route } else { Route::WrongMethod };
+    let require = |expected: &str, route: Route<'a>| if method == expected { route } else { Route::WrongMethod };
     match path {
-        "/healthz" => want("GET", Route::Health),
-        "/checkin" => want("POST", Route::Heartbeat),
-        "/work" => want("POST", Route::Submit),
+        "/healthz" => require("GET", Route::Health),
+        "/checkin" => require("POST", Route::Heartbeat),
+        "/work" => require("POST", Route::Submit),
         _ => match path.strip_prefix("/work/") {
             Some(rest) => match rest.strip_suffix("/withdraw") {
-                Some(uid) if !uid.contains('/') => want("POST", Route::Cancel(uid)),
-                None if !rest.is_empty() && !rest.contains('/') => want("GET", Route::Poll(rest)),
+                Some(uid) if !uid.contains('/') => require("POST", Route::Cancel(uid)),
+                None if !rest.is_empty() && !rest.contains('/') => require("GET", Route::Poll(rest)),
                 _ => Route::Unknown,
             },
             None => Route::Unknown,
--- a/crates/protocol/src/worker.rs
+++ b/crates/protocol/src/worker.rs
@@ -1,12 +1,13 @@
 //! Messages between controllers and the workers (agents) on the machines: heartbeats
-//! with the status of every task, and commands.
+//! with the state of every task, and commands.
 
-use crate::amount_or_null;
+use crate::optional_number;
 use serde::{Deserialize, Serialize};
 use std::borrow::Cow;
 use std::fmt;
 
-/// Id of one task: job id and index, `run-000412/3` on the wire (`parcel`).
+/// Id of a task: the job id and the index of the task. On the wire it is one text, for
+/// example `run-000412/3`, in a field named `parcel`.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct TaskId {
     /// Id of the job.
@@ -16,7 +17,7 @@
 }
 
 impl TaskId {
-    /// Parses `job/index`; none where the index is missing or not a number.
+    /// Parses `job/index`; `None` if the index is missing or not a number.
     pub fn parse(text: &str) -> Option<TaskId> {
         let (job, index) = text.rsplit_once('/')?;
         Some(TaskId { job: job.to_string(), index: index.parse().ok()? })
@@ -33,36 +34,36 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum TaskState {
-    /// Its image is being pulled.
+    /// The machine is pulling the task's image.
     Fetching,
-    /// Ready, and waits until all tasks of its gang are; `gathering` on the wire.
+    /// The task is ready and waits for the other tasks of its gang; `gathering` on the wire.
     #[serde(rename = "gathering")]
     WaitingForGang,
-    /// Its process runs.
+    /// The task's process runs.
     Running,
-    /// It was told to stop and writes its checkpoint.
+    /// The task was told to stop and is writing its checkpoint.
     Saving,
-    /// It has ended; reported until a `Forget` command.
+    /// The task has ended. The worker reports it until a [`Command::Forget`].
     Exited,
 }
 
-/// Why a task has ended, or was not started.
+/// Reason why a task has ended or was not started.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Cause {
-    /// It ran to completion.
+    /// The task ran to completion.
     Done,
-    /// A `Kill` command stopped it.
+    /// A [`Command::Kill`] stopped the task.
     Stopped,
-    /// Another task of its gang was lost; `peers` on the wire.
+    /// Another task of the gang was lost; `peers` on the wire.
     #[serde(rename = "peers")]
     GangMemberLost,
-    /// Its gang was not complete in time; `alone` on the wire.
+    /// The gang was not complete in time; `alone` on the wire.
     #[serde(rename = "alone")]
     GangIncomplete,
-    /// It failed.
+    /// The task failed.
     Error,
-    /// The machine has not the resources that it asks for; `no_room` on the wire.
+    /// The machine lacks the resources that the task needs; `no_room` on the wire.
     #[serde(rename = "no_room")]
     NoCapacity,
     /// Another attempt of the task is on the machine; `in_use` on the wire.
@@ -76,55 +77,56 @@
     Other,
 }
 
-/// Status of one task in a heartbeat.
+/// State of one task in a heartbeat.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct TaskReport {
     /// Task id, see [`TaskId`]; `parcel` on the wire.
     #[serde(rename = "parcel")]
     pub task: String,
-    /// Attempt that the status is of; `try` on the wire.
+    /// Attempt that is reported; `try` on the wire.
     #[serde(rename = "try")]
     pub attempt: u64,
     /// State of the task.
     pub status: TaskState,
-    /// Why it ended; only with [`TaskState::Exited`].
+    /// Reason why the task ended; present only with [`TaskState::Exited`].
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub cause: Option<Cause>,
-    /// Whether its progress was saved as it was stopped.
+    /// Whether the task saved its progress when it was stopped.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub kept: Option<bool>,
 }
 
-/// Heartbeat of a worker with the status of its tasks: sent to its controller at the
-/// configured interval, and returned to a controller that probes the worker.
+/// Heartbeat of a worker with the states of its tasks. The worker sends it to its
+/// controller at the configured interval, and returns it to a controller that probes the
+/// worker.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// Machine id; `perch` on the wire.
+    /// Id of the worker's machine; `perch` on the wire.
     #[serde(rename = "perch")]
     pub machine: String,
     /// Address at which the worker listens.
     pub addr: String,
-    /// Machine type; `build` on the wire.
+    /// Type of the machine; `build` on the wire.
     #[serde(rename = "build")]
     pub machine_type: String,
     /// Zone of the machine; `site` on the wire.
     #[serde(rename = "site")]
     pub zone: String,
-    /// Whether it is a spot instance; `loaners` on the wire.
+    /// Whether the machine is a spot instance; `loaners` on the wire.
     #[serde(rename = "loaners")]
     pub spot: bool,
-    /// Epoch of the agent, which grows with each of its starts; `shift` on the wire.
+    /// Epoch of the agent, which increases each time the agent starts; `shift` on the wire.
     #[serde(rename = "shift")]
     pub agent_epoch: u64,
-    /// Counts the heartbeats of the epoch; `tally` on the wire.
+    /// Sequence number of the heartbeat within the epoch; `tally` on the wire.
     #[serde(rename = "tally")]
     pub heartbeat_seq: u64,
     /// Highest fencing token that the worker has accepted; `warrant` on the wire.
     #[serde(rename = "warrant")]
     pub fencing_token: u64,
-    /// Seconds until the cloud preempts the machine, once it has given notice;
-    /// `recall_s` on the wire.
-    #[serde(default, deserialize_with = "amount_or_null")]
+    /// Seconds until the cloud preempts the machine, if it has given notice; `recall_s` on
+    /// the wire.
+    #[serde(default, deserialize_with = "optional_number")]
     #[serde(rename = "recall_s")]
     pub preemption_notice_s: Option<f64>,
     /// All tasks on the machine; `parcels` on the wire.
@@ -132,11 +134,11 @@
     pub tasks: Vec<TaskReport>,
 }
 
-/// Command of a controller to a worker; its tag is `verb` on the wire.
+/// Command of a controller to a worker; `verb` on the wire selects the variant.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "verb", rename_all = "lowercase")]
 pub enum Command {
-    /// Start an attempt of a task; the worker reads the task from the store.
+    /// Start an attempt of a task. The worker reads the task from the store.
     Run {
         /// Task id; `parcel` on the wire.
         #[serde(rename = "parcel")]
@@ -153,11 +155,11 @@
         /// Attempt to stop; `try` on the wire.
         #[serde(rename = "try")]
         attempt: u64,
-        /// Seconds that it may take to save its progress; `wind_down_s` on the wire.
+        /// Seconds that the task may take to save its progress; `wind_down_s` on the wire.
         #[serde(rename = "wind_down_s")]
         grace_period_s: f64,
     },
-    /// Report an ended attempt no longer: its end is recorded.
+    /// Stop reporting an attempt that has ended, because its end is recorded.
     Forget {
         /// Task id; `parcel` on the wire.
         #[serde(rename = "parcel")]
@@ -168,35 +170,35 @@
     },
 }
 
-/// Response of the owning controller to a heartbeat.
+/// Response to a heartbeat from the controller that owns the machine.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct HeartbeatResponse<'a> {
     /// Fencing token of the controller for this machine; `warrant` on the wire.
     #[serde(rename = "warrant")]
     pub fencing_token: u64,
-    /// Commands, in order; `orders` on the wire.
+    /// Commands in the order in which they are carried out; `orders` on the wire.
     #[serde(rename = "orders")]
     pub commands: Cow<'a, [Command]>,
 }
 
-/// Commands that a controller sends to a worker by a call of its own.
+/// Request that a controller sends to a worker to deliver commands between heartbeats.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct CommandRequest<'a> {
     /// Fencing token of the controller for this machine; `warrant` on the wire.
     #[serde(rename = "warrant")]
     pub fencing_token: u64,
-    /// Epoch of the agent that the commands are for; `shift` on the wire.
+    /// Epoch of the agent for which the commands are valid; `shift` on the wire.
     #[serde(rename = "shift")]
     pub agent_epoch: u64,
-    /// Commands, in order; `orders` on the wire.
+    /// Commands in the order in which they are carried out; `orders` on the wire.
     #[serde(rename = "orders")]
     pub commands: Cow<'a, [Command]>,
 }
 
-/// Response (status 421) that sends the worker to another controller.
+/// Response (status 421) that redirects a worker to another controller.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Redirect<'a> {
-    /// Address to report to, where the sender knows it; `harbor` on the wire.
+    /// Address of the controller to report to, if the sender knows it; `harbor` on the wire.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[serde(rename = "harbor")]
     pub controller: Option<Cow<'a, str>>,
--- a/crates/protocol/tests/forms/main.rs
+++ b/crates/protocol/tests/forms/main.rs
@@ -1,6 +1,7 @@
-//! Golden tests of the wire format: the bytes of every message, frame and request
-//! path are compared with fixtures that are never regenerated. Deployed peers,
-//! workers and services read these bytes; a renamed field must not change them.
+//! Golden tests of the wire format. The bytes of every message and frame are compared with
+//! fixtures that are never regenerated, and every request path with its text. Deployed
+//! controllers, workers and services read these bytes, so renaming a field must not change
+//! them.
 
 mod cloud;
 mod fixture;
