--- a/crates/client/src/endpoints.rs
+++ b/crates/client/src/endpoints.rs
@@ -1,35 +1,39 @@
-//! Which controller the next call goes to: one with few calls in flight that
-//! has not just failed. Pure: the time and the random number are arguments.
+//! Choice of the controller for the next call: one that has not failed recently and has few
+//! calls in flight. The code is deterministic; the time and a random number are arguments.
+
+#![warn(missing_docs)]
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Failures in a row after which a controller is left out for a while.
-const FAILURES: u32 = 3;
-/// How long it is left out, and how long a refusal counts against it.
+/// Number of consecutive unanswered calls after which a controller is in backoff.
+const FAILURES_BEFORE_BACKOFF: u32 = 3;
+/// Time that a controller is in backoff, and for which one failed call makes it less
+/// preferred.
 const BACKOFF: Duration = Duration::from_secs(3);
 
-/// How a call ended, as far as the choice of the next controller goes.
+/// Outcome of a call, as far as it matters for the choice of the next controller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallOutcome {
     /// The controller carried out the request or refused it for good.
     Served,
-    /// The controller answered that it could not serve the request now.
+    /// The controller responded that it could not serve the request now.
     Refused,
-    /// No complete answer arrived.
+    /// No complete response arrived.
     Unanswered,
 }
 
-/// A controller's address and how its last calls went.
+/// A controller's address and the outcomes of its recent calls.
 #[derive(Debug)]
 struct Endpoint {
     address: SocketAddr,
-    /// Calls that have not ended.
+    /// Number of calls that have not ended.
     in_flight: u32,
-    /// Calls in a row without any answer.
+    /// Number of consecutive unanswered calls.
     failures: u32,
-    /// When the last call was not served, for whatever reason.
+    /// When the last call ended, if it was not served; `None` if it was served.
     unserved_at: Option<Duration>,
+    /// End of the backoff; in the past if the controller is not in backoff.
     backoff_until: Duration,
 }
 
@@ -39,45 +43,48 @@
     }
 }
 
-/// All controllers that a client knows.
+/// All controllers that a client knows, with the outcomes of their recent calls.
 #[derive(Debug)]
 pub struct Endpoints {
-    list: Vec<Endpoint>,
+    endpoints: Vec<Endpoint>,
 }
 
 impl Endpoints {
-    /// Endpoints that have served no call yet.
+    /// Creates endpoints without any calls so far.
     pub fn new(addresses: impl IntoIterator<Item = SocketAddr>) -> Endpoints {
-        Endpoints { list: addresses.into_iter().map(Endpoint::new).collect() }
+        Endpoints { endpoints: addresses.into_iter().map(Endpoint::new).collect() }
     }
 
-    /// Whether there is no controller at all.
+    /// Whether the list of controllers is empty.
     pub fn is_empty(&self) -> bool {
-        self.list.is_empty()
+        self.endpoints.is_empty()
     }
 
-    /// Picks a controller and counts a call to it. Left-out ones serve only
-    /// where all are; of the rest, whoever failed longest ago and is least busy.
-    pub fn pick(&mut self, now: Duration, luck: u32) -> (usize, SocketAddr) {
-        let count = self.list.len();
+    /// Picks a controller, counts a call to it as in flight, and returns its index and
+    /// address. A controller in backoff is picked only if all are in backoff; then it is the
+    /// one whose backoff ends first. Of the others, those whose last call did not fail
+    /// recently come first, then those whose failure is oldest, and of these the one with
+    /// the fewest calls in flight. `random` breaks ties.
+    pub fn pick(&mut self, now: Duration, random: u32) -> (usize, SocketAddr) {
+        let count = self.endpoints.len();
         let rank = |index: usize| {
-            let endpoint = &self.list[index];
-            let backoff = endpoint.backoff_until.saturating_sub(now);
-            let refused = endpoint.unserved_at.filter(|at| now.saturating_sub(*at) < BACKOFF);
-            (backoff, refused, endpoint.in_flight, (index + luck as usize) % count)
+            let endpoint = &self.endpoints[index];
+            let remaining_backoff = endpoint.backoff_until.saturating_sub(now);
+            let recent_failure = endpoint.unserved_at.filter(|at| now.saturating_sub(*at) < BACKOFF);
+            (remaining_backoff, recent_failure, endpoint.in_flight, (index + random as usize) % count)
         };
-        let index = (0..count).min_by_key(|i| rank(*i)).unwrap_or(0);
-        self.list[index].in_flight += 1;
-        (index, self.list[index].address)
+        let index = (0..count).min_by_key(|index| rank(*index)).unwrap_or(0);
+        self.endpoints[index].in_flight += 1;
+        (index, self.endpoints[index].address)
     }
 
-    /// Records how a call to the controller at `index` ended.
+    /// Records the outcome of a call to the controller at `index`.
     pub fn record(&mut self, index: usize, now: Duration, outcome: CallOutcome) {
-        let endpoint = &mut self.list[index];
+        let endpoint = &mut self.endpoints[index];
         endpoint.in_flight = endpoint.in_flight.saturating_sub(1);
         endpoint.unserved_at = (outcome != CallOutcome::Served).then_some(now);
         endpoint.failures = if outcome == CallOutcome::Unanswered { endpoint.failures + 1 } else { 0 };
-        if endpoint.failures >= FAILURES {
+        if endpoint.failures >= FAILURES_BEFORE_BACKOFF {
             endpoint.failures = 0;
             endpoint.backoff_until = now + BACKOFF;
         }
--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -1,6 +1,6 @@
-//! Library for users of finchquay: submit a job, follow it to its end,
-//! cancel it. Knows several controllers, turns to another when one fails,
-//! and keeps the published rules for retries by default.
+//! Client library for users of finchquay: it submits jobs, waits for their end and cancels
+//! them. A client knows the addresses of several controllers and uses another one when a
+//! call fails. By default it follows the retry rules that are published for users.
 //!
 //! ```no_run
 //! # async fn f() -> Result<(), Box<dyn std::error::Error>> {
@@ -27,153 +27,164 @@
 use std::time::{Duration, Instant};
 use thiserror::Error;
 
-/// Why a call came to nothing.
+/// Why a call failed.
 #[derive(Debug, Error)]
 pub enum ClientError {
-    /// The service will never take this; repeating it is of no use.
-    #[error("refused with status {status}: {what}")]
+    /// The service refused the request for good; repeating it gives the same result.
+    #[error("refused with status {status}: {reason}")]
     Refused {
-        /// HTTP status.
+        /// HTTP status of the response.
         status: u16,
-        /// The reason that the service gave.
-        what: String,
+        /// Reason that the service gave.
+        reason: String,
     },
-    /// Every try failed until the time for tries was used up. What was asked
-    /// may have been carried out, or may still be: the same call may be made again.
-    #[error("no answer after {tries} tries in {:.1} s, the last: {last}", within.as_secs_f64())]
+    /// Every attempt failed until the time for retries was used up. The request may have
+    /// been carried out, or may still be. It is safe to make the same call again.
+    #[error("gave up after {attempts} attempts in {:.1} s; last error: {last_error}", elapsed.as_secs_f64())]
     Exhausted {
-        /// Number of tries.
-        tries: u32,
-        /// Time from the first try to the last.
-        within: Duration,
-        /// Why the last try failed.
-        last: String,
+        /// Number of attempts.
+        attempts: u32,
+        /// Time from the start of the first attempt to the end of the last.
+        elapsed: Duration,
+        /// Why the last attempt failed.
+        last_error: String,
     },
-    /// The job is not known to the service.
+    /// The service does not know the job.
     #[error("no such job")]
     NotFound,
-    /// `wait` reached the caller's limit; the job goes on.
+    /// [`Client::wait`] reached the caller's time limit. The job continues.
     #[error("the job is still {:?}", .0.status)]
     Unfinished(JobState<'static>),
-    /// The id has not the form of a job's id; nothing was sent.
-    #[error("{0:?} is not a job id: `run-` and 1 to 18 digits")]
-    BadUid(String),
-    /// The client was built without any controller.
+    /// The text is not a valid job id. No request was sent.
+    #[error("invalid job id {0:?}: expected `run-` and 1 to 18 digits")]
+    InvalidJobId(String),
+    /// The list of controllers is empty.
     #[error("no controller address was given")]
-    NoAddress,
+    NoControllers,
     /// The HTTP client could not be built.
-    #[error("the HTTP client cannot be set up: {0}")]
+    #[error("cannot set up the HTTP client: {0}")]
     Setup(reqwest::Error),
 }
 
-/// What is asked of the service.
+/// Operation that a call requests from the service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Operation {
     /// Submit a job.
     Submit,
-    /// Read a job's state.
+    /// Read the state of a job.
     Poll,
     /// Cancel a job.
     Cancel,
 }
 
-/// One try of one call, as an observer sees it.
+/// One attempt at a call, as it is reported to an [`Observer`].
 #[derive(Debug, Clone)]
 pub struct Attempt {
-    /// What was asked.
+    /// Requested operation.
     pub operation: Operation,
-    /// The job's id.
+    /// Id of the job.
     pub uid: String,
-    /// The controller that was called.
+    /// Address of the controller that was called.
     pub address: SocketAddr,
-    /// When the request was sent.
+    /// When the attempt began.
     pub began: Instant,
-    /// When the answer was complete, or the attempt failed.
+    /// When the response was complete, or the attempt failed.
     pub ended: Instant,
-    /// HTTP status; `None`: no answer.
+    /// HTTP status of the response; `None` if no complete response arrived.
     pub status: Option<u16>,
-    /// The job's state, where the answer told it.
+    /// State of the job, if the response contains it.
     pub state: Option<JobState<'static>>,
 }
 
-/// Told of every attempt; for metrics, traces and histories.
+/// Receives every attempt, for example for metrics, traces or histories.
 pub trait Observer: Send + Sync {
-    /// Called when an attempt ended, in the task that made it.
+    /// Called after each attempt, in the task that made it.
     fn attempt(&self, attempt: &Attempt);
 }
 
-/// Times of the calls. The defaults are those that the service's users keep.
+/// Timeouts, poll interval and retry policy of a client. The defaults are those published
+/// for the users of the service.
 #[derive(Debug, Clone)]
 pub struct Times {
-    /// Longest wait for the answer to a submission or cancellation.
-    pub change: Duration,
-    /// Longest wait for the answer to a poll.
-    pub poll: Duration,
-    /// Pause between polls while waiting for a job's end.
+    /// Timeout of a submission or cancellation.
+    pub change_timeout: Duration,
+    /// Timeout of a poll.
+    pub poll_timeout: Duration,
+    /// Pause between polls while waiting for the end of a job, varied by up to 10 %.
     pub poll_every: Duration,
-    /// When a failed call is made again.
+    /// Policy for retries of failed calls.
     pub retry: Policy,
 }
 
 impl Default for Times {
     fn default() -> Self {
         Times {
-            change: Duration::from_secs(5),
-            poll: Duration::from_secs(2),
+            change_timeout: Duration::from_secs(5),
+            poll_timeout: Duration::from_secs(2),
             poll_every: Duration::from_secs(5),
             retry: Policy::default(),
         }
     }
 }
 
-/// A client of the service. Cheap to clone; clones share connections and what is known of controllers.
+/// A client of the service. It is cheap to clone: clones share their connections and the
+/// recorded outcomes of calls to each controller.
 #[derive(Clone)]
 pub struct Client {
     inner: Arc<Inner>,
 }
 
+/// The state that the clones of a client share.
 struct Inner {
     http: reqwest::Client,
     endpoints: Mutex<Endpoints>,
     times: Times,
     observer: Option<Arc<dyn Observer>>,
-    began: Instant,
+    /// Start of the client's clock, see [`Client::now`].
+    created_at: Instant,
 }
 
-/// An answer that arrived.
-struct Answer {
+/// A complete HTTP response.
+struct Response {
     status: u16,
     retry_after: Option<Duration>,
     body: Vec<u8>,
 }
 
-impl Answer {
+impl Response {
+    /// The state of the job, if the body contains it.
     fn state(&self) -> Option<JobState<'static>> {
         decode(&self.body).ok()
     }
 
-    fn what(&self) -> String {
-        decode::<ErrorBody>(&self.body).map_or_else(|_| "no reason given".into(), |e| e.error.into_owned())
+    /// The reason for a refusal, as text.
+    fn reason(&self) -> String {
+        decode::<ErrorBody>(&self.body).map_or_else(|_| "no reason given".into(), |body| body.error.into_owned())
     }
 }
 
-/// What an answer means for the call that got it.
-enum Verdict<T> {
+/// What a response means for the call that it answers.
+enum Decision<T> {
+    /// The call ends with this result.
     Final(Result<T, ClientError>),
-    /// Worth another try.
-    Again,
+    /// The call is attempted again.
+    Retry,
 }
 
 impl Client {
-    /// A client with the default times.
+    /// Creates a client with the default [`Times`] and without an observer.
+    ///
+    /// # Errors
+    /// [`ClientError::NoControllers`] and [`ClientError::Setup`].
     pub fn new(controllers: impl IntoIterator<Item = SocketAddr>) -> Result<Client, ClientError> {
         Client::with(controllers, Times::default(), None)
     }
 
-    /// A client with its own times, and an observer that is told of every attempt.
+    /// Creates a client with the given times and, optionally, an observer that receives
+    /// every attempt.
     ///
     /// # Errors
-    /// [`ClientError::NoAddress`] and [`ClientError::Setup`].
+    /// [`ClientError::NoControllers`] and [`ClientError::Setup`].
     pub fn with(
         controllers: impl IntoIterator<Item = SocketAddr>,
         times: Times,
@@ -181,119 +192,140 @@
     ) -> Result<Client, ClientError> {
         let endpoints = Endpoints::new(controllers);
         if endpoints.is_empty() {
-            return Err(ClientError::NoAddress);
+            return Err(ClientError::NoControllers);
         }
         let http = reqwest::Client::builder()
-            .connect_timeout(times.poll / 4)
+            .connect_timeout(times.poll_timeout / 4)
             .redirect(reqwest::redirect::Policy::none())
             .no_proxy()
             .build()
             .map_err(ClientError::Setup)?;
         let endpoints = Mutex::new(endpoints);
-        Ok(Client { inner: Arc::new(Inner { http, endpoints, times, observer, began: Instant::now() }) })
+        Ok(Client { inner: Arc::new(Inner { http, endpoints, times, observer, created_at: Instant::now() }) })
     }
 
-    /// Submits a job, again until it is answered or the time for tries is
-    /// over. A job that was accepted before is no error: the answer is its state.
+    /// Submits a job, with retries. Submitting a job that was accepted before is not an
+    /// error; the result is then its current state.
+    ///
+    /// # Errors
+    /// [`ClientError::InvalidJobId`], [`ClientError::Refused`] and [`ClientError::Exhausted`].
     pub async fn submit(&self, spec: &JobSpec) -> Result<JobState<'static>, ClientError> {
-        check(&spec.uid)?;
+        check_job_id(&spec.uid)?;
         let body = encode(spec);
-        self.insist(Operation::Submit, &spec.uid, Some(body), |a| match a.status {
-            200 | 201 => match a.state() {
-                Some(s) => Verdict::Final(Ok(s)),
-                None => Verdict::Again,
+        self.call_with_retries(Operation::Submit, &spec.uid, Some(body), |response| match response.status {
+            200 | 201 => match response.state() {
+                Some(state) => Decision::Final(Ok(state)),
+                None => Decision::Retry,
             },
-            400 | 422 => Verdict::Final(Err(ClientError::Refused { status: a.status, what: a.what() })),
-            _ => Verdict::Again,
+            400 | 422 => {
+                Decision::Final(Err(ClientError::Refused { status: response.status, reason: response.reason() }))
+            }
+            _ => Decision::Retry,
         })
         .await
     }
 
-    /// The job's state now. Tries again like the others, since a controller
-    /// that cannot answer freshly says so.
+    /// Reads the current state of a job, with retries, because a controller refuses the
+    /// request while it cannot give an up-to-date answer.
+    ///
+    /// # Errors
+    /// [`ClientError::InvalidJobId`], [`ClientError::NotFound`], [`ClientError::Refused`] and
+    /// [`ClientError::Exhausted`].
     pub async fn status(&self, uid: &str) -> Result<JobState<'static>, ClientError> {
-        check(uid)?;
-        self.insist(Operation::Poll, uid, None, poll_verdict).await
+        check_job_id(uid)?;
+        self.call_with_retries(Operation::Poll, uid, None, decide_on_poll).await
     }
 
-    /// Follows a job until it is done or cancelled, or until `limit`.
+    /// Polls a job until it is done or cancelled, or until the time `limit` has passed.
+    /// Failed polls are repeated at the usual interval, however many there are.
+    ///
+    /// # Errors
+    /// [`ClientError::Unfinished`] if the job has not ended within `limit`, and the errors of
+    /// [`Client::status`].
     pub async fn wait(&self, uid: &str, limit: Option<Duration>) -> Result<JobState<'static>, ClientError> {
-        check(uid)?;
-        let end = limit.map(|l| Instant::now() + l);
+        check_job_id(uid)?;
+        let deadline = limit.map(|limit| Instant::now() + limit);
         loop {
-            let last = match self.once(Operation::Poll, uid, None).await {
-                Ok(a) => match poll_verdict(&a) {
-                    Verdict::Final(Ok(s)) if ended(s.status) => return Ok(s),
-                    Verdict::Final(Ok(s)) => Some(s),
-                    Verdict::Final(Err(e)) => return Err(e),
-                    Verdict::Again => None,
+            let last_state = match self.call_once(Operation::Poll, uid, None).await {
+                Ok(response) => match decide_on_poll(&response) {
+                    Decision::Final(Ok(state)) if is_final(state.status) => return Ok(state),
+                    Decision::Final(Ok(state)) => Some(state),
+                    Decision::Final(Err(error)) => return Err(error),
+                    Decision::Retry => None,
                 },
                 Err(_) => None,
             };
             let pause = self.inner.times.poll_every.mul_f64(rand::random_range(0.9..1.1));
-            if end.is_some_and(|e| Instant::now() + pause > e) {
-                // Where the last poll failed, the caller still gets the job's state.
-                let state = match last {
-                    Some(s) => s,
+            if deadline.is_some_and(|deadline| Instant::now() + pause > deadline) {
+                // If the last poll failed, one call with retries still gets the job's state.
+                let state = match last_state {
+                    Some(state) => state,
                     None => self.status(uid).await?,
                 };
-                return if ended(state.status) { Ok(state) } else { Err(ClientError::Unfinished(state)) };
+                return if is_final(state.status) { Ok(state) } else { Err(ClientError::Unfinished(state)) };
             }
             tokio::time::sleep(pause).await;
         }
     }
 
-    /// Cancels a job. The answer says how it ended: `cancelled`, or `done`
-    /// where that came first.
+    /// Cancels a job, with retries. The result is the final state: cancelled, or done if
+    /// the job was complete first.
+    ///
+    /// # Errors
+    /// [`ClientError::InvalidJobId`], [`ClientError::NotFound`], [`ClientError::Refused`] and
+    /// [`ClientError::Exhausted`].
     pub async fn cancel(&self, uid: &str) -> Result<JobState<'static>, ClientError> {
-        check(uid)?;
-        self.insist(Operation::Cancel, uid, Some(Vec::new()), |a| match (a.status, a.state()) {
-            (200, Some(s)) if ended(s.status) => Verdict::Final(Ok(s)),
-            (404, _) => Verdict::Final(Err(ClientError::NotFound)),
-            (400, _) => Verdict::Final(Err(ClientError::Refused { status: 400, what: a.what() })),
-            _ => Verdict::Again,
+        check_job_id(uid)?;
+        self.call_with_retries(Operation::Cancel, uid, Some(Vec::new()), |response| {
+            match (response.status, response.state()) {
+                (200, Some(state)) if is_final(state.status) => Decision::Final(Ok(state)),
+                (404, _) => Decision::Final(Err(ClientError::NotFound)),
+                (400, _) => Decision::Final(Err(ClientError::Refused { status: 400, reason: response.reason() })),
+                _ => Decision::Retry,
+            }
         })
         .await
     }
 
-    /// Tries until the verdict is final or the retry budget is used up.
-    async fn insist<T>(
+    /// Makes attempts until `decide` calls a response final or the retry budget is used up.
+    async fn call_with_retries<T>(
         &self,
         operation: Operation,
         uid: &str,
         body: Option<Vec<u8>>,
-        judge: impl Fn(&Answer) -> Verdict<T>,
+        decide: impl Fn(&Response) -> Decision<T>,
     ) -> Result<T, ClientError> {
         let mut budget = Budget::new(self.inner.times.retry.clone(), self.now());
         loop {
-            let (last, retry_after) = match self.once(operation, uid, body.clone()).await {
-                Ok(a) => match judge(&a) {
-                    Verdict::Final(result) => return result,
-                    Verdict::Again => (format!("status {}", a.status), a.retry_after),
+            let (last_error, retry_after) = match self.call_once(operation, uid, body.clone()).await {
+                Ok(response) => match decide(&response) {
+                    Decision::Final(result) => return result,
+                    Decision::Retry => (format!("status {}", response.status), response.retry_after),
                 },
-                Err(what) => (what, None),
+                Err(error) => (error, None),
             };
-            match budget.next(self.now(), retry_after, rand::random()) {
+            match budget.next_pause(self.now(), retry_after, rand::random()) {
                 Some(pause) => tokio::time::sleep(pause).await,
                 None => {
-                    let (tries, within) = (budget.tries(), self.now() - budget.began());
-                    return Err(ClientError::Exhausted { tries, within, last });
+                    let (attempts, elapsed) = (budget.failed_attempts(), self.now() - budget.started_at());
+                    return Err(ClientError::Exhausted { attempts, elapsed, last_error });
                 }
             }
         }
     }
 
-    /// One try at the controller that looks best.
-    async fn once(&self, operation: Operation, uid: &str, body: Option<Vec<u8>>) -> Result<Answer, String> {
-        let (index, address) = self.endpoints(|e, now| e.pick(now, rand::random()));
+    /// Makes one attempt at a controller that [`Endpoints::pick`] chooses, records its
+    /// outcome and reports it to the observer.
+    async fn call_once(&self, operation: Operation, uid: &str, body: Option<Vec<u8>>) -> Result<Response, String> {
+        let (index, address) = self.with_endpoints(|endpoints, now| endpoints.pick(now, rand::random()));
         let began = Instant::now();
-        let result = self.exchange(operation, uid, address, body).await;
+        let result = self.send(operation, uid, address, body).await;
         let outcome = match &result {
-            Ok(answer) if answer.status < 500 && answer.status != 429 => CallOutcome::Served,
+            Ok(response) if response.status < 500 && response.status != 429 => CallOutcome::Served,
             Ok(_) => CallOutcome::Refused,
             Err(_) => CallOutcome::Unanswered,
         };
-        self.endpoints(|endpoints, now| endpoints.record(index, now, outcome));
+        self.with_endpoints(|endpoints, now| endpoints.record(index, now, outcome));
         if let Some(observer) = &self.inner.observer {
             observer.attempt(&Attempt {
                 operation,
@@ -301,77 +333,85 @@
                 address,
                 began,
                 ended: Instant::now(),
-                status: result.as_ref().ok().map(|a| a.status),
-                state: result.as_ref().ok().and_then(Answer::state),
+                status: result.as_ref().ok().map(|response| response.status),
+                state: result.as_ref().ok().and_then(Response::state),
             });
         }
         result
     }
 
-    async fn exchange(
+    /// Sends one request to a controller and reads the response, which may be no longer
+    /// than [`BODY_LIMIT`]. An error is text that names the address and the cause.
+    async fn send(
         &self,
         operation: Operation,
         uid: &str,
         address: SocketAddr,
         body: Option<Vec<u8>>,
-    ) -> Result<Answer, String> {
+    ) -> Result<Response, String> {
         let (path, timeout) = match operation {
-            Operation::Submit => ("/work".to_string(), self.inner.times.change),
-            Operation::Poll => (format!("/work/{uid}"), self.inner.times.poll),
-            Operation::Cancel => (format!("/work/{uid}/withdraw"), self.inner.times.change),
+            Operation::Submit => ("/work".to_string(), self.inner.times.change_timeout),
+            Operation::Poll => (format!("/work/{uid}"), self.inner.times.poll_timeout),
+            Operation::Cancel => (format!("/work/{uid}/withdraw"), self.inner.times.change_timeout),
         };
         let url = format!("http://{address}{path}");
         let request = match body {
             Some(body) => self.inner.http.post(url).header("content-type", "application/cbor").body(body),
             None => self.inner.http.get(url),
         };
-        let text = |e: reqwest::Error| {
-            let mut cause: &dyn std::error::Error = &e;
-            while let Some(inner) = cause.source() {
-                cause = inner;
+        let root_cause = |error: reqwest::Error| {
+            let mut cause: &dyn std::error::Error = &error;
+            while let Some(source) = cause.source() {
+                cause = source;
             }
             format!("{address}: {cause}")
         };
-        let mut response = request.timeout(timeout).send().await.map_err(text)?;
+        let mut response = request.timeout(timeout).send().await.map_err(root_cause)?;
         let status = response.status().as_u16();
         let retry_after = response
             .headers()
             .get("retry-after")
-            .and_then(|v| v.to_str().ok()?.trim().parse().ok())
+            .and_then(|value| value.to_str().ok()?.trim().parse().ok())
             .map(Duration::from_secs);
-        let mut bytes = Vec::new();
-        while let Some(chunk) = response.chunk().await.map_err(text)? {
-            bytes.extend_from_slice(&chunk);
-            if bytes.len() > BODY_LIMIT {
-                return Err(format!("{address}: the answer is over {BODY_LIMIT} bytes"));
+        let mut body = Vec::new();
+        while let Some(chunk) = response.chunk().await.map_err(root_cause)? {
+            body.extend_from_slice(&chunk);
+            if body.len() > BODY_LIMIT {
+                return Err(format!("{address}: the response exceeds {BODY_LIMIT} bytes"));
             }
         }
-        Ok(Answer { status, retry_after, body: bytes })
+        Ok(Response { status, retry_after, body })
     }
 
+    /// The time since the client was created, which the endpoints and retry budgets use as
+    /// their clock.
     fn now(&self) -> Duration {
-        self.inner.began.elapsed()
+        self.inner.created_at.elapsed()
     }
 
-    fn endpoints<T>(&self, f: impl FnOnce(&mut Endpoints, Duration) -> T) -> T {
+    /// Runs `f` on the endpoints and the current time, under the lock of the endpoints.
+    fn with_endpoints<T>(&self, f: impl FnOnce(&mut Endpoints, Duration) -> T) -> T {
         let now = self.now();
         f(&mut self.inner.endpoints.lock().unwrap_or_else(PoisonError::into_inner), now)
     }
 }
 
-fn poll_verdict(a: &Answer) -> Verdict<JobState<'static>> {
-    match (a.status, a.state()) {
-        (200, Some(s)) => Verdict::Final(Ok(s)),
-        (404, _) => Verdict::Final(Err(ClientError::NotFound)),
-        (400, _) => Verdict::Final(Err(ClientError::Refused { status: 400, what: a.what() })),
-        _ => Verdict::Again,
+/// Decides how to continue after the response to a poll.
+fn decide_on_poll(response: &Response) -> Decision<JobState<'static>> {
+    match (response.status, response.state()) {
+        (200, Some(state)) => Decision::Final(Ok(state)),
+        (404, _) => Decision::Final(Err(ClientError::NotFound)),
+        (400, _) => Decision::Final(Err(ClientError::Refused { status: 400, reason: response.reason() })),
+        _ => Decision::Retry,
     }
 }
 
-fn ended(status: Status) -> bool {
+/// Whether a job with this status has ended.
+fn is_final(status: Status) -> bool {
     matches!(status, Status::Done | Status::Cancelled)
 }
 
-fn check(uid: &str) -> Result<(), ClientError> {
-    if valid_uid(uid) { Ok(()) } else { Err(ClientError::BadUid(uid.into())) }
+/// Returns an error unless the text is a valid job id.
+fn check_job_id(uid: &str) -> Result<(), ClientError> {
+    if valid_uid(uid) { Ok(()) } else { Err(ClientError::InvalidJobId(uid.into())) }
 }
--- a/crates/ctl/src/jobfile.rs
+++ b/crates/ctl/src/jobfile.rs
@@ -1,5 +1,10 @@
-//! Job files: HCL with the names that people use, read into submissions. The
-//! published JSON Schema comes from the same types.
+//! Reads job files and converts their jobs to submissions. A job file is HCL with the names
+//! that users know.
+//!
+//! The JSON Schema of job files is generated from the same types, and their doc comments
+//! are its descriptions. Plain comments on these types are not part of the schema.
+
+#![warn(missing_docs)]
 
 use finchquay_hcl::{File, HclError};
 use finchquay_protocol::user::{JobKind, JobSpec, Priority, TASKS_LIMIT, valid_uid};
@@ -33,7 +38,7 @@
     priority: Level,
     /// Number of tasks.
     #[schemars(range(min = 1, max = 100_000))]
-    #[serde(default = "one")]
+    #[serde(default = "default_task_count")]
     tasks: u32,
     /// CPUs that each task takes.
     #[schemars(range(min = 0.0))]
@@ -75,6 +80,7 @@
     deadline_s: Option<f64>,
 }
 
+// How the tasks of a job run.
 #[derive(Debug, Clone, Copy, Deserialize, Serialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
 enum Kind {
@@ -86,6 +92,7 @@
     Service,
 }
 
+// The priorities under their names in job files, from the lowest to the highest.
 #[derive(Debug, Clone, Copy, Default, Deserialize, Serialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
 enum Level {
@@ -106,6 +113,7 @@
     image_gb: f64,
 }
 
+// How the tasks of a job save their progress.
 #[derive(Debug, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 struct Checkpoint {
@@ -115,46 +123,54 @@
     save_s: f64,
 }
 
-fn one() -> u32 {
+fn default_task_count() -> u32 {
     1
 }
 
-/// A job of a file: its name there, and the submission. The uid is empty where
-/// the file gives none.
+/// A job in a job file.
 #[derive(Debug)]
 pub struct NamedJob {
+    /// Name of the job in the file.
     pub name: String,
+    /// Specification of the job. Its `uid` is empty if the file gives no id.
     pub spec: JobSpec,
 }
 
-/// Reads and judges a job file.
+/// Reads and validates a job file.
+///
+/// # Errors
+/// [`HclError`] with the line and key of the first fault.
 pub fn read(path: &Path) -> Result<Vec<NamedJob>, HclError> {
     let file = File::read(path)?;
     let jobs: JobFile = file.typed()?;
     if jobs.job.is_empty() {
-        return Err(file.refuse(&["job"], "the file holds no job"));
+        return Err(file.refuse(&["job"], "the file contains no job"));
     }
-    let mut out = Vec::new();
-    let mut seen = BTreeMap::new();
+    let mut named_jobs = Vec::new();
+    let mut names_by_id = BTreeMap::new();
     for (name, job) in jobs.job {
-        job.judge(&name, &file)?;
+        job.validate(&name, &file)?;
         if let Some(id) = &job.id
-            && let Some(other) = seen.insert(id.clone(), name.clone())
+            && let Some(other) = names_by_id.insert(id.clone(), name.clone())
         {
             return Err(file.refuse(&["job", &name, "id"], format!("is the id of job {other:?} too")));
         }
-        out.push(NamedJob { spec: job.spec(), name });
+        named_jobs.push(NamedJob { spec: job.to_spec(), name });
     }
-    Ok(out)
+    Ok(named_jobs)
 }
 
-/// The JSON Schema of job files, as text.
+/// Returns the JSON Schema of job files, as text.
 pub fn schema() -> String {
     serde_json::to_string_pretty(&schemars::schema_for!(JobFile)).unwrap_or_default()
 }
 
 impl Job {
-    fn judge(&self, name: &str, file: &File) -> Result<(), HclError> {
+    /// Checks the values of the job. `name` is its name in the file.
+    ///
+    /// # Errors
+    /// [`HclError`] with the line and key of the first invalid value.
+    fn validate(&self, name: &str, file: &File) -> Result<(), HclError> {
         let amounts = [
             ("cpus", self.cpus),
             ("gpus", self.gpus),
@@ -162,44 +178,51 @@
             ("expected_s", self.estimated_run_s),
             ("deadline_s", self.deadline_s.unwrap_or(0.0)),
         ];
-        for (key, v) in amounts {
-            if !v.is_finite() || v < 0.0 {
-                return Err(file.refuse(&["job", name, key], format!("must not be negative, is {v}")));
+        for (key, amount) in amounts {
+            if !amount.is_finite() || amount < 0.0 {
+                return Err(file.refuse(&["job", name, key], format!("must be finite and not negative, is {amount}")));
             }
         }
         if !self.image.image_gb.is_finite() || self.image.image_gb < 0.0 {
-            return Err(file.refuse(&["job", name, "image", "size_gb"], "must not be negative"));
+            return Err(file.refuse(&["job", name, "image", "size_gb"], "must be finite and not negative"));
         }
-        if let Some(c) = &self.checkpoint
-            && !(c.every_s.is_finite() && c.every_s > 0.0 && c.save_s.is_finite() && c.save_s >= 0.0)
+        if let Some(Checkpoint { every_s, save_s }) = &self.checkpoint
+            && !(every_s.is_finite() && *every_s > 0.0 && save_s.is_finite() && *save_s >= 0.0)
         {
-            return Err(file.refuse(&["job", name, "checkpoint"], "needs every_s above 0 and save_s not below"));
+            return Err(file.refuse(&["job", name, "checkpoint"], "every_s must be above 0 and save_s at least 0"));
         }
         let checks = [
             ("tasks", (1..=TASKS_LIMIT).contains(&self.tasks), format!("must be from 1 to {TASKS_LIMIT}")),
-            ("cpus", self.cpus > 0.0 || self.memory_gb > 0.0, "a task must take CPUs or memory".into()),
+            (
+                "cpus",
+                self.cpus > 0.0 || self.memory_gb > 0.0,
+                "must be above 0 unless memory_gb is: a task needs CPUs or memory".into(),
+            ),
             ("id", self.id.as_deref().is_none_or(valid_uid), "must be `run-` and 1 to 18 digits".into()),
-            ("spread", !(self.spread && self.one_zone), "can't hold together with one_zone".into()),
+            ("spread", !(self.spread && self.one_zone), "cannot be combined with one_zone".into()),
         ];
-        for (key, ok, what) in checks {
-            if !ok {
-                return Err(file.refuse(&["job", name, key], what));
+        for (key, is_valid, message) in checks {
+            if !is_valid {
+                return Err(file.refuse(&["job", name, key], message));
             }
         }
-        // Whatever else the service checks, here with its name.
-        let mut spec = self.spec();
+        // The remaining checks of the service. They need an id, so a missing one is replaced by
+        // a placeholder, and they do not say which value is invalid, so the error names the job.
+        let mut spec = self.to_spec();
         if spec.uid.is_empty() {
             spec.uid = "run-0".into();
         }
         if !spec.well_formed() {
-            return Err(
-                file.refuse(&["job", name], "a name is empty or longer than 128 bytes, or too many machine types")
-            );
+            return Err(file.refuse(
+                &["job", name],
+                "has a name that is empty or longer than 128 bytes, or too many machine types",
+            ));
         }
         Ok(())
     }
 
-    fn spec(&self) -> JobSpec {
+    /// Returns the submission of the job. Its `uid` is empty if the file gives no id.
+    fn to_spec(&self) -> JobSpec {
         JobSpec {
             uid: self.id.clone().unwrap_or_default(),
             class: self.class.clone(),
@@ -227,8 +250,8 @@
             zone_anti_affinity: self.spread,
             spot_allowed: self.spot,
             estimated_run_s: self.estimated_run_s,
-            checkpoint_interval_s: self.checkpoint.as_ref().map_or(0.0, |c| c.every_s),
-            checkpoint_duration_s: self.checkpoint.as_ref().map_or(0.0, |c| c.save_s),
+            checkpoint_interval_s: self.checkpoint.as_ref().map_or(0.0, |checkpoint| checkpoint.every_s),
+            checkpoint_duration_s: self.checkpoint.as_ref().map_or(0.0, |checkpoint| checkpoint.save_s),
             deadline_s: self.deadline_s,
         }
     }
--- a/crates/ctl/src/output.rs
+++ b/crates/ctl/src/output.rs
@@ -1,58 +1,71 @@
-//! How results are written: a table for people, JSON for programs.
+//! Formats in which results are printed: a table for people, JSON for programs.
+
+#![warn(missing_docs)]
 
 use clap::ValueEnum;
 use comfy_table::{Table, presets::NOTHING};
 use finchquay_protocol::user::{JobState, Status};
 use serde::Serialize;
 
+/// Output format.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, ValueEnum)]
 pub enum Format {
+    /// A table with one line per job.
     Table,
+    /// A JSON array with one object per job.
     Json,
 }
 
-/// What is told of one job. Fields that are not known are null.
+/// The values that are printed for one job. Unknown values are `null` in JSON and `-` in a
+/// table.
 #[derive(Debug, Serialize)]
 pub struct JobLine {
+    /// Id of the job.
     pub id: String,
+    /// Class of the job.
     pub class: Option<String>,
+    /// Status of the job.
     pub status: Option<Status>,
+    /// Number of tasks that ran to completion.
     pub tasks_done: Option<u32>,
+    /// Number of tasks that are running.
     pub tasks_running: Option<u32>,
 }
 
 impl JobLine {
-    pub fn of(id: &str, class: Option<&str>, state: Option<&JobState>) -> JobLine {
+    /// Creates the line of the job `id` from what is known about it.
+    pub fn new(id: &str, class: Option<&str>, state: Option<&JobState>) -> JobLine {
         JobLine {
             id: id.into(),
             class: class.map(Into::into),
-            status: state.map(|s| s.status),
-            tasks_done: state.map(|s| s.done),
-            tasks_running: state.map(|s| s.running),
+            status: state.map(|state| state.status),
+            tasks_done: state.map(|state| state.done),
+            tasks_running: state.map(|state| state.running),
         }
     }
 }
 
+/// Formats the lines of several jobs as one text.
 pub fn render(format: Format, lines: &[JobLine]) -> String {
     match format {
         Format::Json => serde_json::to_string_pretty(lines).unwrap_or_default(),
         Format::Table => {
             let mut table = Table::new();
             table.load_preset(NOTHING).set_header(["ID", "CLASS", "STATUS", "DONE", "RUNNING"]);
-            for l in lines {
-                let status = l.status.map_or("-", |s| match s {
+            for line in lines {
+                let status = line.status.map_or("-", |status| match status {
                     Status::Queued => "pending",
                     Status::Running => "running",
                     Status::Done => "done",
                     Status::Cancelled => "withdrawn",
                 });
-                let count = |n: Option<u32>| n.map_or("-".to_string(), |n| n.to_string());
+                let count = |count: Option<u32>| count.map_or("-".to_string(), |count| count.to_string());
                 table.add_row([
-                    l.id.clone(),
-                    l.class.clone().unwrap_or_else(|| "-".into()),
+                    line.id.clone(),
+                    line.class.clone().unwrap_or_else(|| "-".into()),
                     status.into(),
-                    count(l.tasks_done),
-                    count(l.tasks_running),
+                    count(line.tasks_done),
+                    count(line.tasks_running),
                 ]);
             }
             table.trim_fmt()
@@ -64,12 +77,13 @@
 mod tests {
     use super::*;
 
+    /// The table and the JSON must contain the same values.
     #[test]
-    fn both_formats_tell_the_same() {
+    fn both_formats_contain_the_same_values() {
         let state = JobState { uid: "run-1".into(), status: Status::Running, done: 3, running: 13 };
-        let lines = [JobLine::of("run-1", Some("web"), Some(&state)), JobLine::of("run-2", None, None)];
+        let lines = [JobLine::new("run-1", Some("web"), Some(&state)), JobLine::new("run-2", None, None)];
         let table = render(Format::Table, &lines);
-        let rows: Vec<Vec<&str>> = table.lines().map(|l| l.split_whitespace().collect()).collect();
+        let rows: Vec<Vec<&str>> = table.lines().map(|line| line.split_whitespace().collect()).collect();
         assert_eq!(rows[1], ["run-1", "web", "running", "3", "13"]);
         assert_eq!(rows[2], ["run-2", "-", "-", "-", "-"]);
         let json: serde_json::Value = serde_json::from_str(&render(Format::Json, &lines)).unwrap();
--- a/crates/protocol/src/cloud.rs
+++ b/crates/protocol/src/cloud.rs
@@ -2,6 +2,8 @@
 //! machine types, the list of machines, and requests to rent machines (scale out) and to
 //! release them (scale in).
 
+#![warn(missing_docs)]
+
 use crate::number;
 use serde::{Deserialize, Serialize};
 use std::borrow::Cow;
--- a/crates/protocol/src/peer.rs
+++ b/crates/protocol/src/peer.rs
@@ -2,6 +2,8 @@
 //! the frame encoded with borsh. Borsh writes no names, so the order of fields and
 //! variants is the format.
 
+#![warn(missing_docs)]
+
 use borsh::{BorshDeserialize, BorshSerialize};
 use thiserror::Error;
 
--- a/crates/protocol/src/store.rs
+++ b/crates/protocol/src/store.rs
@@ -1,6 +1,8 @@
 //! Messages and request paths between controllers and the store, a consensus-backed
 //! key-value store with range reads, compare-and-swap transactions, leases and watches.
 
+#![warn(missing_docs)]
+
 use ciborium::Value;
 use serde::{Deserialize, Deserializer, Serialize, Serializer, de::Error, ser::SerializeMap};
 
--- a/crates/protocol/src/user.rs
+++ b/crates/protocol/src/user.rs
@@ -2,6 +2,8 @@
 //! cancellations), and the request paths that a controller serves to users, workers and
 //! load balancers.
 
+#![warn(missing_docs)]
+
 use crate::{number, optional_number};
 use serde::{Deserialize, Serialize};
 use std::borrow::Cow;
--- a/crates/protocol/src/worker.rs
+++ b/crates/protocol/src/worker.rs
@@ -1,6 +1,8 @@
 //! Messages between controllers and the workers (agents) on the machines: heartbeats
 //! with the state of every task, and commands.
 
+#![warn(missing_docs)]
+
 use crate::optional_number;
 use serde::{Deserialize, Serialize};
 use std::borrow::Cow;
