--- a/tests/world/digest.rs
+++ b/tests/world/digest.rs
@@ -1,6 +1,8 @@
-//! Digests of everything that the controllers of a world emit, to compare two versions
-//! of the controller byte by byte. Only numbers, plain strings and bytes as they go over
-//! the wire are hashed, so the names of types and fields do not matter.
+//! Digests of everything that the controllers of a world emit, by which two versions of the
+//! controller are compared byte by byte. Only numbers, plain strings and encoded bytes are
+//! hashed, so renaming types and fields does not change a digest.
+
+#![warn(missing_docs)]
 
 use sha2::{Digest, Sha256};
 use std::cell::RefCell;
@@ -8,13 +10,15 @@
 
 /// Simulated time between two checkpoints.
 pub const CHECKPOINT: Duration = Duration::from_secs(10);
-/// Hexadecimal digits that are kept of the digest at a checkpoint.
+/// Number of hexadecimal digits that a checkpoint keeps of the digest.
 const CHECKPOINT_DIGITS: usize = 8;
 
-/// What one world's controllers emitted from its beginning to its end.
+/// Summary of all actions that the controllers of one world emitted.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Recording {
+    /// The seed of the world.
     pub seed: u64,
+    /// Number of actions.
     pub actions: u64,
     /// SHA-256 of all actions, in hexadecimal digits.
     pub digest: String,
@@ -23,19 +27,19 @@
 }
 
 thread_local! {
-    /// Recordings of the worlds that ended on this thread, while they are wanted.
+    /// Recordings of the worlds that ended on this thread; `None` unless `record` runs.
     static FINISHED: RefCell<Option<Vec<Recording>>> = const { RefCell::new(None) };
 }
 
-/// Runs a scenario, and returns a recording of each world that it played, in order.
+/// Runs a scenario, and returns the recordings of its worlds in the order in which they ended.
 pub fn record(scenario: impl FnOnce()) -> Vec<Recording> {
     FINISHED.set(Some(Vec::new()));
     scenario();
     FINISHED.take().unwrap_or_default()
 }
 
-/// Hashes the actions of one world's controllers; the recording is complete when this is
-/// dropped with the world.
+/// Hashes the actions of one world's controllers. Dropping it, together with the world,
+/// completes the recording.
 pub struct Recorder {
     seed: u64,
     actions: u64,
@@ -45,6 +49,7 @@
 }
 
 impl Recorder {
+    /// Creates a recorder, which does nothing unless `record` runs on this thread.
     pub fn new(seed: u64) -> Recorder {
         Recorder {
             seed,
@@ -55,7 +60,7 @@
         }
     }
 
-    /// A controller answered a request.
+    /// Records that a controller answered a request.
     pub fn respond(&mut self, from: Origin, connection: u64, status: u16, retry_after: Option<u32>, body: &[u8]) {
         if self.begin("respond", from) {
             self.number(connection);
@@ -65,7 +70,7 @@
         }
     }
 
-    /// A controller called the store, the cloud or an agent.
+    /// Records that a controller called the store, the cloud or an agent.
     pub fn call(&mut self, from: Origin, target: &str, request: Request) {
         if self.begin("call", from) {
             self.bytes(target.as_bytes());
@@ -76,7 +81,7 @@
         }
     }
 
-    /// A controller sent an encoded frame to another.
+    /// Records that a controller sent a frame to another; `frame` returns its encoding.
     pub fn send(&mut self, from: Origin, member: &str, frame: impl FnOnce() -> Vec<u8>) {
         if self.begin("send", from) {
             self.bytes(member.as_bytes());
@@ -84,7 +89,8 @@
         }
     }
 
-    /// Starts an action, unless nothing is recorded.
+    /// Adds the checkpoints that are due and the start of an action, and returns whether the
+    /// recorder is enabled.
     fn begin(&mut self, kind: &str, from: Origin) -> bool {
         if !self.enabled {
             return false;
@@ -142,14 +148,20 @@
 /// When and where an action was emitted.
 #[derive(Debug, Clone, Copy)]
 pub struct Origin {
+    /// The simulated time.
     pub at: Duration,
+    /// The number of the controller.
     pub node: usize,
 }
 
-/// What a call carries.
+/// A request that a controller sends.
 pub struct Request<'a> {
+    /// The HTTP method.
     pub method: &'a str,
+    /// The path with its query.
     pub path: &'a str,
+    /// The encoded body, if it has one.
     pub body: Option<&'a [u8]>,
+    /// How long the controller waits for the answer.
     pub timeout: Duration,
 }
