--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -19,8 +19,8 @@
 pub mod retry;
 
 use endpoints::{CallOutcome, Endpoints};
-use finchquay_protocol::user::{ErrorBody, JobSpec, JobState, Status, valid_uid};
-use finchquay_protocol::{BODY_LIMIT, decode, encode};
+use finchquay_protocol::user::{ErrorBody, JobSpec, JobState, Status, is_valid_job_id};
+use finchquay_protocol::{MAX_BODY_BYTES, decode, encode};
 use retry::{Budget, Policy};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -41,7 +41,7 @@
     /// Every attempt failed until the time for retries was used up. The request may have
     /// been carried out, or may still be. It is safe to make the same call again.
     #[error("gave up after {attempts} attempts in {:.1} s; last error: {last_error}", elapsed.as_secs_f64())]
-    Exhausted {
+    RetriesExhausted {
         /// Number of attempts.
         attempts: u32,
         /// Time from the start of the first attempt to the end of the last.
@@ -86,10 +86,10 @@
     pub uid: String,
     /// Address of the controller that was called.
     pub address: SocketAddr,
-    /// When the attempt began.
-    pub began: Instant,
+    /// When the attempt started.
+    pub started_at: Instant,
     /// When the response was complete, or the attempt failed.
-    pub ended: Instant,
+    pub finished_at: Instant,
     /// HTTP status of the response; `None` if no complete response arrived.
     pub status: Option<u16>,
     /// State of the job, if the response contains it.
@@ -99,29 +99,29 @@
 /// Receives every attempt, for example for metrics, traces or histories.
 pub trait Observer: Send + Sync {
     /// Called after each attempt, in the task that made it.
-    fn attempt(&self, attempt: &Attempt);
+    fn on_attempt(&self, attempt: &Attempt);
 }
 
 /// Timeouts, poll interval and retry policy of a client. The defaults are those published
 /// for the users of the service.
 #[derive(Debug, Clone)]
-pub struct Times {
+pub struct ClientOptions {
     /// Timeout of a submission or cancellation.
     pub change_timeout: Duration,
     /// Timeout of a poll.
     pub poll_timeout: Duration,
     /// Pause between polls while waiting for the end of a job, varied by up to 10 %.
-    pub poll_every: Duration,
+    pub poll_interval: Duration,
     /// Policy for retries of failed calls.
     pub retry: Policy,
 }
 
-impl Default for Times {
+impl Default for ClientOptions {
     fn default() -> Self {
-        Times {
+        ClientOptions {
             change_timeout: Duration::from_secs(5),
             poll_timeout: Duration::from_secs(2),
-            poll_every: Duration::from_secs(5),
+            poll_interval: Duration::from_secs(5),
             retry: Policy::default(),
         }
     }
@@ -138,7 +138,7 @@
 struct Inner {
     http: reqwest::Client,
     endpoints: Mutex<Endpoints>,
-    times: Times,
+    options: ClientOptions,
     observer: Option<Arc<dyn Observer>>,
     /// Start of the client's clock, see [`Client::now`].
     created_at: Instant,
@@ -172,22 +172,22 @@
 }
 
 impl Client {
-    /// Creates a client with the default [`Times`] and without an observer.
+    /// Creates a client with the default [`ClientOptions`] and without an observer.
     ///
     /// # Errors
     /// [`ClientError::NoControllers`] and [`ClientError::Setup`].
     pub fn new(controllers: impl IntoIterator<Item = SocketAddr>) -> Result<Client, ClientError> {
-        Client::with(controllers, Times::default(), None)
+        Client::with_options(controllers, ClientOptions::default(), None)
     }
 
-    /// Creates a client with the given times and, optionally, an observer that receives
+    /// Creates a client with the given options and, optionally, an observer that receives
     /// every attempt.
     ///
     /// # Errors
     /// [`ClientError::NoControllers`] and [`ClientError::Setup`].
-    pub fn with(
+    pub fn with_options(
         controllers: impl IntoIterator<Item = SocketAddr>,
-        times: Times,
+        options: ClientOptions,
         observer: Option<Arc<dyn Observer>>,
     ) -> Result<Client, ClientError> {
         let endpoints = Endpoints::new(controllers);
@@ -195,20 +195,20 @@
             return Err(ClientError::NoControllers);
         }
         let http = reqwest::Client::builder()
-            .connect_timeout(times.poll_timeout / 4)
+            .connect_timeout(options.poll_timeout / 4)
             .redirect(reqwest::redirect::Policy::none())
             .no_proxy()
             .build()
             .map_err(ClientError::Setup)?;
         let endpoints = Mutex::new(endpoints);
-        Ok(Client { inner: Arc::new(Inner { http, endpoints, times, observer, created_at: Instant::now() }) })
+        Ok(Client { inner: Arc::new(Inner { http, endpoints, options, observer, created_at: Instant::now() }) })
     }
 
     /// Submits a job, with retries. Submitting a job that was accepted before is not an
     /// error; the result is then its current state.
     ///
     /// # Errors
-    /// [`ClientError::InvalidJobId`], [`ClientError::Refused`] and [`ClientError::Exhausted`].
+    /// [`ClientError::InvalidJobId`], [`ClientError::Refused`] and [`ClientError::RetriesExhausted`].
     pub async fn submit(&self, spec: &JobSpec) -> Result<JobState<'static>, ClientError> {
         check_job_id(&spec.uid)?;
         let body = encode(spec);
@@ -230,7 +230,7 @@
     ///
     /// # Errors
     /// [`ClientError::InvalidJobId`], [`ClientError::NotFound`], [`ClientError::Refused`] and
-    /// [`ClientError::Exhausted`].
+    /// [`ClientError::RetriesExhausted`].
     pub async fn status(&self, uid: &str) -> Result<JobState<'static>, ClientError> {
         check_job_id(uid)?;
         self.call_with_retries(Operation::Poll, uid, None, decide_on_poll).await
@@ -255,7 +255,7 @@
                 },
                 Err(_) => None,
             };
-            let pause = self.inner.times.poll_every.mul_f64(rand::random_range(0.9..1.1));
+            let pause = self.inner.options.poll_interval.mul_f64(rand::random_range(0.9..1.1));
             if deadline.is_some_and(|deadline| Instant::now() + pause > deadline) {
                 // If the last poll failed, one call with retries still gets the job's state.
                 let state = match last_state {
@@ -273,7 +273,7 @@
     ///
     /// # Errors
     /// [`ClientError::InvalidJobId`], [`ClientError::NotFound`], [`ClientError::Refused`] and
-    /// [`ClientError::Exhausted`].
+    /// [`ClientError::RetriesExhausted`].
     pub async fn cancel(&self, uid: &str) -> Result<JobState<'static>, ClientError> {
         check_job_id(uid)?;
         self.call_with_retries(Operation::Cancel, uid, Some(Vec::new()), |response| {
@@ -295,7 +295,7 @@
         body: Option<Vec<u8>>,
         decide: impl Fn(&Response) -> Decision<T>,
     ) -> Result<T, ClientError> {
-        let mut budget = Budget::new(self.inner.times.retry.clone(), self.now());
+        let mut budget = Budget::new(self.inner.options.retry.clone(), self.now());
         loop {
             let (last_error, retry_after) = match self.call_once(operation, uid, body.clone()).await {
                 Ok(response) => match decide(&response) {
@@ -308,7 +308,7 @@
                 Some(pause) => tokio::time::sleep(pause).await,
                 None => {
                     let (attempts, elapsed) = (budget.failed_attempts(), self.now() - budget.started_at());
-                    return Err(ClientError::Exhausted { attempts, elapsed, last_error });
+                    return Err(ClientError::RetriesExhausted { attempts, elapsed, last_error });
                 }
             }
         }
@@ -318,7 +318,7 @@
     /// outcome and reports it to the observer.
     async fn call_once(&self, operation: Operation, uid: &str, body: Option<Vec<u8>>) -> Result<Response, String> {
         let (index, address) = self.with_endpoints(|endpoints, now| endpoints.pick(now, rand::random()));
-        let began = Instant::now();
+        let started_at = Instant::now();
         let result = self.send(operation, uid, address, body).await;
         let outcome = match &result {
             Ok(response) if response.status < 500 && response.status != 429 => CallOutcome::Served,
@@ -327,12 +327,12 @@
         };
         self.with_endpoints(|endpoints, now| endpoints.record(index, now, outcome));
         if let Some(observer) = &self.inner.observer {
-            observer.attempt(&Attempt {
+            observer.on_attempt(&Attempt {
                 operation,
                 uid: uid.to_string(),
                 address,
-                began,
-                ended: Instant::now(),
+                started_at,
+                finished_at: Instant::now(),
                 status: result.as_ref().ok().map(|response| response.status),
                 state: result.as_ref().ok().and_then(Response::state),
             });
@@ -341,7 +341,7 @@
     }
 
     /// Sends one request to a controller and reads the response, which may be no longer
-    /// than [`BODY_LIMIT`]. An error is text that names the address and the cause.
+    /// than [`MAX_BODY_BYTES`]. An error is text that names the address and the cause.
     async fn send(
         &self,
         operation: Operation,
@@ -350,9 +350,9 @@
         body: Option<Vec<u8>>,
     ) -> Result<Response, String> {
         let (path, timeout) = match operation {
-            Operation::Submit => ("/work".to_string(), self.inner.times.change_timeout),
-            Operation::Poll => (format!("/work/{uid}"), self.inner.times.poll_timeout),
-            Operation::Cancel => (format!("/work/{uid}/withdraw"), self.inner.times.change_timeout),
+            Operation::Submit => ("/work".to_string(), self.inner.options.change_timeout),
+            Operation::Poll => (format!("/work/{uid}"), self.inner.options.poll_timeout),
+            Operation::Cancel => (format!("/work/{uid}/withdraw"), self.inner.options.change_timeout),
         };
         let url = format!("http://{address}{path}");
         let request = match body {
@@ -376,8 +376,8 @@
         let mut body = Vec::new();
         while let Some(chunk) = response.chunk().await.map_err(root_cause)? {
             body.extend_from_slice(&chunk);
-            if body.len() > BODY_LIMIT {
-                return Err(format!("{address}: the response exceeds {BODY_LIMIT} bytes"));
+            if body.len() > MAX_BODY_BYTES {
+                return Err(format!("{address}: the response exceeds {MAX_BODY_BYTES} bytes"));
             }
         }
         Ok(Response { status, retry_after, body })
@@ -413,5 +413,5 @@
 
 /// Returns an error unless the text is a valid job id.
 fn check_job_id(uid: &str) -> Result<(), ClientError> {
-    if valid_uid(uid) { Ok(()) } else { Err(ClientError::InvalidJobId(uid.into())) }
+    if is_valid_job_id(uid) { Ok(()) } else { Err(ClientError::InvalidJobId(uid.into())) }
 }
--- a/crates/ctl/src/jobfile.rs
+++ b/crates/ctl/src/jobfile.rs
@@ -7,7 +7,7 @@
 #![warn(missing_docs)]
 
 use finchquay_hcl::{File, HclError};
-use finchquay_protocol::user::{JobKind, JobSpec, Priority, TASKS_LIMIT, valid_uid};
+use finchquay_protocol::user::{JobKind, JobSpec, MAX_TASKS_PER_JOB, Priority, is_valid_job_id};
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -142,9 +142,9 @@
 /// [`HclError`] with the line and key of the first fault.
 pub fn read(path: &Path) -> Result<Vec<NamedJob>, HclError> {
     let file = File::read(path)?;
-    let jobs: JobFile = file.typed()?;
+    let jobs: JobFile = file.deserialize()?;
     if jobs.job.is_empty() {
-        return Err(file.refuse(&["job"], "the file contains no job"));
+        return Err(file.error_at(&["job"], "the file contains no job"));
     }
     let mut named_jobs = Vec::new();
     let mut names_by_id = BTreeMap::new();
@@ -153,7 +153,7 @@
         if let Some(id) = &job.id
             && let Some(other) = names_by_id.insert(id.clone(), name.clone())
         {
-            return Err(file.refuse(&["job", &name, "id"], format!("is the id of job {other:?} too")));
+            return Err(file.error_at(&["job", &name, "id"], format!("is the id of job {other:?} too")));
         }
         named_jobs.push(NamedJob { spec: job.to_spec(), name });
     }
@@ -180,30 +180,30 @@
         ];
         for (key, amount) in amounts {
             if !amount.is_finite() || amount < 0.0 {
-                return Err(file.refuse(&["job", name, key], format!("must be finite and not negative, is {amount}")));
+                return Err(file.error_at(&["job", name, key], format!("must be finite and not negative, is {amount}")));
             }
         }
         if !self.image.image_gb.is_finite() || self.image.image_gb < 0.0 {
-            return Err(file.refuse(&["job", name, "image", "size_gb"], "must be finite and not negative"));
+            return Err(file.error_at(&["job", name, "image", "size_gb"], "must be finite and not negative"));
         }
         if let Some(Checkpoint { every_s, save_s }) = &self.checkpoint
             && !(every_s.is_finite() && *every_s > 0.0 && save_s.is_finite() && *save_s >= 0.0)
         {
-            return Err(file.refuse(&["job", name, "checkpoint"], "every_s must be above 0 and save_s at least 0"));
+            return Err(file.error_at(&["job", name, "checkpoint"], "every_s must be above 0 and save_s at least 0"));
         }
         let checks = [
-            ("tasks", (1..=TASKS_LIMIT).contains(&self.tasks), format!("must be from 1 to {TASKS_LIMIT}")),
+            ("tasks", (1..=MAX_TASKS_PER_JOB).contains(&self.tasks), format!("must be from 1 to {MAX_TASKS_PER_JOB}")),
             (
                 "cpus",
                 self.cpus > 0.0 || self.memory_gb > 0.0,
                 "must be above 0 unless memory_gb is: a task needs CPUs or memory".into(),
             ),
-            ("id", self.id.as_deref().is_none_or(valid_uid), "must be `run-` and 1 to 18 digits".into()),
+            ("id", self.id.as_deref().is_none_or(is_valid_job_id), "must be `run-` and 1 to 18 digits".into()),
             ("spread", !(self.spread && self.one_zone), "cannot be combined with one_zone".into()),
         ];
         for (key, is_valid, message) in checks {
             if !is_valid {
-                return Err(file.refuse(&["job", name, key], message));
+                return Err(file.error_at(&["job", name, key], message));
             }
         }
         // The remaining checks of the service. They need an id, so a missing one is replaced by
@@ -212,8 +212,8 @@
         if spec.uid.is_empty() {
             spec.uid = "run-0".into();
         }
-        if !spec.well_formed() {
-            return Err(file.refuse(
+        if !spec.is_well_formed() {
+            return Err(file.error_at(
                 &["job", name],
                 "has a name that is empty or longer than 128 bytes, or too many machine types",
             ));
--- a/crates/ctl/src/jobfile/tests.rs
+++ b/crates/ctl/src/jobfile/tests.rs
@@ -67,5 +67,5 @@
 }
 
 fn hcl_to_json(text: &str) -> serde_json::Value {
-    File::parse(Path::new("f"), text.into()).unwrap().typed().unwrap()
+    File::parse(Path::new("f"), text.into()).unwrap().deserialize().unwrap()
 }
--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -118,7 +118,7 @@
                 ClientError::NotFound => 4,
                 ClientError::Unfinished(_) => 6,
                 ClientError::InvalidJobId(_) | ClientError::NoControllers => 2,
-                ClientError::Exhausted { .. } | ClientError::Setup(_) => 1,
+                ClientError::RetriesExhausted { .. } | ClientError::Setup(_) => 1,
             },
         }
     }
--- a/crates/emulator/src/cloud/provider.rs
+++ b/crates/emulator/src/cloud/provider.rs
@@ -4,7 +4,8 @@
 
 use crate::bucket::TokenBucket;
 use finchquay_protocol::cloud::{
-    Catalog, ListedMachine, MachineType, Page, Phase, RELEASE_LIMIT, RENT_LIMIT, ReleaseRequest, RentRequest,
+    Catalog, ListedMachine, MAX_MACHINES_PER_RELEASE, MAX_MACHINES_PER_RENT, MachinePage, MachineType, Phase,
+    ReleaseRequest, RentRequest,
 };
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -208,7 +209,7 @@
 
     /// Returns the machine type with this label.
     pub fn machine_type(&self, label: &str) -> Option<&MachineType> {
-        self.config.offers.iter().map(|o| &o.machine_type).find(|machine_type| machine_type.label == label)
+        self.config.offers.iter().map(|o| &o.machine_type).find(|machine_type| machine_type.name == label)
     }
 
     /// Returns a rented machine by its name.
@@ -231,10 +232,10 @@
             .config
             .offers
             .iter()
-            .find(|o| o.machine_type.label == request.machine_type)
+            .find(|o| o.machine_type.name == request.machine_type)
             .ok_or(Refusal::Malformed)?;
         let (on_demand, spot) = offer.capacity.get(request.zone.as_ref()).copied().ok_or(Refusal::Malformed)?;
-        if request.request_id.is_empty() || !(1..=RENT_LIMIT).contains(&request.number) {
+        if request.request_id.is_empty() || !(1..=MAX_MACHINES_PER_RENT).contains(&request.number) {
             return Err(Refusal::Malformed);
         }
         let capacity = if request.spot { spot } else { on_demand };
@@ -266,7 +267,7 @@
         // The last byte of the address takes the values 1 to 250.
         let [_, _, high, low] = (n / 250 * 256 + n % 250 + 1).to_be_bytes();
         let addr = SocketAddr::from((Ipv4Addr::new(127, 1, high, low), self.config.worker_port));
-        let offer = self.config.offers.iter().find(|o| o.machine_type.label == machine_type);
+        let offer = self.config.offers.iter().find(|o| o.machine_type.name == machine_type);
         let (startup_s, never_up_share) = offer.map_or((0.0, 0.0), |o| (o.machine_type.startup_s, o.never_up_share));
         let affected = |faulty_type: &Option<String>| faulty_type.as_deref().is_none_or(|t| t == machine_type);
         let factor: f64 = self.boot_factors.iter().filter(|(t, _)| affected(t)).map(|(_, factor)| factor).product();
@@ -292,7 +293,7 @@
 
     /// Releases machines. Unknown names are ignored.
     pub fn release(&mut self, now: Duration, request: &ReleaseRequest) -> Result<(), Refusal> {
-        if request.machines.len() > RELEASE_LIMIT {
+        if request.machines.len() > MAX_MACHINES_PER_RELEASE {
             return Err(Refusal::Malformed);
         }
         for name in request.machines.iter() {
@@ -308,7 +309,7 @@
         rental.gone_at = Some(now);
         let billed_s = rental.died_at.unwrap_or(now).saturating_sub(rental.rented_at).as_secs_f64().max(MIN_BILLED_S);
         let machine_type =
-            self.config.offers.iter().find(|o| o.machine_type.label == rental.machine_type).map(|o| &o.machine_type);
+            self.config.offers.iter().find(|o| o.machine_type.name == rental.machine_type).map(|o| &o.machine_type);
         self.spent += machine_type.map_or(0.0, |k| if rental.spot { k.spot_price } else { k.on_demand_price })
             * billed_s
             / 3600.0;
@@ -330,7 +331,7 @@
 
     /// Lists up to `page` machines whose names come after `after`, as they were one to two
     /// list lags ago.
-    pub fn list(&mut self, now: Duration, after: &str, page: usize) -> Page {
+    pub fn list(&mut self, now: Duration, after: &str, page: usize) -> MachinePage {
         let as_of = now.saturating_sub(self.config.list_lag.mul_f64(self.rng.random_range(1.0..2.0)));
         let mut machines = Vec::new();
         let mut truncated = false;
@@ -351,7 +352,7 @@
                 _ => Phase::Booting,
             };
             machines.push(ListedMachine {
-                uid: name.clone(),
+                id: name.clone(),
                 addr: rental.addr.to_string(),
                 machine_type: rental.machine_type.clone(),
                 zone: rental.zone.clone(),
@@ -360,7 +361,7 @@
                 rented_s: as_of.saturating_sub(rental.rented_at).as_secs_f64(),
             });
         }
-        Page { machines, truncated }
+        MachinePage { machines, truncated }
     }
 
     /// Begins or ends a fault.
--- a/crates/emulator/src/cloud/provider/tests.rs
+++ b/crates/emulator/src/cloud/provider/tests.rs
@@ -9,7 +9,7 @@
 /// A cloud that offers one machine type in one zone: 3 on-demand and 5 spot machines.
 fn cloud() -> Cloud {
     let machine_type = MachineType {
-        label: "std".into(),
+        name: "std".into(),
         cores: 8.0,
         gpus: 0.0,
         mem_gb: 32.0,
--- a/crates/emulator/src/front.rs
+++ b/crates/emulator/src/front.rs
@@ -8,7 +8,7 @@
 use crate::machine::driver::Driver;
 use crate::machine::worker::JobDescription;
 use finchquay_protocol::user::{JobKind, JobSpec, JobState, Route, route};
-use finchquay_protocol::{BODY_LIMIT, decode};
+use finchquay_protocol::{MAX_BODY_BYTES, decode};
 use std::collections::HashSet;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -37,18 +37,18 @@
 
     /// Serves a listener until the returned future is dropped.
     pub async fn serve(self, listener: TcpListener) {
-        http::serve(listener, BODY_LIMIT, move |request| self.clone().forward(request)).await;
+        http::serve(listener, MAX_BODY_BYTES, move |request| self.clone().forward(request)).await;
     }
 
     /// Forwards one request and records it, if it is about a job that was submitted here.
     async fn forward(self, request: Request) -> Response {
         let operation = match route(&request.method, &request.path) {
-            Route::Submit => decode::<JobSpec>(&request.body).ok().filter(JobSpec::well_formed).map(|spec| {
+            Route::Submit => decode::<JobSpec>(&request.body).ok().filter(JobSpec::is_well_formed).map(|spec| {
                 let uid = spec.uid.clone();
                 self.upload(spec);
                 (UserOperation::Submit, uid)
             }),
-            Route::Poll(uid) => Some((UserOperation::Poll, uid.to_string())),
+            Route::JobStatus(uid) => Some((UserOperation::Poll, uid.to_string())),
             Route::Cancel(uid) => Some((UserOperation::Cancel, uid.to_string())),
             Route::Health | Route::Heartbeat | Route::WrongMethod | Route::Unknown => None,
         };
--- a/crates/emulator/src/http.rs
+++ b/crates/emulator/src/http.rs
@@ -151,7 +151,7 @@
             .ok()?;
         let response = sender.send_request(request).await.ok()?;
         let status = response.status().as_u16();
-        let body = Limited::new(response.into_body(), finchquay_protocol::BODY_LIMIT).collect().await.ok()?;
+        let body = Limited::new(response.into_body(), finchquay_protocol::MAX_BODY_BYTES).collect().await.ok()?;
         Some(Response { status, body: body.to_bytes().to_vec() })
     }
 }
--- a/crates/emulator/src/machine/driver.rs
+++ b/crates/emulator/src/machine/driver.rs
@@ -8,7 +8,7 @@
 use crate::http::{self, Connection, Request, Response};
 use crate::lock;
 use finchquay_protocol::worker::{CommandRequest, HeartbeatResponse, Redirect};
-use finchquay_protocol::{BODY_LIMIT, decode, encode};
+use finchquay_protocol::{MAX_BODY_BYTES, decode, encode};
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -140,7 +140,7 @@
         let report_now = Arc::new(Notify::new());
         let heartbeats = tokio::spawn(self.clone().heartbeat_loop(name.clone(), zone.clone(), report_now.clone()));
         let (driver, machine) = (self.clone(), name.clone());
-        let commands = tokio::spawn(http::serve(listener, BODY_LIMIT, move |request| {
+        let commands = tokio::spawn(http::serve(listener, MAX_BODY_BYTES, move |request| {
             let (driver, machine, zone) = (driver.clone(), machine.clone(), zone.clone());
             // A task of its own: the request is handled even if the sender gives up meanwhile.
             let handled = tokio::spawn(async move { driver.handle_request(&machine, &zone, request).await });
--- a/crates/emulator/src/machine/fleet/tests.rs
+++ b/crates/emulator/src/machine/fleet/tests.rs
@@ -61,7 +61,7 @@
 fn state(f: &mut Fleet, machine: &str, at: f64, task: &str) -> Option<(TaskState, Option<Cause>, Option<bool>)> {
     f.advance(s(at));
     let heartbeat = f.heartbeat(machine, s(at)).unwrap();
-    heartbeat.tasks.iter().find(|t| t.task == task).map(|t| (t.status, t.cause, t.kept))
+    heartbeat.tasks.iter().find(|t| t.task == task).map(|t| (t.status, t.cause, t.progress_saved))
 }
 
 #[test]
--- a/crates/emulator/src/machine/worker.rs
+++ b/crates/emulator/src/machine/worker.rs
@@ -394,7 +394,7 @@
             attempt: *attempt,
             status: task.state,
             cause: task.cause,
-            kept: task.kept,
+            progress_saved: task.kept,
         };
         let traits = &self.traits;
         Heartbeat {
@@ -534,7 +534,7 @@
         let Some(id) = TaskId::parse(task_id) else { return };
         let key = (id, attempt);
         let Some(task) = self.tasks.get_mut(&key).filter(|task| task.state != TaskState::Exited) else { return };
-        let saves = task.description.spec.saves_in().is_some_and(|save_s| grace_period_s >= save_s);
+        let saves = task.description.spec.checkpoint_on_stop_s().is_some_and(|save_s| grace_period_s >= save_s);
         match task.state {
             TaskState::Running if saves && !self.faulty => {
                 task.remaining_s -= now.saturating_sub(task.remaining_at).as_secs_f64() * task.speed;
--- a/crates/emulator/src/run.rs
+++ b/crates/emulator/src/run.rs
@@ -20,7 +20,7 @@
     self as state, Fault as StoreFault, FaultEvent, FaultListener, WriteFault, WriteFaultRule,
 };
 use finchquay_client::ClientError;
-use finchquay_protocol::BODY_LIMIT;
+use finchquay_protocol::MAX_BODY_BYTES;
 use finchquay_protocol::cloud::MachineType;
 use finchquay_protocol::user::{JobKind, Status};
 use rand::rngs::StdRng;
@@ -274,7 +274,7 @@
 fn cloud_config(scenario: &Scenario, worker_port: u16) -> CloudConfig {
     let offer = |(label, m): (&String, &crate::scenario::MachineType)| Offer {
         machine_type: MachineType {
-            label: label.clone(),
+            name: label.clone(),
             cores: m.cpus,
             gpus: m.gpus,
             mem_gb: m.memory_gb,
@@ -438,7 +438,7 @@
     /// Serves the API of the emulated cloud until dropped.
     async fn serve_cloud(self: Arc<Self>, listener: TcpListener) {
         let emulation = self.clone();
-        http::serve(listener, BODY_LIMIT, move |request| {
+        http::serve(listener, MAX_BODY_BYTES, move |request| {
             let emulation = emulation.clone();
             async move {
                 let response = service::answer(&mut lock(&emulation.cloud), emulation.now(), &request);
--- a/crates/emulator/src/state/machine.rs
+++ b/crates/emulator/src/state/machine.rs
@@ -8,9 +8,10 @@
 use crate::bucket::TokenBucket;
 use ciborium::Value;
 use finchquay_protocol::store::{
-    CONDITIONS_PER_OP, Op, PAGE_BYTES, PAGE_LIMIT, Row, Rows, TTL_MS, Txn, WATCH_WINDOW, WatchEvent, valid_key,
+    LEASE_TTL_RANGE_MS, MAX_CONDITIONS_PER_OP, MAX_PAGE_BYTES, MAX_PAGE_ROWS, Op, Row, RowPage, Txn,
+    WATCH_WINDOW_CHANGES, WatchEvent, is_valid_key,
 };
-use finchquay_protocol::{BODY_LIMIT, encode};
+use finchquay_protocol::{MAX_BODY_BYTES, encode};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
@@ -193,7 +194,7 @@
 
     /// Reads a page of the keys under a prefix, from the first one behind `after`; no page
     /// is larger than the limits on rows and bytes of the protocol.
-    pub fn scan(&self, prefix: &str, after: &str, page: usize) -> Rows {
+    pub fn scan(&self, prefix: &str, after: &str, page: usize) -> RowPage {
         use std::ops::Bound::{Excluded, Included, Unbounded};
         let low = if after >= prefix { Excluded(after) } else { Included(prefix) };
         let mut rows = Vec::new();
@@ -203,13 +204,13 @@
                 break;
             }
             bytes += key.len() + encode(&e.data).len() + 32;
-            if rows.len() >= page.min(PAGE_LIMIT) || (bytes > PAGE_BYTES && !rows.is_empty()) {
+            if rows.len() >= page.min(MAX_PAGE_ROWS) || (bytes > MAX_PAGE_BYTES && !rows.is_empty()) {
                 truncated = true;
                 break;
             }
             rows.push(Row { key: key.clone(), data: e.data.clone(), version: e.version, lease: None });
         }
-        Rows { rows, truncated, revision: self.revision }
+        RowPage { rows, truncated, revision: self.revision }
     }
 
     /// Changes under a prefix since a revision; `None` if the window does not reach back
@@ -272,14 +273,14 @@
     fn well_formed(&self, txn: &Txn) -> bool {
         let value_limit = self.limits.value_kb * 1024.0;
         let fits = |op: &Op| match op {
-            Op::Put { key, data, .. } => valid_key(key) && encode(data).len() as f64 <= value_limit,
-            Op::Delete { key } => valid_key(key),
+            Op::Put { key, data, .. } => is_valid_key(key) && encode(data).len() as f64 <= value_limit,
+            Op::Delete { key } => is_valid_key(key),
         };
         txn.ops.len() <= self.limits.txn_ops
-            && txn.conditions.len() <= self.limits.txn_ops * CONDITIONS_PER_OP
+            && txn.conditions.len() <= self.limits.txn_ops * MAX_CONDITIONS_PER_OP
             && txn.ops.iter().all(fits)
-            && txn.conditions.iter().all(|c| valid_key(&c.key))
-            && encode(txn).len() <= BODY_LIMIT
+            && txn.conditions.iter().all(|c| is_valid_key(&c.key))
+            && encode(txn).len() <= MAX_BODY_BYTES
     }
 
     /// Sets or deletes one key at the current revision.
@@ -305,7 +306,7 @@
         let change = Change { key: key.to_string(), before, after, revision: self.revision };
         self.unwritten.push(change.clone());
         self.window.push_back(change);
-        while self.window.len() > WATCH_WINDOW {
+        while self.window.len() > WATCH_WINDOW_CHANGES {
             if let Some(old) = self.window.pop_front() {
                 self.window_start = old.revision;
             }
@@ -314,7 +315,7 @@
 
     /// Grants a lease and returns its id; `None` if the requested time is out of bounds.
     pub fn grant(&mut self, now: Duration, ttl_ms: u64) -> Option<u64> {
-        if !TTL_MS.contains(&ttl_ms) {
+        if !LEASE_TTL_RANGE_MS.contains(&ttl_ms) {
             return None;
         }
         let (id, ttl) = (self.next_lease, Duration::from_millis(ttl_ms));
--- a/crates/emulator/src/state/probe.rs
+++ b/crates/emulator/src/state/probe.rs
@@ -4,7 +4,7 @@
 use crate::http::Connection;
 use ciborium::Value;
 use finchquay_protocol::encode;
-use finchquay_protocol::store::{Op, TXN, Txn};
+use finchquay_protocol::store::{Op, TXN_PATH, Txn};
 use hdrhistogram::Histogram;
 use std::fmt;
 use std::net::SocketAddr;
@@ -47,7 +47,7 @@
                 let op = Op::Put { key, data: Value::Text("x".repeat(200)), lease: None };
                 let body = encode(&Txn { conditions: Vec::new(), ops: vec![op] });
                 let sent = Instant::now();
-                match connection.post(address, TXN, body, time).await {
+                match connection.post(address, TXN_PATH, body, time).await {
                     Some(r) if r.status == 200 => latencies_us.push(sent.elapsed().as_micros() as u64),
                     _ => {
                         failed += 1;
--- a/crates/emulator/src/state/service.rs
+++ b/crates/emulator/src/state/service.rs
@@ -7,7 +7,7 @@
 use crate::http::{self, Request, Response};
 use ciborium::cbor;
 use finchquay_protocol::store::{Lease, LeaseRequest, Op, Route, Txn, TxnResponse, WatchEvent, WatchResponse, route};
-use finchquay_protocol::{BODY_LIMIT, decode, encode};
+use finchquay_protocol::{MAX_BODY_BYTES, decode, encode};
 use std::collections::BTreeSet;
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -176,7 +176,7 @@
             let (handle, controller) = (self.clone(), controller.clone());
             async move { handle.request(controller, request).await }
         };
-        http::serve(listener, BODY_LIMIT, handler).await;
+        http::serve(listener, MAX_BODY_BYTES, handler).await;
     }
 
     async fn request(&self, controller: String, request: Request) -> Response {
@@ -320,8 +320,7 @@
         leases: &mut Vec<(u64, Option<Duration>)>,
     ) {
         if self.cut.contains(&controller) {
-            if let (Some(Route::Multi), Ok(txn)) = (route(&request.method, &request.path), decode::<Txn>(&request.body))
-            {
+            if let (Some(Route::Txn), Ok(txn)) = (route(&request.method, &request.path), decode::<Txn>(&request.body)) {
                 self.held_back.push((controller, txn));
             }
             return;
@@ -335,12 +334,12 @@
         } else {
             match route(&request.method, &request.path) {
                 None => Response::empty(400),
-                Some(Route::Watch { prefix, after, hold_ms }) => {
-                    let deadline = now + Duration::from_millis(hold_ms);
+                Some(Route::Watch { prefix, after, max_wait_ms }) => {
+                    let deadline = now + Duration::from_millis(max_wait_ms);
                     self.watches.push(Watch { controller, prefix: prefix.into(), after, deadline, reply });
                     return;
                 }
-                Some(Route::Multi) => match decode::<Txn>(&request.body) {
+                Some(Route::Txn) => match decode::<Txn>(&request.body) {
                     Err(_) => Response::empty(400),
                     Ok(txn) => match self.take_write_fault(&txn) {
                         Some(WriteFault::Late(delay)) => {
@@ -391,13 +390,13 @@
                     None => Response::empty(400),
                 }
             }
-            Route::Extend(id) if self.store.extend(now, id) => Response::empty(200),
+            Route::Renew(id) if self.store.extend(now, id) => Response::empty(200),
             Route::Revoke(id) if self.store.revoke(id) => {
                 leases.push((id, None));
                 Response::empty(200)
             }
-            Route::Extend(_) | Route::Revoke(_) => Response::empty(404),
-            Route::Multi | Route::Watch { .. } => Response::empty(400),
+            Route::Renew(_) | Route::Revoke(_) => Response::empty(404),
+            Route::Txn | Route::Watch { .. } => Response::empty(400),
         }
     }
 
--- a/crates/hclfile/src/lib.rs
+++ b/crates/hclfile/src/lib.rs
@@ -1,6 +1,6 @@
 //! Typed HCL files. A [`File`] is deserialized into any `Deserialize` type. If that fails,
 //! the error says in one line which file, line and key is at fault. Checks that are made
-//! later can report the same position: [`File::refuse`] finds a key by its path.
+//! later can report the same position: [`File::error_at`] finds a key by its path.
 
 #![warn(missing_docs)]
 #![cfg_attr(not(test), warn(clippy::unwrap_used))]
@@ -85,14 +85,14 @@
 
     /// Returns this file merged over a base file: it has the blocks and keys of both, and
     /// the values of this file for keys that both set.
-    pub fn over(mut self, base: File) -> File {
+    pub fn merged_over(mut self, base: File) -> File {
         self.base = Some(Box::new(base));
         self
     }
 
     /// Returns the string value of a key at the top level of this file, without its base;
     /// `None` if the key is missing or its value is not a string.
-    pub fn top(&self, key: &str) -> Option<&str> {
+    pub fn top_level_string(&self, key: &str) -> Option<&str> {
         self.body.get_attribute(key)?.value.as_str()
     }
 
@@ -115,7 +115,7 @@
     ///
     /// # Errors
     /// [`HclError::Key`] with the line of the key that `T` does not accept.
-    pub fn typed<T: DeserializeOwned>(&self) -> Result<T, HclError> {
+    pub fn deserialize<T: DeserializeOwned>(&self) -> Result<T, HclError> {
         let value = self.merged_value()?;
         serde_path_to_error::deserialize(value).map_err(|error| {
             let mut path: Vec<String> = error
@@ -137,17 +137,17 @@
                 path.push(key.to_string());
             }
             let path: Vec<&str> = path.iter().map(String::as_str).collect();
-            self.refuse(&path, message)
+            self.error_at(&path, message)
         })
     }
 
     /// Returns the error for a key whose value is invalid. `path` leads to the key from the
     /// top of the file, by keys, block labels and positions in lists. The error names the
     /// base file if only that one has the key.
-    pub fn refuse(&self, path: &[&str], message: impl Into<String>) -> HclError {
+    pub fn error_at(&self, path: &[&str], message: impl Into<String>) -> HclError {
         let offset = match (body_offset(&self.body, path), &self.base) {
             (Some(offset), _) => offset,
-            (None, Some(base)) if body_offset(&base.body, path).is_some() => return base.refuse(path, message),
+            (None, Some(base)) if body_offset(&base.body, path).is_some() => return base.error_at(path, message),
             (None, _) => 0,
         };
         let line = self.text.get(..offset).map_or(1, |before| before.matches('\n').count() + 1);
--- a/crates/protocol/src/cloud.rs
+++ b/crates/protocol/src/cloud.rs
@@ -9,9 +9,9 @@
 use std::borrow::Cow;
 
 /// Maximum number of machines in one [`RentRequest`].
-pub const RENT_LIMIT: u32 = 50;
+pub const MAX_MACHINES_PER_RENT: u32 = 50;
 /// Maximum number of machines in one [`ReleaseRequest`].
-pub const RELEASE_LIMIT: usize = 100;
+pub const MAX_MACHINES_PER_RELEASE: usize = 100;
 
 /// Response to a catalog request.
 #[derive(Debug, Clone, Serialize, Deserialize)]
@@ -24,8 +24,9 @@
 /// A machine type that the cloud offers.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachineType {
-    /// Name of the machine type.
-    pub label: String,
+    /// Name of the machine type; `label` on the wire.
+    #[serde(rename = "label")]
+    pub name: String,
     /// Number of CPU cores.
     #[serde(deserialize_with = "number")]
     pub cores: f64,
@@ -73,7 +74,7 @@
     /// Whether spot instances are requested; `loaners` on the wire.
     #[serde(rename = "loaners")]
     pub spot: bool,
-    /// Number of machines, at most [`RENT_LIMIT`].
+    /// Number of machines, at most [`MAX_MACHINES_PER_RENT`].
     pub number: u32,
 }
 
@@ -88,7 +89,7 @@
 /// Request to release machines, which returns them to the cloud.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct ReleaseRequest<'a> {
-    /// Ids of the machines, at most [`RELEASE_LIMIT`]; `perches` on the wire.
+    /// Ids of the machines, at most [`MAX_MACHINES_PER_RELEASE`]; `perches` on the wire.
     #[serde(rename = "perches")]
     pub machines: Cow<'a, [String]>,
 }
@@ -111,8 +112,9 @@
 /// A machine in the cloud's list.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ListedMachine {
-    /// Id of the machine.
-    pub uid: String,
+    /// Id of the machine; `uid` on the wire.
+    #[serde(rename = "uid")]
+    pub id: String,
     /// Address of the machine's worker; may be empty, since controllers learn the address
     /// from heartbeats.
     #[serde(default)]
@@ -137,7 +139,7 @@
 
 /// One page of the list of machines, which is sorted by machine id.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Page {
+pub struct MachinePage {
     /// Machines on the page; `perches` on the wire.
     #[serde(rename = "perches")]
     pub machines: Vec<ListedMachine>,
@@ -150,11 +152,11 @@
 pub const MAX_LIST_PAGE_MACHINES: usize = 500;
 
 /// Path of the catalog (GET).
-pub const CATALOG: &str = "/catalog";
+pub const CATALOG_PATH: &str = "/catalog";
 /// Path to rent machines (POST) and to list them (GET).
-pub const RENT: &str = "/hosts";
+pub const MACHINES_PATH: &str = "/hosts";
 /// Path to release machines (POST).
-pub const RELEASE: &str = "/hosts/release";
+pub const RELEASE_PATH: &str = "/hosts/release";
 
 /// Operation that a request to the cloud selects by its method and path.
 #[derive(Debug, PartialEq, Eq)]
@@ -178,13 +180,13 @@
 pub fn route<'a>(method: &str, path: &'a str) -> Option<Route<'a>> {
     let (path, query) = path.split_once('?').unwrap_or((path, ""));
     match (method, path) {
-        ("GET", CATALOG) => Some(Route::Catalog),
-        ("POST", RENT) => Some(Route::Rent),
-        ("POST", RELEASE) => Some(Route::Release),
-        ("GET", RENT) => {
-            let page = crate::query(query, "page").map_or(Ok(MAX_LIST_PAGE_MACHINES), str::parse).ok()?;
+        ("GET", CATALOG_PATH) => Some(Route::Catalog),
+        ("POST", MACHINES_PATH) => Some(Route::Rent),
+        ("POST", RELEASE_PATH) => Some(Route::Release),
+        ("GET", MACHINES_PATH) => {
+            let page = crate::query_parameter(query, "page").map_or(Ok(MAX_LIST_PAGE_MACHINES), str::parse).ok()?;
             Some(Route::List {
-                after: crate::query(query, "after").unwrap_or(""),
+                after: crate::query_parameter(query, "after").unwrap_or(""),
                 page: page.clamp(1, MAX_LIST_PAGE_MACHINES),
             })
         }
@@ -196,8 +198,8 @@
 /// first page.
 pub fn list_path(after: &str) -> String {
     if after.is_empty() {
-        format!("{RENT}?page={MAX_LIST_PAGE_MACHINES}")
+        format!("{MACHINES_PATH}?page={MAX_LIST_PAGE_MACHINES}")
     } else {
-        format!("{RENT}?after={after}&page={MAX_LIST_PAGE_MACHINES}")
+        format!("{MACHINES_PATH}?after={after}&page={MAX_LIST_PAGE_MACHINES}")
     }
 }
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -19,7 +19,7 @@
 use thiserror::Error;
 
 /// Maximum size of a request body, and of a response to a user or worker, in bytes.
-pub const BODY_LIMIT: usize = 64 * 1024;
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
 
 /// Maximum nesting depth of a CBOR item. It keeps hostile input from exhausting the stack.
 const MAX_NESTING_DEPTH: usize = 32;
@@ -53,7 +53,7 @@
 
 /// Returns the value of the first parameter with this name in a query string. The value
 /// is not percent-decoded, because no interface escapes its parameters.
-pub fn query<'a>(query: &'a str, name: &str) -> Option<&'a str> {
+pub fn query_parameter<'a>(query: &'a str, name: &str) -> Option<&'a str> {
     query
         .split('&')
         .find_map(|parameter| parameter.split_once('=').filter(|(key, _)| *key == name).map(|(_, value)| value))
--- a/crates/protocol/src/peer.rs
+++ b/crates/protocol/src/peer.rs
@@ -8,14 +8,14 @@
 use thiserror::Error;
 
 /// Maximum size of a frame, in bytes, without its length prefix.
-pub const FRAME_LIMIT: usize = 256 * 1024;
+pub const MAX_FRAME_BYTES: usize = 256 * 1024;
 /// Size of the length prefix, in bytes.
 const LENGTH_PREFIX_BYTES: usize = size_of::<u32>();
 
 /// The error after which no more frames can be read from a stream.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum FrameError {
-    /// The length prefix exceeds [`FRAME_LIMIT`].
+    /// The length prefix exceeds [`MAX_FRAME_BYTES`].
     #[error("a frame of {0} bytes exceeds the limit")]
     TooLong(usize),
     /// The bytes after the length prefix are not a valid frame.
@@ -76,7 +76,7 @@
 
 /// Heartbeat of a controller to the other controllers, with its observations. All fields
 /// are advisory except `revision`, `known_revision` and `revocations`, which the read
-/// index depends on. The proof of the read index is at `attested` in `connectivity`.
+/// index depends on. The proof of the read index is at `PeerTable::read_index_time`.
 #[derive(Debug, Clone, Default, PartialEq, BorshSerialize, BorshDeserialize)]
 pub struct PeerHeartbeat {
     /// Incarnation (process) of the sender.
@@ -165,7 +165,7 @@
         return Ok(None);
     };
     let length = u32::from_be_bytes(*prefix) as usize;
-    if length > FRAME_LIMIT {
+    if length > MAX_FRAME_BYTES {
         return Err(FrameError::TooLong(length));
     }
     let end = LENGTH_PREFIX_BYTES + length;
--- a/crates/protocol/src/store.rs
+++ b/crates/protocol/src/store.rs
@@ -128,7 +128,7 @@
 
 /// One page of a range read.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Rows {
+pub struct RowPage {
     /// Rows on the page, sorted by key.
     pub rows: Vec<Row>,
     /// Whether more rows follow after this page.
@@ -171,7 +171,7 @@
 #[derive(Debug, Serialize, Deserialize)]
 pub struct LeaseRequest {
     /// Time after which the lease expires unless it is renewed, in milliseconds; within
-    /// [`TTL_MS`].
+    /// [`LEASE_TTL_RANGE_MS`].
     pub ttl_ms: u64,
 }
 
@@ -186,22 +186,22 @@
 /// Maximum length of a key, in bytes.
 pub const MAX_KEY_BYTES: usize = 200;
 /// Maximum number of rows on one page of a range read.
-pub const PAGE_LIMIT: usize = 1000;
+pub const MAX_PAGE_ROWS: usize = 1000;
 /// Maximum size of one page of a range read, in bytes.
-pub const PAGE_BYTES: usize = 512 * 1024;
+pub const MAX_PAGE_BYTES: usize = 512 * 1024;
 /// Number of changes that the store keeps for watches. A watch that starts further back is
 /// refused.
-pub const WATCH_WINDOW: usize = 10_000;
+pub const WATCH_WINDOW_CHANGES: usize = 10_000;
 /// Maximum time that a watch waits for a change, in milliseconds.
 pub const MAX_WATCH_WAIT_MS: u64 = 60_000;
 /// Range that the time to live of a lease must be in, in milliseconds.
-pub const TTL_MS: std::ops::RangeInclusive<u64> = 100..=600_000;
+pub const LEASE_TTL_RANGE_MS: std::ops::RangeInclusive<u64> = 100..=600_000;
 /// Ratio of the maximum number of conditions in a transaction to the maximum number of
 /// operations.
-pub const CONDITIONS_PER_OP: usize = 4;
+pub const MAX_CONDITIONS_PER_OP: usize = 4;
 
 /// Whether a key may be stored: it has 1 to [`MAX_KEY_BYTES`] bytes and no spaces.
-pub fn valid_key(key: &str) -> bool {
+pub fn is_valid_key(key: &str) -> bool {
     (1..=MAX_KEY_BYTES).contains(&key.len()) && !key.contains(' ')
 }
 
@@ -220,11 +220,11 @@
         page: usize,
     },
     /// Run a transaction: `POST /multi`.
-    Multi,
+    Txn,
     /// Grant a lease: `POST /holds`.
     Grant,
     /// Renew the lease with this id: `POST /holds/<id>/extend`.
-    Extend(u64),
+    Renew(u64),
     /// Revoke the lease with this id: `DELETE /holds/<id>`.
     Revoke(u64),
     /// Wait for changes: `GET /follow`.
@@ -234,7 +234,7 @@
         /// Only changes after this revision.
         after: u64,
         /// Maximum time to wait for a change, in milliseconds.
-        hold_ms: u64,
+        max_wait_ms: u64,
     },
 }
 
@@ -242,33 +242,33 @@
 /// 400.
 pub fn route<'a>(method: &str, path: &'a str) -> Option<Route<'a>> {
     let (path, query) = path.split_once('?').unwrap_or((path, ""));
-    let parameter = |name| crate::query(query, name);
+    let parameter = |name| crate::query_parameter(query, name);
     match (method, path) {
-        ("POST", TXN) => Some(Route::Multi),
-        ("POST", LEASES) => Some(Route::Grant),
+        ("POST", TXN_PATH) => Some(Route::Txn),
+        ("POST", LEASES_PATH) => Some(Route::Grant),
         ("GET", "/store") => {
-            let page = parameter("page").map_or(Ok(PAGE_LIMIT), str::parse).ok().filter(|page| *page > 0)?;
+            let page = parameter("page").map_or(Ok(MAX_PAGE_ROWS), str::parse).ok().filter(|page| *page > 0)?;
             let after = parameter("after").unwrap_or("");
-            Some(Route::Scan { prefix: parameter("starts")?, after, page: page.min(PAGE_LIMIT) })
+            Some(Route::Scan { prefix: parameter("starts")?, after, page: page.min(MAX_PAGE_ROWS) })
         }
         ("GET", "/follow") => {
-            let hold_ms: u64 = parameter("hold_ms").map_or(Ok(0), str::parse).ok()?;
+            let max_wait_ms: u64 = parameter("hold_ms").map_or(Ok(0), str::parse).ok()?;
             let after = parameter("after")?.parse().ok()?;
-            Some(Route::Watch { prefix: parameter("starts")?, after, hold_ms: hold_ms.min(MAX_WATCH_WAIT_MS) })
+            Some(Route::Watch { prefix: parameter("starts")?, after, max_wait_ms: max_wait_ms.min(MAX_WATCH_WAIT_MS) })
         }
         _ => match (method, path.strip_prefix("/holds/")) {
-            ("POST", Some(rest)) => Some(Route::Extend(rest.strip_suffix("/extend")?.parse().ok()?)),
+            ("POST", Some(rest)) => Some(Route::Renew(rest.strip_suffix("/extend")?.parse().ok()?)),
             ("DELETE", Some(rest)) => Some(Route::Revoke(rest.parse().ok()?)),
-            ("GET", None) => path.strip_prefix("/store/").filter(|key| valid_key(key)).map(Route::Get),
+            ("GET", None) => path.strip_prefix("/store/").filter(|key| is_valid_key(key)).map(Route::Get),
             _ => None,
         },
     }
 }
 
 /// Path of transactions (POST).
-pub const TXN: &str = "/multi";
+pub const TXN_PATH: &str = "/multi";
 /// Path to grant leases (POST).
-pub const LEASES: &str = "/holds";
+pub const LEASES_PATH: &str = "/holds";
 
 /// Returns the path to read one key.
 pub fn key_path(key: &str) -> String {
@@ -278,7 +278,7 @@
 /// Returns the path of the page of keys with this prefix after the key `after`, which is
 /// empty for the first page.
 pub fn scan_path(prefix: &str, after: &str) -> String {
-    let page = PAGE_LIMIT;
+    let page = MAX_PAGE_ROWS;
     if after.is_empty() {
         format!("/store?starts={prefix}&page={page}")
     } else {
@@ -287,9 +287,9 @@
 }
 
 /// Returns the path of a watch on the keys with this prefix for changes after the revision
-/// `after`. The watch waits at most `hold_ms` milliseconds for a change.
-pub fn watch_path(prefix: &str, after: u64, hold_ms: u64) -> String {
-    format!("/follow?starts={prefix}&after={after}&hold_ms={hold_ms}")
+/// `after`. The watch waits at most `max_wait_ms` milliseconds for a change.
+pub fn watch_path(prefix: &str, after: u64, max_wait_ms: u64) -> String {
+    format!("/follow?starts={prefix}&after={after}&hold_ms={max_wait_ms}")
 }
 
 /// Returns the path to renew a lease.
--- a/crates/protocol/src/store/tests.rs
+++ b/crates/protocol/src/store/tests.rs
@@ -10,12 +10,16 @@
     let oversized_key = "k".repeat(MAX_KEY_BYTES + 1);
     let cases = [
         ("GET", key_path("a/b"), Some(Route::Get("a/b"))),
-        ("GET", scan_path("c/", "c/7"), Some(Route::Scan { prefix: "c/", after: "c/7", page: PAGE_LIMIT })),
-        ("GET", watch_path("c/", 9, 99_999), Some(Route::Watch { prefix: "c/", after: 9, hold_ms: MAX_WATCH_WAIT_MS })),
-        ("POST", renew_path(7), Some(Route::Extend(7))),
+        ("GET", scan_path("c/", "c/7"), Some(Route::Scan { prefix: "c/", after: "c/7", page: MAX_PAGE_ROWS })),
+        (
+            "GET",
+            watch_path("c/", 9, 99_999),
+            Some(Route::Watch { prefix: "c/", after: 9, max_wait_ms: MAX_WATCH_WAIT_MS }),
+        ),
+        ("POST", renew_path(7), Some(Route::Renew(7))),
         ("DELETE", "/holds/7".into(), Some(Route::Revoke(7))),
-        ("POST", TXN.into(), Some(Route::Multi)),
-        ("GET", TXN.into(), None),
+        ("POST", TXN_PATH.into(), Some(Route::Txn)),
+        ("GET", TXN_PATH.into(), None),
         ("GET", "/store?page=0&starts=c/".into(), None),
         ("GET", "/store/".into(), None),
         ("GET", key_path(&oversized_key), None),
--- a/crates/protocol/src/user.rs
+++ b/crates/protocol/src/user.rs
@@ -15,7 +15,7 @@
 /// Maximum number of machine types that a job may list.
 const MAX_MACHINE_TYPES: usize = 32;
 /// Maximum number of tasks of a job.
-pub const TASKS_LIMIT: u32 = 100_000;
+pub const MAX_TASKS_PER_JOB: u32 = 100_000;
 
 /// How the tasks of a job run; `form` on the wire.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
@@ -151,13 +151,13 @@
 
     /// Seconds that a running task needs to write a checkpoint when it is stopped; `None`
     /// if the tasks take no checkpoints.
-    pub fn saves_in(&self) -> Option<f64> {
+    pub fn checkpoint_on_stop_s(&self) -> Option<f64> {
         (self.checkpoint_interval_s > 0.0).then_some(self.checkpoint_duration_s)
     }
 
     /// Whether all values are within their limits. It does not check that the machine types
     /// exist.
-    pub fn well_formed(&self) -> bool {
+    pub fn is_well_formed(&self) -> bool {
         let amounts = [
             self.cores,
             self.gpus,
@@ -168,8 +168,8 @@
             self.checkpoint_duration_s,
             self.deadline_s.unwrap_or(0.0),
         ];
-        valid_uid(&self.uid)
-            && (1..=TASKS_LIMIT).contains(&self.task_count)
+        is_valid_job_id(&self.uid)
+            && (1..=MAX_TASKS_PER_JOB).contains(&self.task_count)
             && amounts.iter().all(|amount| amount.is_finite() && *amount >= 0.0)
             && [&self.class, &self.team, &self.image].into_iter().all(|name| valid_name(name))
             && self.zone.as_deref().is_none_or(valid_name)
@@ -189,7 +189,7 @@
 }
 
 /// Whether this is a valid job id: `run-` and 1 to 18 digits, for example `run-000412`.
-pub fn valid_uid(uid: &str) -> bool {
+pub fn is_valid_job_id(uid: &str) -> bool {
     let digits = uid.strip_prefix("run-");
     digits
         .is_some_and(|digits| JOB_ID_DIGITS.contains(&digits.len()) && digits.bytes().all(|byte| byte.is_ascii_digit()))
@@ -240,7 +240,7 @@
     /// Submit a job: `POST /work`.
     Submit,
     /// Read the status of the job with this id: `GET /work/<id>`.
-    Poll(&'a str),
+    JobStatus(&'a str),
     /// Cancel the job with this id: `POST /work/<id>/withdraw`.
     Cancel(&'a str),
     /// Answer the health check of a load balancer: `GET /healthz`.
@@ -263,7 +263,7 @@
         _ => match path.strip_prefix("/work/") {
             Some(rest) => match rest.strip_suffix("/withdraw") {
                 Some(uid) if !uid.contains('/') => require("POST", Route::Cancel(uid)),
-                None if !rest.is_empty() && !rest.contains('/') => require("GET", Route::Poll(rest)),
+                None if !rest.is_empty() && !rest.contains('/') => require("GET", Route::JobStatus(rest)),
                 _ => Route::Unknown,
             },
             None => Route::Unknown,
--- a/crates/protocol/src/worker.rs
+++ b/crates/protocol/src/worker.rs
@@ -94,8 +94,8 @@
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub cause: Option<Cause>,
     /// Whether the task saved its progress when it was stopped.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub kept: Option<bool>,
+    #[serde(rename = "kept", default, skip_serializing_if = "Option::is_none")]
+    pub progress_saved: Option<bool>,
 }
 
 /// Heartbeat of a worker with the states of its tasks. The worker sends it to its
--- a/src/connectivity/frame_fitting.rs
+++ b/src/connectivity/frame_fitting.rs
@@ -15,16 +15,16 @@
 
 #![warn(missing_docs)]
 
-use crate::protocol::peer::{FRAME_LIMIT, PeerHeartbeat};
+use crate::protocol::peer::{MAX_FRAME_BYTES, PeerHeartbeat};
 use borsh::BorshSerialize;
 use std::collections::BTreeSet;
 
 /// Limits of the lists in a heartbeat that does not fit, in bytes. `recent_machines` gets the
 /// rest, which is at least as much as these limits and the revocations take together.
-const MAX_IMAGES_BYTES: usize = FRAME_LIMIT / 8;
-const MAX_PROVISIONED_BYTES: usize = FRAME_LIMIT / 8;
-const MAX_PROBE_ANSWERS_BYTES: usize = FRAME_LIMIT / 16;
-const MAX_UNLISTED_BYTES: usize = FRAME_LIMIT / 16;
+const MAX_IMAGES_BYTES: usize = MAX_FRAME_BYTES / 8;
+const MAX_PROVISIONED_BYTES: usize = MAX_FRAME_BYTES / 8;
+const MAX_PROBE_ANSWERS_BYTES: usize = MAX_FRAME_BYTES / 16;
+const MAX_UNLISTED_BYTES: usize = MAX_FRAME_BYTES / 16;
 
 /// Size of the tag by which a frame is recognized as a heartbeat, in bytes.
 const TAG_BYTES: usize = 1;
@@ -41,7 +41,7 @@
 /// Removes from a heartbeat what does not fit into a frame, and leaves one that fits as it is.
 /// `must_include` selects the machines whose absence would make a difference to receivers.
 pub fn fit_to_frame(heartbeat: &mut PeerHeartbeat, rotation: Rotation, must_include: impl Fn(&str) -> bool) {
-    if encoded_bytes(heartbeat) + TAG_BYTES <= FRAME_LIMIT {
+    if encoded_bytes(heartbeat) + TAG_BYTES <= MAX_FRAME_BYTES {
         return;
     }
     keep_part(&mut heartbeat.unlisted, MAX_UNLISTED_BYTES, rotation.heartbeats);
@@ -51,7 +51,7 @@
     heartbeat.probe_answers.sort_by_cached_key(|(machine, ago_ms)| (!unresponsive.contains(machine.as_str()), *ago_ms));
     keep_first(&mut heartbeat.probe_answers, MAX_PROBE_ANSWERS_BYTES);
     let recent_machines = std::mem::take(&mut heartbeat.recent_machines);
-    let remaining_bytes = FRAME_LIMIT.saturating_sub(encoded_bytes(heartbeat) + TAG_BYTES);
+    let remaining_bytes = MAX_FRAME_BYTES.saturating_sub(encoded_bytes(heartbeat) + TAG_BYTES);
     heartbeat.recent_machines = recent_machines;
     heartbeat.recent_machines.sort_by_cached_key(|recent| (!must_include(&recent.machine), recent.ago_ms));
     keep_first(&mut heartbeat.recent_machines, remaining_bytes);
--- a/src/controller/agents/preemption.rs
+++ b/src/controller/agents/preemption.rs
@@ -107,7 +107,7 @@
         left_s: f64,
         capacities: &mut Option<Vec<MachineCapacity>>,
     ) -> Vec<Preemption> {
-        let save_s = job.spec.saves_in().filter(|save_s| left_s >= *save_s);
+        let save_s = job.spec.checkpoint_on_stop_s().filter(|save_s| left_s >= *save_s);
         match (job.spec.kind, save_s) {
             (JobKind::Service, _) => {
                 let capacities = capacities.get_or_insert_with(|| self.own_capacities());
--- a/src/controller/agents/release.rs
+++ b/src/controller/agents/release.rs
@@ -5,7 +5,7 @@
 use crate::controller::{CallPurpose, Controller, MAX_CLOCK_RATE_RATIO};
 use crate::coordination::machine::Machine;
 use crate::effects::{NoAnswer, Reply, Target};
-use crate::protocol::cloud::{RELEASE, ReleaseRequest};
+use crate::protocol::cloud::{RELEASE_PATH, ReleaseRequest};
 use crate::protocol::encode;
 use crate::protocol::store::{Condition, Op, Txn};
 use crate::state::records;
@@ -40,7 +40,7 @@
         self.releases.begin(&machines);
         let body = encode(&ReleaseRequest { machines: machines.as_slice().into() });
         let timeout = self.heartbeat_intervals(RELEASE_TIMEOUT_INTERVALS);
-        self.call(Target::Cloud, "POST", RELEASE.into(), Some(body), timeout, CallPurpose::Release { machines });
+        self.call(Target::Cloud, "POST", RELEASE_PATH.into(), Some(body), timeout, CallPurpose::Release { machines });
     }
 
     /// Processes the cloud's answer to a release, or the lack of one.
--- a/src/controller/agents/suspicion.rs
+++ b/src/controller/agents/suspicion.rs
@@ -6,7 +6,7 @@
 use crate::controller::{Controller, MAX_CLOCK_RATE_RATIO};
 use crate::coordination::machine::Machine;
 use crate::effects::Instant;
-use crate::protocol::cloud::RELEASE_LIMIT;
+use crate::protocol::cloud::MAX_MACHINES_PER_RELEASE;
 use crate::retry::Purpose as RetryPurpose;
 use crate::scaling::declared_lost_after_s;
 use std::collections::BTreeMap;
@@ -222,7 +222,7 @@
     fn release_within_limits(&mut self, due: Vec<(String, ReleaseReason)>) {
         let mut names = Vec::new();
         for (name, reason) in due {
-            if names.len() == RELEASE_LIMIT {
+            if names.len() == MAX_MACHINES_PER_RELEASE {
                 break;
             }
             if reason.is_limited() && !self.releases.try_acquire() {
--- a/src/controller/api.rs
+++ b/src/controller/api.rs
@@ -6,7 +6,7 @@
 use crate::connectivity::peer_table::Peer;
 use crate::coordination::health::{HealthInputs, is_healthy};
 use crate::protocol::store::{Condition, Op};
-use crate::protocol::user::{ErrorBody, JobKind, JobSpec, JobState, Route, Status, route, valid_uid};
+use crate::protocol::user::{ErrorBody, JobKind, JobSpec, JobState, Route, Status, is_valid_job_id, route};
 use crate::protocol::{decode, encode};
 use crate::requests::{Answer, Event, KnownStatus, Request, RequestKind, Stage, WriteOutcome};
 use crate::retry::RemoteService;
@@ -50,7 +50,7 @@
                 self.respond(conn, if ok { 200 } else { 503 }, Vec::new());
             }
             Route::Submit => self.submit(conn, body),
-            Route::Poll(uid) => self.poll(conn, uid),
+            Route::JobStatus(uid) => self.poll(conn, uid),
             Route::Cancel(uid) => self.cancel(conn, uid),
             Route::Heartbeat => match decode::<Heartbeat>(body) {
                 Ok(heartbeat) => self.receive_heartbeat(conn, heartbeat),
@@ -105,7 +105,7 @@
     /// Accepts a job, or refuses it; a job that is known already is answered with its status.
     fn submit(&mut self, conn: ConnId, body: &[u8]) {
         let spec = match decode::<JobSpec>(body) {
-            Ok(spec) if spec.well_formed() => spec,
+            Ok(spec) if spec.is_well_formed() => spec,
             _ => return self.refuse(conn, 400, "malformed submission"),
         };
         if self.state.ended_jobs.contains_key(spec.uid.as_str()) || self.state.jobs.contains_key(&spec.uid) {
@@ -170,7 +170,7 @@
             return true;
         }
         !self.cloud.catalog().iter().any(|offered| {
-            spec.machine_types.as_ref().is_none_or(|allowed| allowed.contains(&offered.label))
+            spec.machine_types.as_ref().is_none_or(|allowed| allowed.contains(&offered.name))
                 && spec.zone.as_ref().is_none_or(|zone| offered.zones.contains(zone))
                 && offered.cores >= spec.cores
                 && offered.gpus >= spec.gpus
@@ -180,7 +180,7 @@
 
     /// Answers a status query: at once if the job has ended, otherwise after a read.
     fn poll(&mut self, conn: ConnId, uid: &str) {
-        if !valid_uid(uid) {
+        if !is_valid_job_id(uid) {
             return self.refuse(conn, 404, "no such job");
         }
         let has_ended = matches!(self.state.status(uid), Some((Status::Done | Status::Cancelled, ..)));
@@ -277,7 +277,7 @@
 
     /// Cancels a job; one that has ended is answered with its status.
     fn cancel(&mut self, conn: ConnId, uid: &str) {
-        if !valid_uid(uid) {
+        if !is_valid_job_id(uid) {
             return self.refuse(conn, 404, "no such job");
         }
         if !self.store.session.is_following() {
--- a/src/controller/autoscaler/scale_in.rs
+++ b/src/controller/autoscaler/scale_in.rs
@@ -5,7 +5,7 @@
 
 use super::*;
 use crate::placement::MachineCapacity;
-use crate::protocol::cloud::{Phase, RELEASE_LIMIT};
+use crate::protocol::cloud::{MAX_MACHINES_PER_RELEASE, Phase};
 use crate::protocol::store::{Condition, Op};
 use crate::protocol::user::JobKind;
 use crate::scaling::all_fit;
@@ -104,7 +104,7 @@
                 names.push(name.clone());
             }
         }
-        names.truncate(RELEASE_LIMIT);
+        names.truncate(MAX_MACHINES_PER_RELEASE);
         if !names.is_empty() && self.may_call_cloud(RetryPurpose::Release) {
             tracing::info!(machines = names.len(), reason = "boot_timeout", "machine release requested");
             self.release_machines(names);
--- a/src/controller/autoscaler/scale_out.rs
+++ b/src/controller/autoscaler/scale_out.rs
@@ -5,7 +5,7 @@
 
 use super::*;
 use crate::placement::MachineCapacity;
-use crate::protocol::cloud::{Phase, RENT, RENT_LIMIT, RentRequest, RentResponse};
+use crate::protocol::cloud::{MACHINES_PATH, MAX_MACHINES_PER_RENT, Phase, RentRequest, RentResponse};
 use crate::protocol::{decode, encode};
 use crate::scaling::{Offer, Rental, plan_rentals, reserve_for_waiting};
 use records::MachineGroupRecord;
@@ -69,7 +69,7 @@
         let unavailable: BTreeSet<Offer> = self.autoscaler.unavailable.keys().cloned().collect();
         let mut for_others = self.expected_capacities(CountedTasks::All);
         let FleetDemand { services, others } = self.demand(&for_others);
-        let max_machines = RENT_LIMIT * (self.cloud.available_requests(self.now) as u32).max(1);
+        let max_machines = MAX_MACHINES_PER_RENT * (self.cloud.available_requests(self.now) as u32).max(1);
         let for_services = self.expected_capacities(CountedTasks::ExceptArrays);
         let types = self.cloud.catalog();
         let mut rentals = plan_rentals(&services, for_services, types, &unavailable, max_machines);
@@ -111,7 +111,7 @@
         });
         let timeout = self.heartbeat_intervals(RENT_TIMEOUT_INTERVALS);
         let purpose = CallPurpose::Rent { offer: rental.offer, number: rental.number };
-        self.call(Target::Cloud, "POST", RENT.into(), Some(body), timeout, purpose);
+        self.call(Target::Cloud, "POST", MACHINES_PATH.into(), Some(body), timeout, purpose);
     }
 
     /// A machine group with draining machines of the offer that are not released yet, and
@@ -190,9 +190,12 @@
     }
 }
 
-/// Splits a rental into requests of at most `RENT_LIMIT` machines each.
+/// Splits a rental into requests of at most `MAX_MACHINES_PER_RENT` machines each.
 fn split_into_requests(rental: Rental) -> impl Iterator<Item = Rental> {
-    let requests = rental.number.div_ceil(RENT_LIMIT);
+    let requests = rental.number.div_ceil(MAX_MACHINES_PER_RENT);
     let number = rental.number;
-    (0..requests).map(move |index| Rental { number: (number - index * RENT_LIMIT).min(RENT_LIMIT), ..rental.clone() })
+    (0..requests).map(move |index| Rental {
+        number: (number - index * MAX_MACHINES_PER_RENT).min(MAX_MACHINES_PER_RENT),
+        ..rental.clone()
+    })
 }
--- a/src/controller/cloud.rs
+++ b/src/controller/cloud.rs
@@ -4,7 +4,7 @@
 #![warn(missing_docs)]
 
 use super::*;
-use crate::protocol::cloud::{CATALOG, Catalog, Page, Phase, list_path};
+use crate::protocol::cloud::{CATALOG_PATH, Catalog, MachinePage, Phase, list_path};
 use crate::protocol::decode;
 use crate::protocol::store::{Condition, Op};
 use crate::state::records::Versions;
@@ -69,10 +69,10 @@
     }
 
     /// Adds a page, and returns the machine after which the next page begins, if there is one.
-    fn add_page(&mut self, page: Page) -> Option<String> {
-        let last = page.machines.last().map(|machine| machine.uid.clone());
+    fn add_page(&mut self, page: MachinePage) -> Option<String> {
+        let last = page.machines.last().map(|machine| machine.id.clone());
         for machine in page.machines {
-            self.machines.insert(machine.uid.clone(), machine);
+            self.machines.insert(machine.id.clone(), machine);
         }
         last.filter(|_| page.truncated)
     }
@@ -135,7 +135,7 @@
 
     /// The machine type with this label.
     pub(super) fn machine_type(&self, label: &str) -> Option<&MachineType> {
-        self.catalog.iter().find(|machine_type| machine_type.label == label)
+        self.catalog.iter().find(|machine_type| machine_type.name == label)
     }
 
     /// Boot time of the machine type that boots fastest; infinite without a catalog.
@@ -241,7 +241,7 @@
             self.list_read.interrupted_at = None;
             return ListProgress::Stopped;
         };
-        let Ok(page) = decode::<Page>(&reply.body) else { return ListProgress::Stopped };
+        let Ok(page) = decode::<MachinePage>(&reply.body) else { return ListProgress::Stopped };
         if let Some(last) = self.list_read.add_page(page) {
             self.list_read_in_flight = true;
             return ListProgress::NextPage(last);
@@ -299,7 +299,7 @@
         let interval = self.secs(self.config.deployment.workers.lease_s);
         self.cloud.begin_catalog_read(self.now, interval);
         let timeout = self.heartbeat_intervals(READ_TIMEOUT_INTERVALS);
-        self.call(Target::Cloud, "GET", CATALOG.into(), None, timeout, CallPurpose::Catalog);
+        self.call(Target::Cloud, "GET", CATALOG_PATH.into(), None, timeout, CallPurpose::Catalog);
     }
 
     /// Keeps the catalog in the store, so that a controller that starts while the cloud does
--- a/src/controller/cloud/tests.rs
+++ b/src/controller/cloud/tests.rs
@@ -11,7 +11,7 @@
 
 fn listed(uid: &str) -> ListedMachine {
     ListedMachine {
-        uid: uid.into(),
+        id: uid.into(),
         addr: String::new(),
         machine_type: "std".into(),
         zone: "a".into(),
@@ -22,7 +22,7 @@
 }
 
 fn page(names: &[&str], truncated: bool) -> Result<Reply, NoAnswer> {
-    let page = Page { machines: names.iter().map(|name| listed(name)).collect(), truncated };
+    let page = MachinePage { machines: names.iter().map(|name| listed(name)).collect(), truncated };
     Ok(Reply { status: OK, body: encode(&page) })
 }
 
--- a/src/controller/connectivity/heartbeats.rs
+++ b/src/controller/connectivity/heartbeats.rs
@@ -4,7 +4,7 @@
 use crate::connectivity::frame_fitting::{self, Rotation};
 use crate::controller::Controller;
 use crate::effects::Action;
-use crate::protocol::peer::{FRAME_LIMIT, Frame, PeerHeartbeat, RecentMachine, Revocations};
+use crate::protocol::peer::{Frame, MAX_FRAME_BYTES, PeerHeartbeat, RecentMachine, Revocations};
 use std::time::Duration;
 
 /// This many successive heartbeats together report the images on all machines.
@@ -122,7 +122,7 @@
             list.iter().map(|(name, _)| name.len() + size_of::<(u32, u64)>()).sum()
         };
         let total_bytes = bytes_of(&cancelled) + bytes_of(&granted);
-        (total_bytes < FRAME_LIMIT / REVOCATIONS_FRAME_DIVISOR).then_some(Revocations { since, cancelled, granted })
+        (total_bytes < MAX_FRAME_BYTES / REVOCATIONS_FRAME_DIVISOR).then_some(Revocations { since, cancelled, granted })
     }
 
     /// Stops jobs that another controller knows to be cancelled.
--- a/src/controller/journal/mod.rs
+++ b/src/controller/journal/mod.rs
@@ -61,7 +61,7 @@
 /// goes to the same slot, so that only one of the two can be carried out.
 const SEGMENT_TIMEOUT_HEARTBEATS: f64 = 0.25;
 /// The number of conditions that a transaction may have for each change that it may have.
-const CONDITIONS_PER_OP: usize = 4;
+const MAX_CONDITIONS_PER_OP: usize = 4;
 const BYTES_PER_KB: f64 = 1024.0;
 /// Prefix of the keys of log slots.
 const LOG_PREFIX: &str = "fq/l/";
@@ -172,7 +172,7 @@
         if checkpoints.len() > max_checkpoints || compaction::total_size(&checkpoints) > checkpoint_bytes {
             return self.send_checkpoints_first(checkpoints, max_checkpoints);
         }
-        let conditions = (store.txn_ops * CONDITIONS_PER_OP).saturating_sub(checkpoints.len() + 1);
+        let conditions = (store.txn_ops * MAX_CONDITIONS_PER_OP).saturating_sub(checkpoints.len() + 1);
         let limits = SegmentLimits { conditions, bytes: segment_bytes };
         let inputs = SegmentInputs {
             now: self.now,
--- a/src/controller/scheduler/preemption.rs
+++ b/src/controller/scheduler/preemption.rs
@@ -113,7 +113,7 @@
                     job: victim.uid,
                     index: victim.index,
                     attempt: victim.attempt,
-                    grace_period_s: victim.spec.saves_in().unwrap_or(0.0),
+                    grace_period_s: victim.spec.checkpoint_on_stop_s().unwrap_or(0.0),
                 });
             }
             capacity.take(spec, 1);
@@ -191,7 +191,7 @@
             let ran_s =
                 machine.running_since.get(&key).map_or(0.0, |since| round.now.saturating_sub(*since).as_secs_f64());
             // Tasks that save checkpoints get the time to save one before they are stopped.
-            let lost_s = if job.spec.saves_in().is_some() { 0.0 } else { ran_s };
+            let lost_s = if job.spec.checkpoint_on_stop_s().is_some() { 0.0 } else { ran_s };
             victims.push(Victim {
                 uid: uid.clone(),
                 index: *index,
--- a/src/controller/store_sync.rs
+++ b/src/controller/store_sync.rs
@@ -4,7 +4,7 @@
 use super::*;
 use crate::coordination::store_session::SyncState;
 use crate::protocol::decode;
-use crate::protocol::store::{Condition, Lease, LeaseRequest, Op, Rows, TxnResponse, WatchResponse};
+use crate::protocol::store::{Condition, Lease, LeaseRequest, Op, RowPage, TxnResponse, WatchResponse};
 
 /// The session with the store, and the replica that a scan is reading from it.
 #[derive(Debug)]
@@ -162,7 +162,7 @@
             }
             None => {
                 let body = crate::protocol::encode(&LeaseRequest { ttl_ms: ttl.as_millis() as u64 });
-                self.call(Target::Store, "POST", store::LEASES.into(), Some(body), ttl / 2, CallPurpose::Lease);
+                self.call(Target::Store, "POST", store::LEASES_PATH.into(), Some(body), ttl / 2, CallPurpose::Lease);
             }
         }
     }
@@ -248,7 +248,7 @@
         self.store.session.scan_in_flight = false;
         if let Ok(reply) = result
             && reply.status == 200
-            && let Ok(rows) = decode::<Rows>(&reply.body)
+            && let Ok(rows) = decode::<RowPage>(&reply.body)
         {
             self.apply_page(rows);
         }
@@ -288,7 +288,7 @@
 
     /// Adds a page of the scan to the snapshot; after the last page the snapshot becomes the
     /// replica.
-    fn apply_page(&mut self, rows: Rows) {
+    fn apply_page(&mut self, rows: RowPage) {
         if self.store.session.scan_revision.is_none() {
             self.store.snapshot = ClusterState::loading(self.state.checkpoint_size, rows.revision);
             self.store.session.scan_revision = Some(rows.revision);
--- a/src/controller/transactions.rs
+++ b/src/controller/transactions.rs
@@ -338,7 +338,7 @@
         let body = crate::protocol::encode(&txn);
         let id = self.outbox.next_call_id();
         let pending = self.transactions.begin(id, txn, purpose, keys, self.state.known_revision(), self.now);
-        self.call(Target::Store, "POST", store::TXN.into(), Some(body), timeout, CallPurpose::Txn(pending));
+        self.call(Target::Store, "POST", store::TXN_PATH.into(), Some(body), timeout, CallPurpose::Txn(pending));
     }
 
     /// Ends the transactions in flight whose outcome the store has shown; a later answer to
--- a/src/coordination/machine/tests.rs
+++ b/src/coordination/machine/tests.rs
@@ -23,7 +23,7 @@
                 attempt: *attempt,
                 status: *status,
                 cause: None,
-                kept: None,
+                progress_saved: None,
             })
             .collect(),
     }
--- a/src/placement/capacity.rs
+++ b/src/placement/capacity.rs
@@ -4,7 +4,7 @@
 
 use super::ROUNDING_TOLERANCE;
 use crate::protocol::cloud::MachineType;
-use crate::protocol::user::{JobSpec, TASKS_LIMIT};
+use crate::protocol::user::{JobSpec, MAX_TASKS_PER_JOB};
 use crate::state::{Images, Resources};
 
 /// The share of a time limit within which an image fetch must be expected to end for the limit
@@ -50,7 +50,7 @@
     pub fn empty(name: &str, machine_type: &MachineType, zone: &str, spot: bool) -> MachineCapacity {
         MachineCapacity {
             machine: name.to_string(),
-            machine_type: machine_type.label.clone(),
+            machine_type: machine_type.name.clone(),
             zone: zone.to_string(),
             spot,
             cores: machine_type.cores,
@@ -90,7 +90,7 @@
         let count = quotient(self.cores + preempted.cores, spec.cores)
             .min(quotient(self.gpus + preempted.gpus, spec.gpus))
             .min(quotient(self.mem_gb + preempted.mem_gb, spec.mem_gb));
-        count.min(f64::from(TASKS_LIMIT)) as u32
+        count.min(f64::from(MAX_TASKS_PER_JOB)) as u32
     }
 
     /// The free share of the machine's scarcest resource: free cores are not usable on a machine
--- a/src/scaling/mod.rs
+++ b/src/scaling/mod.rs
@@ -194,7 +194,7 @@
                 continue;
             }
             for spot in [true, false] {
-                let offer = Offer { machine_type: machine_type.label.clone(), zone: zone.clone(), spot };
+                let offer = Offer { machine_type: machine_type.name.clone(), zone: zone.clone(), spot };
                 let tasks_per_machine = MachineCapacity::empty("", machine_type, zone, spot).fitting_tasks(spec);
                 if demand.spot_only && spec.spot_allowed && !spot {
                     continue;
@@ -220,7 +220,7 @@
 
     fn types() -> Vec<MachineType> {
         vec![MachineType {
-            label: "std".into(),
+            name: "std".into(),
             cores: 4.0,
             gpus: 0.0,
             mem_gb: 16.0,
--- a/src/state/log_replay.rs
+++ b/src/state/log_replay.rs
@@ -13,7 +13,7 @@
 use super::machine_load::{MachineLoad, PlacedTasks, add_placement, remove_placement};
 use super::records::TaskRangeCheckpoint;
 use super::versioned::Versioned;
-use crate::protocol::user::TASKS_LIMIT;
+use crate::protocol::user::MAX_TASKS_PER_JOB;
 use std::collections::{BTreeMap, HashMap};
 
 /// What a replica knows of a controller's log.
@@ -86,7 +86,7 @@
         if log.slots.get(&slot).is_some_and(|known| known.version >= version) {
             return;
         }
-        let entries = record.entries_by_job(TASKS_LIMIT).unwrap_or_else(|error| {
+        let entries = record.entries_by_job(MAX_TASKS_PER_JOB).unwrap_or_else(|error| {
             tracing::error!(%member, slot, %error, "invalid log segment");
             BTreeMap::new()
         });
--- a/src/transport/calls.rs
+++ b/src/transport/calls.rs
@@ -118,8 +118,8 @@
         }
         match http::parse_response(&connection.read_buffer, self.response_limit) {
             Parsed::Partial => {}
-            Parsed::Bad(_) => self.close(token),
-            Parsed::Whole(response, _) => {
+            Parsed::Invalid(_) => self.close(token),
+            Parsed::Complete(response, _) => {
                 let (target, id) = (*target, call.take());
                 connection.read_buffer = Vec::new();
                 connection.deadline = now + self.idle_timeout;
@@ -135,7 +135,7 @@
             let reply = Reply { status: response.status, body: response.body };
             self.events.push_back(Event::CallEnded { id, result: Ok(reply) });
         }
-        if response.close || call.is_none() {
+        if response.close_connection || call.is_none() {
             self.close(token);
         } else {
             self.idle_client_connections.entry(target).or_default().push(token);
--- a/src/transport/http.rs
+++ b/src/transport/http.rs
@@ -18,7 +18,7 @@
     /// The body, empty if there is none.
     pub body: Vec<u8>,
     /// Whether the client wants the connection closed after the response.
-    pub close: bool,
+    pub close_connection: bool,
 }
 
 /// An HTTP response.
@@ -29,7 +29,7 @@
     /// The body, empty if there is none.
     pub body: Vec<u8>,
     /// Whether the server closes the connection after this response.
-    pub close: bool,
+    pub close_connection: bool,
 }
 
 /// Result of parsing one message at the start of a buffer.
@@ -38,10 +38,10 @@
     /// The message is incomplete: more bytes are needed.
     Partial,
     /// A complete message, and the number of bytes that it takes in the buffer.
-    Whole(T, usize),
+    Complete(T, usize),
     /// The message is malformed, too large or not supported. A server responds with this status
     /// code and closes the connection; a client closes it.
-    Bad(u16),
+    Invalid(u16),
 }
 
 /// What the headers of a message say about its body and about the connection.
@@ -82,16 +82,16 @@
     let mut head = httparse::Request::new(&mut header_slots);
     let body_start = match head.parse(buffer) {
         Ok(httparse::Status::Complete(head_len)) => head_len,
-        Ok(httparse::Status::Partial) if buffer.len() > MAX_HEAD_BYTES => return Parsed::Bad(431),
+        Ok(httparse::Status::Partial) if buffer.len() > MAX_HEAD_BYTES => return Parsed::Invalid(431),
         Ok(httparse::Status::Partial) => return Parsed::Partial,
-        Err(_) => return Parsed::Bad(400),
+        Err(_) => return Parsed::Invalid(400),
     };
     let headers = match read_headers(head.headers, head.version.unwrap_or(0)) {
         Ok(headers) => headers,
-        Err(status) => return Parsed::Bad(status),
+        Err(status) => return Parsed::Invalid(status),
     };
     if headers.body_len > body_limit {
-        return Parsed::Bad(413);
+        return Parsed::Invalid(413);
     }
     let body_end = body_start + headers.body_len;
     if buffer.len() < body_end {
@@ -101,9 +101,9 @@
         method: head.method.unwrap_or("").to_string(),
         path: head.path.unwrap_or("").to_string(),
         body: buffer[body_start..body_end].to_vec(),
-        close: headers.close,
+        close_connection: headers.close,
     };
-    Parsed::Whole(request, body_end)
+    Parsed::Complete(request, body_end)
 }
 
 /// Parses the response at the start of a buffer. Its body may have at most `body_limit` bytes.
@@ -112,21 +112,24 @@
     let mut head = httparse::Response::new(&mut header_slots);
     let body_start = match head.parse(buffer) {
         Ok(httparse::Status::Complete(head_len)) => head_len,
-        Ok(httparse::Status::Partial) if buffer.len() > MAX_HEAD_BYTES => return Parsed::Bad(502),
+        Ok(httparse::Status::Partial) if buffer.len() > MAX_HEAD_BYTES => return Parsed::Invalid(502),
         Ok(httparse::Status::Partial) => return Parsed::Partial,
-        Err(_) => return Parsed::Bad(502),
+        Err(_) => return Parsed::Invalid(502),
     };
     let headers = match read_headers(head.headers, head.version.unwrap_or(0)) {
         Ok(headers) if headers.body_len <= body_limit => headers,
-        _ => return Parsed::Bad(502),
+        _ => return Parsed::Invalid(502),
     };
     let body_end = body_start + headers.body_len;
     if buffer.len() < body_end {
         return Parsed::Partial;
     }
-    let response =
-        Response { status: head.code.unwrap_or(0), body: buffer[body_start..body_end].to_vec(), close: headers.close };
-    Parsed::Whole(response, body_end)
+    let response = Response {
+        status: head.code.unwrap_or(0),
+        body: buffer[body_start..body_end].to_vec(),
+        close_connection: headers.close,
+    };
+    Parsed::Complete(response, body_end)
 }
 
 /// Appends a request to `out`.
--- a/src/transport/listeners.rs
+++ b/src/transport/listeners.rs
@@ -6,7 +6,7 @@
 use super::network::Network;
 use crate::config::Settings;
 use crate::effects::{ConnId, Event};
-use crate::protocol::BODY_LIMIT;
+use crate::protocol::MAX_BODY_BYTES;
 use mio::net::{TcpListener, TcpStream};
 use mio::{Interest, Registry, Token};
 use std::io;
@@ -118,19 +118,19 @@
         if *busy || *close || connection.read_buffer.is_empty() {
             return;
         }
-        match http::parse_request(&connection.read_buffer, BODY_LIMIT) {
+        match http::parse_request(&connection.read_buffer, MAX_BODY_BYTES) {
             // Once a request has begun, the rest of it must arrive within the request timeout.
             Parsed::Partial => connection.deadline = connection.deadline.min(now + self.request_timeout),
-            Parsed::Bad(status) => {
+            Parsed::Invalid(status) => {
                 *close = true;
                 http::write_response(&mut connection.write_buffer, status, &[], None, true);
             }
-            Parsed::Whole(request, used) => {
+            Parsed::Complete(request, used) => {
                 connection.read_buffer.drain(..used);
                 if connection.read_buffer.is_empty() {
                     connection.read_buffer = Vec::new();
                 }
-                (*busy, *close) = (true, request.close);
+                (*busy, *close) = (true, request.close_connection);
                 connection.deadline = now + self.idle_timeout;
                 let http::Request { method, path, body, .. } = request;
                 self.events.push_back(Event::Request { conn: token as ConnId, method, path, body });
--- a/src/transport/network.rs
+++ b/src/transport/network.rs
@@ -6,7 +6,7 @@
 use super::peers::PeerConnection;
 use crate::config::Settings;
 use crate::effects::{Action, Event, Instant, NoAnswer, Target};
-use crate::protocol::{BODY_LIMIT, peer};
+use crate::protocol::{MAX_BODY_BYTES, peer};
 use mio::net::TcpStream;
 use mio::{Interest, Poll, Token};
 use std::collections::{HashMap, VecDeque};
@@ -173,9 +173,9 @@
             ConnectProgress::Failed => return self.close(token),
         }
         let limit = match connection.role {
-            Role::Server { .. } => BODY_LIMIT * 2,
+            Role::Server { .. } => MAX_BODY_BYTES * 2,
             Role::Client { .. } => response_limit,
-            Role::InboundPeer { .. } | Role::OutboundPeer { .. } => peer::FRAME_LIMIT * 2,
+            Role::InboundPeer { .. } | Role::OutboundPeer { .. } => peer::MAX_FRAME_BYTES * 2,
         };
         let stream_state = connection.receive(limit);
         match connection.role {
--- a/src/transport/peers.rs
+++ b/src/transport/peers.rs
@@ -103,7 +103,7 @@
         };
         if let Some(connection) = self.connections.get_mut(&token)
             && connection.connected
-            && connection.write_buffer.len() < peer::FRAME_LIMIT
+            && connection.write_buffer.len() < peer::MAX_FRAME_BYTES
         {
             if connection.write_buffer.is_empty() {
                 connection.deadline = deadline;
